--- a/internal/delivery/bench_test.go
+++ b/internal/delivery/bench_test.go
@@ -18,14 +18,14 @@
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(b, err)
 	b.Cleanup(func() { _ = listener.Close() })
-	go acceptLean(listener)
+	go serveMinimal(listener)
 	e := startEngine(b, testConfig())
 	e.SetWorkers([]*rpc.Worker{{Id: "i-0", Service: testService, Address: listener.Addr().String()}})
 	job := newJob()
 	job.Body = make([]byte, 2000)
 	slots := make(chan struct{}, 16)
 	b.ReportAllocs()
-	before := processorTime()
+	before := cpuTime()
 	for b.Loop() {
 		slots <- struct{}{}
 		e.Submit(job, allow, func(o Outcome) {
@@ -35,11 +35,11 @@
 			<-slots
 		})
 	}
-	b.ReportMetric(float64((processorTime()-before).Microseconds())/float64(b.N), "cpu-µs/op")
+	b.ReportMetric(float64((cpuTime()-before).Microseconds())/float64(b.N), "cpu-µs/op")
 }
 
-// processorTime is what this process has used.
-func processorTime() time.Duration {
+// cpuTime is what this process has used.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
@@ -47,18 +47,18 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-func acceptLean(listener net.Listener) {
+func serveMinimal(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go answerLean(conn)
+		go answerMinimal(conn)
 	}
 }
 
-// answerLean answers each request that comes in with one read, at the least cost.
-func answerLean(conn net.Conn) {
+// answerMinimal answers each request that comes in with one read, at the least cost.
+func answerMinimal(conn net.Conn) {
 	answer := []byte("HTTP/1.1 200 OK\r\nX-Response-Stamp: 3e1b.07.5a2.600.0.c9f2a4d1\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok")
 	buffer := make([]byte, 64<<10)
 	for {
--- a/internal/delivery/busy_test.go
+++ b/internal/delivery/busy_worker_test.go
@@ -18,22 +18,22 @@
 	)
 	release := make(chan struct{})
 	arrived := make(chan struct{}, workers)
-	var standIns []*standIn
+	var standIns []*fakeWorker
 	for range workers {
-		standIns = append(standIns, startStandIn(t, func(c net.Conn, r *http.Request) {
+		standIns = append(standIns, startFakeWorker(t, func(c net.Conn, r *http.Request) {
 			arrived <- struct{}{}
 			<-release
 			succeed(c, r)
 		}))
 	}
 	config := testConfig()
-	config.Routes[0].TimeoutMs = float64(patience.Milliseconds())
+	config.Routes[0].TimeoutMs = float64(testTimeout.Milliseconds())
 	config.Services[0].MaxConns = 24
 	e := New(Options{Zone: "a"})
 	t.Cleanup(e.Close)
 	e.SetDispatchers(15)
 	e.SetCatalog(config.Version, config)
-	list := listOf(standIns...)
+	list := workerList(standIns...)
 	for _, far := range list[nearWorkers:] {
 		far.Zone = "b"
 	}
--- a/internal/delivery/catalog.go
+++ b/internal/delivery/catalog.go
@@ -6,84 +6,84 @@
 	"foldlb.example/foldlb/internal/catalog"
 )
 
-// The configuration, as the engine takes it.
+// Processing of configurations.
 
-// SetCatalog takes a configuration. One with a version below the one in force is ignored. Jobs of routes that went, or that
-// now lead to another service, end as not run unless they are with a worker already.
+// SetCatalog applies a configuration, unless its version is below that in force. Jobs of routes that were removed, or now lead to
+// another service, end as NotRun unless an attempt is already in progress.
 func (e *Engine) SetCatalog(version uint64, config *catalog.Config) {
-	e.lockedAside(func(now time.Duration) {
-		if e.closed || config == nil || version < e.version {
+	e.doAndNotifyAsync(func(now time.Duration) {
+		if e.closed || config == nil || version < e.configVersion {
 			return
 		}
-		e.version = version
-		before := e.lanes
-		e.setServices(config.Services)
-		e.setRoutes(config.Routes)
-		for name, l := range before {
-			if e.lanes[name] == nil {
-				e.endLane(l)
+		e.configVersion = version
+		previous := e.services
+		e.applyServices(config.Services)
+		e.applyRoutes(config.Routes)
+		for name, s := range previous {
+			if e.services[name] == nil {
+				e.removeService(s)
 			}
 		}
-		e.setWorkers(now)
+		e.applyWorkers(now)
 	})
 }
 
-func (e *Engine) setServices(services []catalog.Service) {
-	lanes := make(map[string]*lane, len(services))
-	for _, service := range services {
-		l := e.lanes[service.Name]
-		if l == nil {
-			l = newLane(e, service)
+func (e *Engine) applyServices(services []catalog.Service) {
+	updated := make(map[string]*service, len(services))
+	for _, config := range services {
+		s := e.services[config.Name]
+		if s == nil {
+			s = newService(e, config)
 		} else {
-			l.update(service)
+			s.update(config)
 		}
-		lanes[service.Name] = l
+		updated[config.Name] = s
 	}
-	e.lanes = lanes
+	e.services = updated
 }
 
-func (e *Engine) setRoutes(routes []catalog.Route) {
+func (e *Engine) applyRoutes(routes []catalog.Route) {
 	configs := make(map[string]catalog.Route, len(routes))
 	for _, config := range routes {
 		configs[config.Name] = config
 	}
-	e.configs = configs
+	e.routeConfigs = configs
 	for name, r := range e.routes {
 		config, ok := configs[name]
-		if !ok || !sameWay(config, r.config) || e.lanes[config.Service] != r.lane {
+		if !ok || !sameDestination(config, r.config) || e.services[config.Service] != r.service {
 			delete(e.routes, name)
-			r.drop()
+			r.remove()
 			continue
 		}
 		r.config = config
 	}
 }
 
-// sameWay tells whether messages of a route that was changed may still go where they were going.
-func sameWay(a, b catalog.Route) bool {
+// sameDestination reports whether waiting messages of a changed route may still be sent to its destination.
+func sameDestination(a, b catalog.Route) bool {
 	return a.Service == b.Service && a.Hostname == b.Hostname && a.PathPrefix == b.PathPrefix
 }
 
-// endLane lets go of a service that went.
-func (e *Engine) endLane(l *lane) {
+// removeService closes the connections and stops the timer of a service that is no longer configured.
+func (e *Engine) removeService(s *service) {
 	for key, t := range e.targets {
-		if t.lane == l {
+		if t.service == s {
 			delete(e.targets, key)
-			e.retire(t)
+			e.retireTarget(t)
 		}
 	}
-	if l.timer != nil {
-		l.timer.Stop()
+	if s.timer != nil {
+		s.timer.Stop()
 	}
 }
 
-// retire has nothing new sent to a target.
-func (e *Engine) retire(t *target) {
+// retireTarget closes a target's idle connections and prevents further requests to it.
+func (e *Engine) retireTarget(t *target) {
 	t.ready = false
-	t.closeIdle(always)
+	t.closeIdleConns(anyConn)
 	if e.targets[t.key] == t {
 		delete(e.targets, t.key)
 	}
 }
 
-func always(*conn) bool { return true }
+func anyConn(*conn) bool { return true }
--- a/internal/delivery/cold_test.go
+++ b/internal/delivery/cold_start_test.go
@@ -10,12 +10,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// clockedEngine has an engine on a clock that only jobs advance: each takes the given time at its worker.
-func clockedEngine(t *testing.T, took time.Duration, count int) (*Engine, []*standIn) {
+// newVirtualTimeEngine has an engine on a clock that only jobs advance: each takes the given time at its worker.
+func newVirtualTimeEngine(t *testing.T, took time.Duration, count int) (*Engine, []*fakeWorker) {
 	var clock atomic.Int64
-	var workers []*standIn
+	var workers []*fakeWorker
 	for range count {
-		workers = append(workers, startStandIn(t, func(c net.Conn, r *http.Request) {
+		workers = append(workers, startFakeWorker(t, func(c net.Conn, r *http.Request) {
 			clock.Add(int64(took))
 			succeed(c, r)
 		}))
@@ -43,11 +43,11 @@
 
 // A worker that has just started gets less than the others, and its part once it is warm.
 func TestColdWorkerGetsLess(t *testing.T) {
-	e, workers := clockedEngine(t, 10*time.Millisecond, 5)
-	e.SetWorkers(listOf(workers[:4]...))
+	e, workers := newVirtualTimeEngine(t, 10*time.Millisecond, 5)
+	e.SetWorkers(workerList(workers[:4]...))
 	deliver(t, e, 12000) // 2 minutes: until the module has seen its first medians, it takes jobs for longer than they are
 
-	list := listOf(workers...)
+	list := workerList(workers...)
 	cold := list[4]
 	cold.ColdMs = 4000
 	e.SetWorkers(list)
@@ -66,8 +66,8 @@
 
 // Where all workers have just started, they are used all the same.
 func TestAllCold(t *testing.T) {
-	e, workers := clockedEngine(t, 10*time.Millisecond, 3)
-	list := listOf(workers...)
+	e, workers := newVirtualTimeEngine(t, 10*time.Millisecond, 3)
+	list := workerList(workers...)
 	for _, w := range list {
 		w.ColdMs = 5000
 	}
--- a/internal/delivery/conn.go
+++ b/internal/delivery/conn.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	dialTimeout    = 250 * time.Millisecond
-	userTimeout    = 500 * time.Millisecond // for bytes that the worker's machine does not acknowledge
-	defaultKeep    = 4 * time.Second        // for which a connection is kept where the worker names no time
-	keptPart       = 0.8                    // of the time that the worker names
-	mostUnfinished = 16                     // requests remembered that ended on a connection without success
+	dialTimeout        = 250 * time.Millisecond
+	tcpUserTimeout     = 500 * time.Millisecond // for unacknowledged bytes
+	defaultIdleTimeout = 4 * time.Second        // if the worker names no Keep-Alive timeout
+	idleTimeoutShare   = 0.8                    // of the worker's timeout, so that this side closes first
+	maxUnsuccessfulIDs = 16                     // beyond this, the connection is closed rather than reused
 )
 
 // conn is a connection to a worker. It carries one exchange at a time.
 type conn struct {
 	net.Conn
-	kept       bool          // it has carried an exchange before
-	keepFor    time.Duration // while idle
-	closeAt    time.Duration // for an idle one
-	previousID string        // request that it carried last
-	unfinished []string      // requests that it carried and that may be sent again
+	reused            bool          // it has carried an exchange before
+	idleTimeout       time.Duration // how long the connection may stay idle
+	idleDeadline      time.Duration // when an idle connection is closed
+	previousRequestID string        // of the request sent last
+	unsuccessfulIDs   []string      // requests that ended here without success, and may be sent again
 }
 
 // dial opens a connection to a worker.
@@ -38,54 +38,54 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: opened, keepFor: time.Duration(keptPart * float64(defaultKeep))}, nil
+	return &conn{Conn: opened, idleTimeout: time.Duration(idleTimeoutShare * float64(defaultIdleTimeout))}, nil
 }
 
-// setUserTimeout bounds how long bytes may stay unacknowledged: a machine without power says nothing.
+// setUserTimeout limits how long sent bytes may stay unacknowledged, because a machine that lost power sends neither FIN nor RST.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockoptErr
 }
 
-// fresh tells whether an idle connection is open and nothing has come in on it. A request written to one that the worker
-// has closed would end with an unknown outcome.
-func (c *conn) fresh() bool { return tcp.Silent(c.Conn) }
+// isUsable reports whether an idle connection is open and has no unread data. A request written to a connection that the worker
+// has closed would have an unknown outcome.
+func (c *conn) isUsable() bool { return tcp.Silent(c.Conn) }
 
-// carriedBefore tells whether a request with this id has ended here without success. A worker in trouble may answer a second
-// time, later, and such an answer would be taken for that of the new attempt.
-func (c *conn) carriedBefore(requestID string) bool {
-	return slices.Contains(c.unfinished, requestID)
+// hasUnsuccessful reports whether a request with this id has ended on this connection without success. A faulty worker may
+// respond to it a second time, later, and that response would be mistaken for the response to the new attempt.
+func (c *conn) hasUnsuccessful(requestID string) bool {
+	return slices.Contains(c.unsuccessfulIDs, requestID)
 }
 
-// carried notes the request that was sent last, and tells whether the connection may carry another.
-func (c *conn) carried(requestID string, succeeded bool) bool {
-	c.kept, c.previousID = true, requestID
+// recordExchange records the request that was sent last, and reports whether the connection may carry another one.
+func (c *conn) recordExchange(requestID string, succeeded bool) bool {
+	c.reused, c.previousRequestID = true, requestID
 	if !succeeded {
-		c.unfinished = append(c.unfinished, requestID)
+		c.unsuccessfulIDs = append(c.unsuccessfulIDs, requestID)
 	}
-	return len(c.unfinished) <= mostUnfinished
+	return len(c.unsuccessfulIDs) <= maxUnsuccessfulIDs
 }
 
 func (c *conn) close() {
-	_ = c.Conn.Close() // nothing that was wanted of it is outstanding
+	_ = c.Conn.Close() // errors don't matter: no data is outstanding
 }
 
-// readers are buffers for answers that are being read: idle connections are many, and need none.
-var readers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
+// readerPool holds buffers for reading responses. The many idle connections need none.
+var readerPool = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
 func acquireReader(c *conn) *bufio.Reader {
-	reader := readers.Get().(*bufio.Reader)
+	reader := readerPool.Get().(*bufio.Reader)
 	reader.Reset(c.Conn)
 	return reader
 }
 
 func releaseReader(reader *bufio.Reader) {
 	reader.Reset(nil)
-	readers.Put(reader)
+	readerPool.Put(reader)
 }
--- a/internal/delivery/engine.go
+++ b/internal/delivery/engine.go
@@ -13,54 +13,54 @@
 )
 
 const (
-	defaultSockets = 1024
-	sweepEvery     = time.Second // between looks for connections that were idle for too long
-	unplacedPause  = 50 * time.Millisecond
-	longestCold    = 60 * time.Second // that a worker is believed to be slow for after its start
+	defaultMaxSockets  = 1024
+	idleSweepInterval  = time.Second           // between checks for connections that were idle for too long
+	unplacedRetryDelay = 50 * time.Millisecond // for a delivery that could not be handed to a worker
+	maxColdDuration    = 60 * time.Second      // upper bound of the cold time that a worker list may give
 )
 
-// Options is what the host of an engine sets.
+// Options configures an Engine.
 type Options struct {
-	Zone       string               // this machine's
-	Log        logr.Logger          // the zero value drops all
-	Now        func() time.Duration // monotonic; nil for the time since the engine was made
-	MaxSockets int                  // connections to workers, over all; 0 for 1024
+	Zone       string               // zone of this machine
+	Log        logr.Logger          // the zero value discards all messages
+	Now        func() time.Duration // monotonic clock; nil for the time since New
+	MaxSockets int                  // upper bound of connections to workers in total; 0 for 1024
 }
 
-// Engine sends jobs to workers. All its methods may be called concurrently; none blocks on the network. One mutex guards all
-// state: what is done under it is short, and a queue of commands would cost a change of goroutines for each.
+// Engine sends jobs to workers. All its methods may be called concurrently, and none blocks on the network. One mutex guards all
+// state: critical sections are short, whereas a command queue would cost a goroutine switch per command.
 type Engine struct {
 	options Options
 
-	mu          sync.Mutex
-	closed      bool
-	version     uint64 // of the configuration in force
-	dispatchers int
-	lanes       map[string]*lane         // by service
-	configs     map[string]catalog.Route // by name
-	routes      map[string]*route        // those used so far, by name
-	targets     map[string]*target       // by worker id, and the static endpoints
-	workers     []*rpc.Worker            // the newest list
-	attempts    map[*attempt]struct{}    // under way
-	open        int                      // connections to workers
-	warmWithin  float64                  // seconds, the longest that the list has shown a worker to be cold for
-	sequence    uint64
-	actions     []action
-	ended       []ending
-	sweepSet    bool
-	broken      uint64 // invariants found broken
+	mu                  sync.Mutex
+	closed              bool
+	configVersion       uint64                   // version of the catalog in force
+	dispatchers         int                      // number of processes that deliver to the same workers
+	services            map[string]*service      // by service name
+	routeConfigs        map[string]catalog.Route // by route name
+	routes              map[string]*route        // routes used so far, by name
+	targets             map[string]*target       // workers by id, and static endpoints
+	workers             []*rpc.Worker            // newest worker list
+	attempts            map[*attempt]struct{}    // in progress
+	openConns           int                      // connections to workers, including those being opened
+	warmUpSeconds       float64                  // longest cold time that a worker list has given, in seconds
+	lastSequence        uint64                   // of the newest delivery
+	pendingActions      []action                 // requested by the decision module, not yet executed
+	pendingOutcomes     []outcomeCallback        // to be reported once the lock is released
+	sweepScheduled      bool
+	invariantViolations uint64 // number of violations found
 }
 
-// errInvariant is logged for a fault of this package.
-var errInvariant = errors.New("an invariant of the delivery engine is broken")
+// errInvariantViolated is logged when the engine detects a bug in its own bookkeeping.
+var errInvariantViolated = errors.New("delivery engine invariant violated")
 
-// ending is an outcome that is to be told once the lock is free.
-type ending struct {
+// outcomeCallback is an outcome that is reported after the engine's lock is released.
+type outcomeCallback struct {
 	done    func(Outcome)
 	outcome Outcome
 }
 
-// actionKind is what the decision module asks for.
+// actionKind is the kind of a request by the decision module.
 type actionKind int
 
 const (
@@ -68,202 +68,208 @@
 	actionRefuse
 )
 
-// action is put off until the module has returned.
+// action is a request by the decision module. It is executed after the call into the module has returned, because the module must
+// not be called from its own callbacks.
 type action struct {
-	kind     actionKind
-	route    *route
-	delivery string
-	worker   string
+	kind       actionKind
+	route      *route
+	deliveryID string
+	targetKey  string
 }
 
-// New makes an engine without routes and workers.
+// New returns an engine without routes and workers.
 func New(options Options) *Engine {
 	if options.Now == nil {
 		start := time.Now()
 		options.Now = func() time.Duration { return time.Since(start) }
 	}
 	if options.MaxSockets <= 0 {
-		options.MaxSockets = defaultSockets
+		options.MaxSockets = defaultMaxSockets
 	}
 	return &Engine{
-		options:     options,
-		dispatchers: 1,
-		lanes:       map[string]*lane{},
-		configs:     map[string]catalog.Route{},
-		routes:      map[string]*route{},
-		targets:     map[string]*target{},
-		attempts:    map[*attempt]struct{}{},
-		warmWithin:  warmDefault,
+		options:       options,
+		dispatchers:   1,
+		services:      map[string]*service{},
+		routeConfigs:  map[string]catalog.Route{},
+		routes:        map[string]*route{},
+		targets:       map[string]*target{},
+		attempts:      map[*attempt]struct{}{},
+		warmUpSeconds: defaultWarmUpSeconds,
 	}
 }
 
 func (e *Engine) now() time.Duration { return e.options.Now() }
 
-// locked runs f with the engine locked, carries out what the module asked for, and tells the outcomes that came of it.
-func (e *Engine) locked(f func(now time.Duration)) {
-	for _, ending := range e.update(f) {
-		ending.done(ending.outcome)
+// doAndNotify runs f with the engine locked, executes the actions that the decision module requested, and then reports the
+// resulting outcomes on the calling goroutine.
+func (e *Engine) doAndNotify(f func(now time.Duration)) {
+	for _, callback := range e.do(f) {
+		callback.done(callback.outcome)
 	}
 }
 
-func (e *Engine) update(f func(now time.Duration)) []ending {
+// do runs f with the engine locked, executes the actions that the decision module requested, and returns the outcomes to report.
+func (e *Engine) do(f func(now time.Duration)) []outcomeCallback {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
 	f(now)
-	e.settle(now)
-	ended := e.ended
-	e.ended = nil
-	return ended
+	e.runActions(now)
+	pendingOutcomes := e.pendingOutcomes
+	e.pendingOutcomes = nil
+	return pendingOutcomes
 }
 
-// lockedAside is locked for callers of the engine, which may hold locks of their own: outcomes are told by another goroutine.
-func (e *Engine) lockedAside(f func(now time.Duration)) {
-	ended := e.update(f)
-	if len(ended) == 0 {
+// doAndNotifyAsync is like doAndNotify, but reports outcomes on another goroutine. Exported methods use it, because their callers
+// may hold locks that the callbacks need.
+func (e *Engine) doAndNotifyAsync(f func(now time.Duration)) {
+	callbacks := e.do(f)
+	if len(callbacks) == 0 {
 		return
 	}
 	go func() {
-		for _, ending := range ended {
-			ending.done(ending.outcome)
+		for _, callback := range callbacks {
+			callback.done(callback.outcome)
 		}
 	}()
 }
 
-// later puts off an action until the module has returned.
-func (e *Engine) later(a action) { e.actions = append(e.actions, a) }
+// enqueueAction defers an action until the call into the decision module has returned.
+func (e *Engine) enqueueAction(a action) { e.pendingActions = append(e.pendingActions, a) }
 
-// settle carries out actions, with those that follow from them.
-func (e *Engine) settle(now time.Duration) {
-	for i := 0; i < len(e.actions); i++ {
-		a := e.actions[i]
+// runActions executes the pending actions, including those that they cause.
+func (e *Engine) runActions(now time.Duration) {
+	for i := 0; i < len(e.pendingActions); i++ {
+		a := e.pendingActions[i]
 		switch a.kind {
 		case actionAssign:
-			a.route.assign(now, a.delivery, a.worker)
+			a.route.handleAssignment(now, a.deliveryID, a.targetKey)
 		case actionRefuse:
-			a.route.refused(now, a.delivery)
+			a.route.handleRefusal(now, a.deliveryID)
 		}
 	}
-	clear(e.actions)
-	e.actions = e.actions[:0]
+	clear(e.pendingActions)
+	e.pendingActions = e.pendingActions[:0]
 }
 
-// Submit sends a job. The guard is called right before the first byte of each request that is written for it, on the
-// goroutine that writes; if it returns false nothing is written and the outcome is NotRun. As long as nothing may have run, the
-// job may be offered to a few workers. done is called exactly once, on another goroutine and never from within Submit.
+// Submit sends a job. guard is called immediately before the first byte of each request for the job is written, on the goroutine
+// that writes; if it returns false, nothing is written and the outcome is NotRun. While the job can't have run, it may be offered
+// to several workers. done is called exactly once, on another goroutine and never from within Submit.
 func (e *Engine) Submit(job *Job, guard func() bool, done func(Outcome)) {
-	e.lockedAside(func(now time.Duration) {
-		id := e.nextID()
+	e.doAndNotifyAsync(func(now time.Duration) {
+		id := e.nextDeliveryID()
 		d := &delivery{
 			id:       id,
-			sequence: e.sequence,
+			sequence: e.lastSequence,
 			job:      job,
 			guard:    guard,
 			done:     done,
 		}
-		r := e.routeOf(job.Route)
-		if e.closed || r == nil || !wellFormed(job) {
-			e.ended = append(e.ended, ending{done, Outcome{Kind: NotRun, RetryAfter: unplacedPause}})
+		r := e.routeByName(job.Route)
+		if e.closed || r == nil || !isWellFormed(job) {
+			e.pendingOutcomes = append(e.pendingOutcomes, outcomeCallback{done, Outcome{Kind: NotRun, RetryAfter: unplacedRetryDelay}})
 			return
 		}
 		d.route, d.priority = r, r.config.Priority
-		r.lane.submit(now, d)
+		r.service.enqueue(now, d)
 	})
 }
 
-// nextID names a delivery to the decision module.
-func (e *Engine) nextID() string {
-	e.sequence++
-	return strconv.FormatUint(e.sequence, 36)
+// nextDeliveryID returns a new id for a delivery in the decision module.
+func (e *Engine) nextDeliveryID() string {
+	e.lastSequence++
+	return strconv.FormatUint(e.lastSequence, 36)
 }
 
-// routeOf returns the route of that name, with its instance of the module; nil if there is none.
-func (e *Engine) routeOf(name string) *route {
+// routeByName returns the route with this name, and starts its decision module on first use. It returns nil if the route or its
+// service is not configured, or if the module rejects the route's settings.
+func (e *Engine) routeByName(name string) *route {
 	if r := e.routes[name]; r != nil {
 		return r
 	}
-	config, ok := e.configs[name]
-	l := e.lanes[config.Service]
-	if !ok || l == nil {
+	config, ok := e.routeConfigs[name]
+	s := e.services[config.Service]
+	if !ok || s == nil {
 		return nil
 	}
-	r, err := newRoute(e, config, l)
+	r, err := newRoute(e, config, s)
 	if err != nil {
-		e.options.Log.Error(err, "the decision module refuses the route: check its settings", "route", name)
+		e.options.Log.Error(err, "decision module rejected the settings of the route", "route", name)
 		return nil
 	}
 	e.routes[name] = r
 	return r
 }
 
-// finish ends a delivery.
+// finish ends a delivery with its outcome.
 func (e *Engine) finish(d *delivery, outcome Outcome) {
-	e.ended = append(e.ended, ending{d.done, outcome})
+	e.pendingOutcomes = append(e.pendingOutcomes, outcomeCallback{d.done, outcome})
 	if d.route.deliveries[d.id] != d {
-		return // it was never released
+		return // it never left the service's queue
 	}
 	delete(d.route.deliveries, d.id)
-	d.route.lane.left(e.now(), d)
+	d.route.service.deliveryFinished(e.now(), d)
 }
 
-// expect reports a broken invariant: a fault of this package, which it lives on with.
-func (e *Engine) expect(holds bool, invariant string) {
+// checkInvariant logs and counts a violated invariant, which is a bug in this package. The engine continues.
+func (e *Engine) checkInvariant(holds bool, invariant string) {
 	if holds {
 		return
 	}
-	e.broken++
-	e.options.Log.Error(errInvariant, "report this with the log", "invariant", invariant)
+	e.invariantViolations++
+	e.options.Log.Error(errInvariantViolated, "bug in the delivery engine, please report it with this log", "invariant", invariant)
 }
 
-// makeRoom tells whether one more connection may be opened, and closes an idle one if that is needed for it.
-func (e *Engine) makeRoom() bool {
-	if e.open < e.options.MaxSockets {
+// ensureSocketAvailable reports whether one more connection may be opened. At the limit it closes an idle connection of any
+// worker to make room.
+func (e *Engine) ensureSocketAvailable() bool {
+	if e.openConns < e.options.MaxSockets {
 		return true
 	}
 	for _, t := range e.targets {
-		if len(t.idle) > 0 {
-			oldest := t.idle[0]
-			t.closeIdle(func(c *conn) bool { return c == oldest })
+		if len(t.idleConns) > 0 {
+			oldest := t.idleConns[0]
+			t.closeIdleConns(func(c *conn) bool { return c == oldest })
 			return true
 		}
 	}
 	return false
 }
 
-// sweepSoon has idle connections looked at.
-func (e *Engine) sweepSoon() {
-	if e.sweepSet {
+// scheduleIdleSweep starts the timer for the next check of idle connections, unless it is already running.
+func (e *Engine) scheduleIdleSweep() {
+	if e.sweepScheduled {
 		return
 	}
-	e.sweepSet = true
-	time.AfterFunc(sweepEvery, e.sweep)
+	e.sweepScheduled = true
+	time.AfterFunc(idleSweepInterval, e.sweepIdle)
 }
 
-// sweep closes connections before their workers do.
-func (e *Engine) sweep() {
-	e.locked(func(now time.Duration) {
-		e.sweepSet = false
+// sweepIdle closes connections whose idle time is over, so that this side closes them before the workers do.
+func (e *Engine) sweepIdle() {
+	e.doAndNotify(func(now time.Duration) {
+		e.sweepScheduled = false
 		idle := 0
 		for _, t := range e.targets {
-			t.closeIdle(func(c *conn) bool { return now >= c.closeAt })
-			idle += len(t.idle)
+			t.closeIdleConns(func(c *conn) bool { return now >= c.idleDeadline })
+			idle += len(t.idleConns)
 		}
 		if idle > 0 {
-			e.sweepSoon()
+			e.scheduleIdleSweep()
 		}
 	})
 }
 
-// Close ends the engine. Jobs that wait end as not run; the connections of those with a worker are closed, and they end as
-// unknown.
+// Close ends the engine. Queued jobs end as NotRun. Connections in use are closed, and the outcome of their jobs is Unknown if
+// the request had been written.
 func (e *Engine) Close() {
-	e.lockedAside(func(time.Duration) {
+	e.doAndNotifyAsync(func(time.Duration) {
 		if e.closed {
 			return
 		}
 		e.closed = true
 		for _, r := range e.routes {
-			r.drop()
+			r.remove()
 		}
 		for a := range e.attempts {
 			if a.conn != nil {
@@ -271,9 +277,9 @@
 			}
 		}
 		for _, t := range e.targets {
-			t.closeIdle(always)
+			t.closeIdleConns(anyConn)
 		}
-		clear(e.configs)
+		clear(e.routeConfigs)
 		clear(e.routes)
 	})
 }
--- a/internal/delivery/engine_test.go
+++ b/internal/delivery/engine_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestGuardForbids(t *testing.T) {
-	worker := startStandIn(t, succeed)
+	worker := startFakeWorker(t, succeed)
 	e := startEngine(t, testConfig(), worker)
 	outcomes := make(chan Outcome, 2)
 	e.Submit(newJob(), func() bool { return false }, func(o Outcome) { outcomes <- o })
@@ -27,7 +27,7 @@
 }
 
 func TestConnectionsAreKept(t *testing.T) {
-	worker := startStandIn(t, succeed)
+	worker := startFakeWorker(t, succeed)
 	e := startEngine(t, testConfig(), worker)
 	for range 20 {
 		must.Eq(t, Succeeded, await(t, submit(e, newJob())).Kind)
@@ -37,16 +37,16 @@
 
 func TestKeepAliveTime(t *testing.T) {
 	const otherwise = 3 * time.Second
-	must.Eq(t, 4*time.Second, keepTime("timeout=5, max=100", otherwise))
-	must.Eq(t, 400*time.Millisecond, keepTime("max=2,timeout=0.5", otherwise))
+	must.Eq(t, 4*time.Second, keepAliveTimeout("timeout=5, max=100", otherwise))
+	must.Eq(t, 400*time.Millisecond, keepAliveTimeout("max=2,timeout=0.5", otherwise))
 	for _, field := range []string{"", "max=5", "timeout=x", "timeout=-1", "timeout=1e30", "timeout=NaN"} {
-		must.Eq(t, otherwise, keepTime(field, otherwise))
+		must.Eq(t, otherwise, keepAliveTimeout(field, otherwise))
 	}
 }
 
 func TestConnectionClosedWhileIdle(t *testing.T) {
 	closed := make(chan struct{}, 1)
-	worker := startStandIn(t, func(c net.Conn, r *http.Request) {
+	worker := startFakeWorker(t, func(c net.Conn, r *http.Request) {
 		succeed(c, r)
 		_ = c.Close()
 		closed <- struct{}{}
@@ -62,8 +62,8 @@
 // A second answer never counts for the next request, whether it comes before that is sent or after.
 func TestDoubledAnswer(t *testing.T) {
 	t.Run("at once", func(t *testing.T) {
-		worker := startStandIn(t, func(c net.Conn, r *http.Request) {
-			text := answerText(r.Header.Get(headerRequestID), 200, headerStamp+": "+r.Header.Get(headerRequestID))
+		worker := startFakeWorker(t, func(c net.Conn, r *http.Request) {
+			text := responseText(r.Header.Get(headerRequestID), 200, headerStamp+": "+r.Header.Get(headerRequestID))
 			_, _ = c.Write([]byte(text + text))
 		})
 		e := startEngine(t, testConfig(), worker)
@@ -74,12 +74,12 @@
 	})
 	t.Run("with the next request", func(t *testing.T) {
 		var before atomic.Value
-		worker := startStandIn(t, func(c net.Conn, r *http.Request) {
+		worker := startFakeWorker(t, func(c net.Conn, r *http.Request) {
 			id := r.Header.Get(headerRequestID)
 			if previous, ok := before.Swap(id).(string); ok {
-				sayAs(c, previous, 200, headerStamp+": "+previous)
+				writeResponseFor(c, previous, 200, headerStamp+": "+previous)
 			}
-			say(c, r, 200, headerStamp+": "+id)
+			writeResponse(c, r, 200, headerStamp+": "+id)
 		})
 		e := startEngine(t, testConfig(), worker)
 		first, second := newJob(), newJob()
@@ -92,7 +92,7 @@
 
 // A message that failed goes out on another connection than before, where no late second answer can meet it.
 func TestRepeatAvoidsConnectionOfFailure(t *testing.T) {
-	worker := startStandIn(t, func(c net.Conn, r *http.Request) { say(c, r, 500) })
+	worker := startFakeWorker(t, func(c net.Conn, r *http.Request) { writeResponse(c, r, 500) })
 	e := startEngine(t, testConfig(), worker)
 	job := newJob()
 	must.Eq(t, FailedAttempt, await(t, submit(e, job)).Kind)
@@ -104,21 +104,21 @@
 
 func TestOtherWorkerWhereNothingRan(t *testing.T) {
 	turnAway := map[string]func(net.Conn, *http.Request){
-		"full":           func(c net.Conn, r *http.Request) { say(c, r, 503, "X-Not-Executed: 1") },
-		"another worker": func(c net.Conn, r *http.Request) { say(c, r, 421) },
+		"full":           func(c net.Conn, r *http.Request) { writeResponse(c, r, 503, "X-Not-Executed: 1") },
+		"another worker": func(c net.Conn, r *http.Request) { writeResponse(c, r, 421) },
 	}
 	for name, behave := range turnAway {
 		t.Run(name, func(t *testing.T) {
-			e := startEngine(t, testConfig(), startStandIn(t, behave), startStandIn(t, succeed))
+			e := startEngine(t, testConfig(), startFakeWorker(t, behave), startFakeWorker(t, succeed))
 			for range 20 {
 				must.Eq(t, Succeeded, await(t, submit(e, newJob())).Kind)
 			}
 		})
 	}
 	t.Run("down", func(t *testing.T) {
-		gone := startStandIn(t, succeed)
+		gone := startFakeWorker(t, succeed)
 		gone.close()
-		e := startEngine(t, testConfig(), gone, startStandIn(t, succeed))
+		e := startEngine(t, testConfig(), gone, startFakeWorker(t, succeed))
 		for range 20 {
 			must.Eq(t, Succeeded, await(t, submit(e, newJob())).Kind)
 		}
@@ -126,26 +126,26 @@
 }
 
 func TestMisdirectedBarredUntilNextList(t *testing.T) {
-	worker := startStandIn(t, func(c net.Conn, r *http.Request) { say(c, r, 421) })
+	worker := startFakeWorker(t, func(c net.Conn, r *http.Request) { writeResponse(c, r, 421) })
 	e := startEngine(t, testConfig(), worker)
 	for range 3 {
 		must.Eq(t, NotRun, await(t, submit(e, newJob())).Kind)
 	}
 	must.Eq(t, 1, worker.requests.Load())
-	e.SetWorkers(listOf(worker))
+	e.SetWorkers(workerList(worker))
 	must.Eq(t, NotRun, await(t, submit(e, newJob())).Kind)
 	must.Eq(t, 2, worker.requests.Load())
 }
 
 // Nothing is sent to a worker after a list that has it draining, or no longer has it.
 func TestDrainStopsAtOnce(t *testing.T) {
-	leaving, staying := startStandIn(t, succeed), startStandIn(t, succeed)
+	leaving, staying := startFakeWorker(t, succeed), startFakeWorker(t, succeed)
 	e := startEngine(t, testConfig(), leaving, staying)
 	var outcomes []<-chan Outcome
 	for range 50 {
 		outcomes = append(outcomes, submit(e, newJob()))
 	}
-	list := listOf(leaving, staying)
+	list := workerList(leaving, staying)
 	list[0].Draining = true
 	e.SetWorkers(list)
 	for _, o := range outcomes {
@@ -162,11 +162,11 @@
 
 // A worker that begins to drain while a connection to it is being opened, or right before the write, gets nothing.
 func TestDrainBeforeWrite(t *testing.T) {
-	worker := startStandIn(t, succeed)
+	worker := startFakeWorker(t, succeed)
 	e := startEngine(t, testConfig(), worker)
 	a := &attempt{target: e.targets["i-0"], delivery: &delivery{route: &route{}}}
 	must.True(t, e.maySend(a))
-	list := listOf(worker)
+	list := workerList(worker)
 	list[0].Draining = true
 	e.SetWorkers(list)
 	must.False(t, e.maySend(a))
@@ -175,13 +175,13 @@
 func TestRouteWithoutWorkers(t *testing.T) {
 	e := startEngine(t, testConfig())
 	must.Eq(t, NotRun, await(t, submit(e, newJob())).Kind)
-	worker := startStandIn(t, succeed)
-	e.SetWorkers(listOf(worker))
+	worker := startFakeWorker(t, succeed)
+	e.SetWorkers(workerList(worker))
 	must.Eq(t, Succeeded, await(t, submit(e, newJob())).Kind)
 }
 
 func TestConfigurationMovesRoute(t *testing.T) {
-	worker, moved := startStandIn(t, succeed), startStandIn(t, succeed)
+	worker, moved := startFakeWorker(t, succeed), startFakeWorker(t, succeed)
 	e := startEngine(t, testConfig(), worker)
 	must.Eq(t, Succeeded, await(t, submit(e, newJob())).Kind)
 
@@ -189,7 +189,7 @@
 	config.Version = 2
 	config.Services = append(config.Services, catalog.Service{Name: "s-2", MaxConns: 10})
 	config.Routes[0].Service = "s-2"
-	list := listOf(worker, moved)
+	list := workerList(worker, moved)
 	list[1].Service = "s-2"
 	e.SetWorkers(list)
 	e.SetCatalog(config.Version, config)
@@ -202,13 +202,13 @@
 	must.Eq(t, NotRun, await(t, submit(e, newJob())).Kind)
 	must.MapEmpty(t, e.routes)
 	must.MapEmpty(t, e.targets)
-	must.Eq(t, 0, e.open)
+	must.Eq(t, 0, e.openConns)
 }
 
 func TestConnectionLimit(t *testing.T) {
 	var now, most atomic.Int64
 	release := make(chan struct{})
-	worker := startStandIn(t, func(c net.Conn, r *http.Request) {
+	worker := startFakeWorker(t, func(c net.Conn, r *http.Request) {
 		if n := now.Add(1); n > most.Load() {
 			most.Store(n)
 		}
@@ -239,7 +239,7 @@
 
 func TestCloseEndsAll(t *testing.T) {
 	arrived := make(chan struct{}, 1)
-	worker := startStandIn(t, func(net.Conn, *http.Request) { arrived <- struct{}{} })
+	worker := startFakeWorker(t, func(net.Conn, *http.Request) { arrived <- struct{}{} })
 	config := testConfig()
 	config.Routes[0].TimeoutMs = 60000
 	e := startEngine(t, config, worker)
@@ -262,20 +262,20 @@
 		misdirected := random.IntN(100) == 0
 		mu.Unlock()
 		if misdirected {
-			say(c, r, 421)
+			writeResponse(c, r, 421)
 			return
 		}
 		switch pick {
 		case 0:
-			say(c, r, 500)
+			writeResponse(c, r, 500)
 		case 1:
-			say(c, r, 422)
+			writeResponse(c, r, 422)
 		case 2, 3, 4:
-			say(c, r, 503, "X-Not-Executed: 1")
+			writeResponse(c, r, 503, "X-Not-Executed: 1")
 		case 5:
-			reset(c)
+			resetConn(c)
 		case 6:
-			cut(c, answerText(r.Header.Get(headerRequestID), 200, headerStamp+": s"))
+			writeTruncated(c, responseText(r.Header.Get(headerRequestID), 200, headerStamp+": s"))
 		case 7:
 			succeed(c, r)
 			_ = c.Close()
@@ -283,9 +283,9 @@
 			succeed(c, r)
 		}
 	}
-	var workers []*standIn
+	var workers []*fakeWorker
 	for range 6 {
-		workers = append(workers, startStandIn(t, behave))
+		workers = append(workers, startFakeWorker(t, behave))
 	}
 	e := startEngine(t, testConfig(), workers...)
 	const jobs = 2000
@@ -303,7 +303,7 @@
 			wait.Done()
 		})
 		if i%100 == 99 {
-			list := listOf(workers...)
+			list := workerList(workers...)
 			list[i/100%len(list)].Draining = true
 			e.SetWorkers(list)
 			config := testConfig()
@@ -319,14 +319,14 @@
 	}
 	must.Greater(t, jobs/4, kinds[Succeeded].Load())
 	e.Close()
-	e.locked(func(time.Duration) {
-		must.Eq(t, 0, e.open)
+	e.doAndNotify(func(time.Duration) {
+		must.Eq(t, 0, e.openConns)
 		must.MapEmpty(t, e.attempts)
-		for _, l := range e.lanes {
-			must.Eq(t, 0, l.inFlight)
-			must.Eq(t, 0, l.queue.len())
+		for _, s := range e.services {
+			must.Eq(t, 0, s.inFlight)
+			must.Eq(t, 0, s.queue.len())
 		}
-		must.Eq(t, 0, e.broken)
+		must.Eq(t, 0, e.invariantViolations)
 	})
 }
 
@@ -343,7 +343,7 @@
 			<-answered
 		}
 	}
-	first, second := startStandIn(t, after(fast)), startStandIn(t, after(slow))
+	first, second := startFakeWorker(t, after(fast)), startFakeWorker(t, after(slow))
 	e := startEngine(t, testConfig(), first, second)
 	slots := make(chan struct{}, inFlight)
 	for range jobs {
--- a/internal/delivery/standin_test.go
+++ b/internal/delivery/fake_worker_test.go
@@ -23,11 +23,11 @@
 	testRoute   = "r-1"
 	testService = "s-1"
 	testStamp   = "stamp.1"
-	patience    = 10 * time.Second // for what must happen; no test waits for it in vain
+	testTimeout = 10 * time.Second // for what must happen; no test waits for it in vain
 )
 
-// standIn is a worker: it reads requests and has its behave function write to the connection.
-type standIn struct {
+// fakeWorker is a worker: it reads requests and has its behave function write to the connection.
+type fakeWorker struct {
 	listener    net.Listener
 	behave      func(conn net.Conn, request *http.Request)
 	connections atomic.Int64
@@ -37,20 +37,20 @@
 	conns []net.Conn
 }
 
-// startStandIn starts a worker that ends with the test.
-func startStandIn(t testing.TB, behave func(net.Conn, *http.Request)) *standIn {
+// startFakeWorker starts a worker that ends with the test.
+func startFakeWorker(t testing.TB, behave func(net.Conn, *http.Request)) *fakeWorker {
 	t.Helper()
 	listener, err := loopback.Listen()
 	must.NoError(t, err)
-	s := &standIn{listener: listener, behave: behave}
+	s := &fakeWorker{listener: listener, behave: behave}
 	go s.serve()
 	t.Cleanup(s.close)
 	return s
 }
 
-func (s *standIn) address() string { return s.listener.Addr().String() }
+func (s *fakeWorker) address() string { return s.listener.Addr().String() }
 
-func (s *standIn) serve() {
+func (s *fakeWorker) serve() {
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (s *standIn) handle(conn net.Conn) {
+func (s *fakeWorker) handle(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	for {
 		request, err := http.ReadRequest(reader)
@@ -83,7 +83,7 @@
 	}
 }
 
-func (s *standIn) close() {
+func (s *fakeWorker) close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,16 +93,16 @@
 }
 
 // say writes an answer that repeats the request's id.
-func say(conn net.Conn, request *http.Request, status int, fields ...string) {
-	sayAs(conn, request.Header.Get(headerRequestID), status, fields...)
+func writeResponse(conn net.Conn, request *http.Request, status int, fields ...string) {
+	writeResponseFor(conn, request.Header.Get(headerRequestID), status, fields...)
 }
 
 // sayAs writes an answer to the request of that id.
-func sayAs(conn net.Conn, id string, status int, fields ...string) {
-	_, _ = io.WriteString(conn, answerText(id, status, fields...))
+func writeResponseFor(conn net.Conn, id string, status int, fields ...string) {
+	_, _ = io.WriteString(conn, responseText(id, status, fields...))
 }
 
-func answerText(id string, status int, fields ...string) string {
+func responseText(id string, status int, fields ...string) string {
 	head := fmt.Sprintf("HTTP/1.1 %d X\r\nX-Request-Id: %s\r\nContent-Length: 4\r\n", status, id)
 	for _, field := range fields {
 		head += field + "\r\n"
@@ -111,10 +111,10 @@
 }
 
 func succeed(conn net.Conn, request *http.Request) {
-	say(conn, request, 200, headerStamp+": "+testStamp)
+	writeResponse(conn, request, 200, headerStamp+": "+testStamp)
 }
 
-func reset(conn net.Conn) {
+func resetConn(conn net.Conn) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	_ = conn.Close()
 }
@@ -127,7 +127,7 @@
 	}
 }
 
-func listOf(workers ...*standIn) []*rpc.Worker {
+func workerList(workers ...*fakeWorker) []*rpc.Worker {
 	list := make([]*rpc.Worker, 0, len(workers))
 	for i, w := range workers {
 		list = append(list, &rpc.Worker{Id: fmt.Sprintf("i-%d", i), Service: testService, Address: w.address(), Zone: "a", Capacity: 4})
@@ -135,11 +135,11 @@
 	return list
 }
 
-func startEngine(t testing.TB, config *catalog.Config, workers ...*standIn) *Engine {
+func startEngine(t testing.TB, config *catalog.Config, workers ...*fakeWorker) *Engine {
 	t.Helper()
 	e := New(Options{Zone: "a"})
 	e.SetCatalog(config.Version, config)
-	e.SetWorkers(listOf(workers...))
+	e.SetWorkers(workerList(workers...))
 	t.Cleanup(e.Close)
 	return e
 }
@@ -166,7 +166,7 @@
 	select {
 	case o := <-outcomes:
 		return o
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		must.Unreachable(t, must.Sprint("no outcome"))
 		return Outcome{}
 	}
--- a/internal/delivery/job.go
+++ b/internal/delivery/job.go
@@ -1,36 +1,36 @@
-// Package delivery sends due messages to the workers of their services and tells what became of each attempt. It hosts
-// one instance of the decision module (package choice) per route, keeps the connections to workers, spends the rates of
-// services that have one, and speaks HTTP/1.1. It keeps no message: whoever submits a job owns it before and after.
+// Package delivery sends due messages to the workers of their services and reports the outcome of each attempt. It runs one
+// instance of the decision module (package choice) per route, pools connections to workers, enforces the rate limits of services,
+// and speaks HTTP/1.1. It stores no messages: the caller that submits a job remains responsible for it.
 package delivery
 
 import "time"
 
-// Job is one message that is due. It must not be changed until its outcome is told.
+// Job is one attempt to run a message that is due. It must not be changed until its outcome has been reported.
 type Job struct {
 	Name        string // of the message, for logs
-	Route       string // name of the route; its priority, timeout and service are taken from the configuration
+	Route       string // route name; priority, timeout and service come from the configuration
 	Method      string
-	Path        string // request target as it arrived, with the query
+	Path        string // request target as received from the client, with the query
 	Host        string
-	RequestID   string
-	OrderKey    string // empty for none
-	ContentType string // empty for none
+	RequestID   string // value of X-Request-Id
+	OrderKey    string // empty if the message has no order key
+	ContentType string // empty if unknown
 	Body        []byte
 }
 
 // OutcomeKind says what an attempt proves about its message.
 type OutcomeKind int
 
-// The kinds of outcomes. Unknown is the zero value: what proves nothing else may have run.
+// The kinds of outcomes. Unknown is the zero value: the message may have run unless something else is proven.
 const (
 	Unknown       OutcomeKind = iota // the message may have run, or may still be running
-	Succeeded                        // a worker answered with success and its stamp
-	FailedAttempt                    // a worker answered 500: this attempt failed, and counts
-	Rejected                         // a worker answered 422: the message can never be done
-	NotRun                           // no worker has started on the message in this attempt
+	Succeeded                        // a worker responded with success and a response stamp
+	FailedAttempt                    // a worker responded 500: the attempt failed and counts towards the retry limit
+	Rejected                         // a worker responded 422: the message can never succeed
+	NotRun                           // no worker started the message in this attempt
 )
 
-// String names the kind for logs.
+// String returns the name of the kind for logs.
 func (k OutcomeKind) String() string {
 	switch k {
 	case Succeeded:
@@ -46,9 +46,9 @@
 	}
 }
 
-// Outcome is what became of a submitted job.
+// Outcome is the result of a submitted job.
 type Outcome struct {
 	Kind       OutcomeKind
-	Stamp      string        // X-Response-Stamp of a success
-	RetryAfter time.Duration // with NotRun: the pause that is asked for before the job is submitted again
+	Stamp      string        // X-Response-Stamp header of a success
+	RetryAfter time.Duration // with NotRun: the delay before the job should be submitted again
 }
--- a/internal/delivery/outcome_test.go
+++ b/internal/delivery/outcome_test.go
@@ -23,22 +23,24 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 102 Processing\r\n\r\n")
 			succeed(c, r)
 		}, Succeeded},
-		"repeat of a success":  {func(c net.Conn, r *http.Request) { say(c, r, 200, "X-Response-Stamp: s", "X-Not-Executed: 1") }, Succeeded},
-		"no stamp":             {func(c net.Conn, r *http.Request) { say(c, r, 200) }, Unknown},
-		"failed":               {func(c net.Conn, r *http.Request) { say(c, r, 500) }, FailedAttempt},
-		"failed, not executed": {func(c net.Conn, r *http.Request) { say(c, r, 500, "X-Not-Executed: 1") }, NotRun},
-		"rejected":             {func(c net.Conn, r *http.Request) { say(c, r, 422) }, Rejected},
-		"full":                 {func(c net.Conn, r *http.Request) { say(c, r, 503, "X-Not-Executed: 1") }, NotRun},
-		"503 without proof":    {func(c net.Conn, r *http.Request) { say(c, r, 503) }, Unknown},
-		"over the rate":        {func(c net.Conn, r *http.Request) { say(c, r, 429, "X-Not-Executed: 1") }, NotRun},
-		"another worker":       {func(c net.Conn, r *http.Request) { say(c, r, 421) }, NotRun},
-		"first is running":     {func(c net.Conn, r *http.Request) { say(c, r, 409, "X-Not-Executed: 1") }, NotRun},
-		"deadline":             {func(c net.Conn, r *http.Request) { say(c, r, 504) }, Unknown},
-		"reset":                {func(c net.Conn, _ *http.Request) { reset(c) }, Unknown},
+		"repeat of a success": {func(c net.Conn, r *http.Request) {
+			writeResponse(c, r, 200, "X-Response-Stamp: s", "X-Not-Executed: 1")
+		}, Succeeded},
+		"no stamp":             {func(c net.Conn, r *http.Request) { writeResponse(c, r, 200) }, Unknown},
+		"failed":               {func(c net.Conn, r *http.Request) { writeResponse(c, r, 500) }, FailedAttempt},
+		"failed, not executed": {func(c net.Conn, r *http.Request) { writeResponse(c, r, 500, "X-Not-Executed: 1") }, NotRun},
+		"rejected":             {func(c net.Conn, r *http.Request) { writeResponse(c, r, 422) }, Rejected},
+		"full":                 {func(c net.Conn, r *http.Request) { writeResponse(c, r, 503, "X-Not-Executed: 1") }, NotRun},
+		"503 without proof":    {func(c net.Conn, r *http.Request) { writeResponse(c, r, 503) }, Unknown},
+		"over the rate":        {func(c net.Conn, r *http.Request) { writeResponse(c, r, 429, "X-Not-Executed: 1") }, NotRun},
+		"another worker":       {func(c net.Conn, r *http.Request) { writeResponse(c, r, 421) }, NotRun},
+		"first is running":     {func(c net.Conn, r *http.Request) { writeResponse(c, r, 409, "X-Not-Executed: 1") }, NotRun},
+		"deadline":             {func(c net.Conn, r *http.Request) { writeResponse(c, r, 504) }, Unknown},
+		"reset":                {func(c net.Conn, _ *http.Request) { resetConn(c) }, Unknown},
 		"closed":               {func(c net.Conn, _ *http.Request) { _ = c.Close() }, Unknown},
 		"silent":               {func(net.Conn, *http.Request) {}, Unknown},
 		"garbled":              {func(c net.Conn, _ *http.Request) { _, _ = io.WriteString(c, "\x00\x01garbage\r\n\r\n"); _ = c.Close() }, Unknown},
-		"another request's":    {func(c net.Conn, _ *http.Request) { sayAs(c, "foreign", 200, "X-Response-Stamp: s") }, Unknown},
+		"another request's":    {func(c net.Conn, _ *http.Request) { writeResponseFor(c, "foreign", 200, "X-Response-Stamp: s") }, Unknown},
 		"without end": {func(c net.Conn, _ *http.Request) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Response-Stamp: s\r\n\r\nbody")
 			_ = c.Close()
@@ -47,16 +49,16 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Response-Stamp: s\r\nContent-Length: 9999999\r\n\r\n")
 		}, Unknown},
 		"cut body": {func(c net.Conn, r *http.Request) {
-			cut(c, answerText(r.Header.Get(headerRequestID), 200, "X-Response-Stamp: s"))
+			writeTruncated(c, responseText(r.Header.Get(headerRequestID), 200, "X-Response-Stamp: s"))
 		}, Unknown},
-		"cut failure": {func(c net.Conn, r *http.Request) { cut(c, answerText(r.Header.Get(headerRequestID), 500)) }, Unknown},
+		"cut failure": {func(c net.Conn, r *http.Request) { writeTruncated(c, responseText(r.Header.Get(headerRequestID), 500)) }, Unknown},
 		"cut word of not running": {func(c net.Conn, r *http.Request) {
-			cut(c, answerText(r.Header.Get(headerRequestID), 503, "X-Not-Executed: 1"))
+			writeTruncated(c, responseText(r.Header.Get(headerRequestID), 503, "X-Not-Executed: 1"))
 		}, Unknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			worker := startStandIn(t, c.behave)
+			worker := startFakeWorker(t, c.behave)
 			e := startEngine(t, testConfig(), worker)
 			got := await(t, submit(e, newJob()))
 			must.Eq(t, c.want, got.Kind)
@@ -70,14 +72,14 @@
 }
 
 // cut writes all of an answer but its last byte.
-func cut(conn net.Conn, answer string) {
+func writeTruncated(conn net.Conn, answer string) {
 	_, _ = io.WriteString(conn, answer[:len(answer)-1])
 	_ = conn.Close()
 }
 
 func TestRequestAsItArrived(t *testing.T) {
 	requests := make(chan *http.Request, 1)
-	worker := startStandIn(t, func(c net.Conn, r *http.Request) {
+	worker := startFakeWorker(t, func(c net.Conn, r *http.Request) {
 		requests <- r
 		succeed(c, r)
 	})
@@ -100,7 +102,7 @@
 }
 
 func TestNothingSmuggled(t *testing.T) {
-	worker := startStandIn(t, succeed)
+	worker := startFakeWorker(t, succeed)
 	e := startEngine(t, testConfig(), worker)
 	job := newJob()
 	job.OrderKey = "a\r\nContent-Length: 0\r\n\r\nPOST /other HTTP/1.1"
--- a/internal/delivery/queue.go
+++ b/internal/delivery/queue.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// jobQueue holds deliveries that wait, by priority and then in the order of their submission.
-type jobQueue struct{ items deliveryHeap }
+// deliveryQueue holds the waiting deliveries of a service, by priority and then in order of submission.
+type deliveryQueue struct{ items deliveryHeap }
 
-func (q *jobQueue) len() int { return len(q.items) }
+func (q *deliveryQueue) len() int { return len(q.items) }
 
-func (q *jobQueue) push(d *delivery) { heap.Push(&q.items, d) }
+func (q *deliveryQueue) push(d *delivery) { heap.Push(&q.items, d) }
 
-func (q *jobQueue) pop() *delivery { return heap.Pop(&q.items).(*delivery) }
+func (q *deliveryQueue) pop() *delivery { return heap.Pop(&q.items).(*delivery) }
 
-// last returns the delivery that would be popped last; the queue must not be empty.
-func (q *jobQueue) last() *delivery {
+// last returns the delivery that would be popped last. The queue must not be empty.
+func (q *deliveryQueue) last() *delivery {
 	last := q.items[0]
 	for _, d := range q.items {
-		if last.before(d) {
+		if last.precedes(d) {
 			last = d
 		}
 	}
 	return last
 }
 
-// remove takes out the deliveries that match and returns them.
-func (q *jobQueue) remove(match func(*delivery) bool) []*delivery {
+// remove removes and returns the deliveries that match.
+func (q *deliveryQueue) remove(match func(*delivery) bool) []*delivery {
 	var removed []*delivery
 	kept := q.items[:0]
 	for _, d := range q.items {
@@ -42,24 +42,24 @@
 	return removed
 }
 
-// delivery is a submitted job until its outcome is told.
+// delivery is a submitted job whose outcome has not been reported yet.
 type delivery struct {
-	id        string // names it to the decision module
-	sequence  uint64 // order of submission
-	priority  int    // 0 is the highest
-	job       *Job
-	guard     func() bool
-	done      func(Outcome)
-	route     *route
-	queuedAt  time.Duration
-	attempts  int  // workers assigned so far
-	withdrawn int  // workers that were withdrawn before the request was written
-	sending   bool // an attempt is under way
-	probe     bool // the only one let through to an endpoint that is failing
+	id          string // in the decision module
+	sequence    uint64 // order of submission
+	priority    int    // 0 is the highest
+	job         *Job
+	guard       func() bool // permits each write of the request, see Engine.Submit
+	done        func(Outcome)
+	route       *route
+	queuedAt    time.Duration
+	attempts    int  // workers assigned under the current id
+	withdrawals int  // attempts that ended because their worker was withdrawn before the request was written
+	inProgress  bool // an attempt is in progress
+	isProbe     bool // the only delivery admitted to an endpoint that is failing
 }
 
-// before tells whether d is released before other.
-func (d *delivery) before(other *delivery) bool {
+// precedes reports whether d is released before other.
+func (d *delivery) precedes(other *delivery) bool {
 	if d.priority != other.priority {
 		return d.priority < other.priority
 	}
@@ -69,7 +69,7 @@
 type deliveryHeap []*delivery
 
 func (h deliveryHeap) Len() int           { return len(h) }
-func (h deliveryHeap) Less(i, j int) bool { return h[i].before(h[j]) }
+func (h deliveryHeap) Less(i, j int) bool { return h[i].precedes(h[j]) }
 func (h deliveryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
--- a/internal/delivery/queue_test.go
+++ b/internal/delivery/queue_test.go
@@ -9,7 +9,7 @@
 
 func TestQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var queue jobQueue
+		var queue deliveryQueue
 		priorities := rapid.SliceOfN(rapid.IntRange(0, 3), 1, 50).Draw(t, "priorities")
 		for i, priority := range priorities {
 			queue.push(&delivery{sequence: uint64(i), priority: priority})
@@ -20,7 +20,7 @@
 		var before *delivery
 		for queue.len() > 0 {
 			d := queue.pop()
-			must.True(t, before == nil || before.before(d))
+			must.True(t, before == nil || before.precedes(d))
 			before = d
 		}
 		must.True(t, before == last)
--- a/internal/delivery/request.go
+++ b/internal/delivery/request.go
@@ -6,25 +6,26 @@
 	"time"
 )
 
-const largestPooled = 64 << 10 // bytes of a request whose buffer is used again
+const maxPooledBufferBytes = 64 << 10 // larger request buffers are left to the garbage collector
 
-// requestBuffers are buffers that whole requests are written into, so that each goes out in one write.
-var requestBuffers = sync.Pool{New: func() any { return new([]byte) }}
+// requestBufferPool holds buffers for whole requests, so that each request goes out in one write.
+var requestBufferPool = sync.Pool{New: func() any { return new([]byte) }}
 
 func releaseBuffer(buffer *[]byte) {
-	if cap(*buffer) <= largestPooled {
-		requestBuffers.Put(buffer)
+	if cap(*buffer) <= maxPooledBufferBytes {
+		requestBufferPool.Put(buffer)
 	}
 }
 
-// wellFormed tells whether no part of the job would break out of its place in the request.
-func wellFormed(job *Job) bool {
-	return isToken(job.Method) && isToken(job.Path) && isToken(job.Host) &&
+// isWellFormed reports whether every field of the job fits its place in the request, so that no field can inject headers or a
+// second request.
+func isWellFormed(job *Job) bool {
+	return isVisibleText(job.Method) && isVisibleText(job.Path) && isVisibleText(job.Host) &&
 		isFieldValue(job.RequestID) && isFieldValue(job.OrderKey) && isFieldValue(job.ContentType)
 }
 
-// isToken tells whether s is not empty and has neither spaces nor control characters.
-func isToken(s string) bool {
+// isVisibleText reports whether s is non-empty and contains neither spaces nor control characters.
+func isVisibleText(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] == 0x7f {
 			return false
@@ -33,7 +34,7 @@
 	return s != ""
 }
 
-// isFieldValue tells whether s has no control characters except tabs.
+// isFieldValue reports whether s contains no control characters other than tabs.
 func isFieldValue(s string) bool {
 	for i := range len(s) {
 		if s[i] < ' ' && s[i] != '\t' || s[i] == 0x7f {
@@ -43,7 +44,7 @@
 	return true
 }
 
-// appendRequest appends the whole request that delivers a job; workerID is empty for a static endpoint.
+// appendRequest appends the whole request for a job. workerID is empty for a static endpoint.
 func appendRequest(b []byte, job *Job, timeout time.Duration, workerID string) []byte {
 	b = append(b, job.Method...)
 	b = append(b, ' ')
@@ -54,13 +55,13 @@
 	b = appendField(b, headerOrderKey, job.OrderKey)
 	b = appendField(b, headerExpectInstance, workerID)
 	b = appendField(b, headerContentType, job.ContentType)
-	b = appendNumber(b, headerDeadline, timeout.Milliseconds())
-	b = appendNumber(b, headerContentLength, int64(len(job.Body)))
+	b = appendNumberField(b, headerDeadline, timeout.Milliseconds())
+	b = appendNumberField(b, headerContentLength, int64(len(job.Body)))
 	b = append(b, "\r\n"...)
 	return append(b, job.Body...)
 }
 
-// appendField appends a header field, or nothing where it has no value.
+// appendField appends a header field, or nothing if value is empty.
 func appendField(b []byte, name, value string) []byte {
 	if value == "" {
 		return b
@@ -71,7 +72,7 @@
 	return append(b, "\r\n"...)
 }
 
-func appendNumber(b []byte, name string, value int64) []byte {
+func appendNumberField(b []byte, name string, value int64) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
 	b = strconv.AppendInt(b, value, 10)
--- a/internal/delivery/endpoint_test.go
+++ b/internal/delivery/static_endpoint_test.go
@@ -27,7 +27,7 @@
 
 func TestEndpointIsNotNamed(t *testing.T) {
 	named := make(chan bool, 1)
-	endpoint := startStandIn(t, func(c net.Conn, r *http.Request) {
+	endpoint := startFakeWorker(t, func(c net.Conn, r *http.Request) {
 		_, ok := r.Header[headerExpectInstance]
 		named <- ok
 		succeed(c, r)
@@ -40,13 +40,13 @@
 // Failures of messages never bar the only endpoint.
 func TestEndpointStaysInUse(t *testing.T) {
 	var number atomic.Int64
-	endpoint := startStandIn(t, func(c net.Conn, r *http.Request) {
+	endpoint := startFakeWorker(t, func(c net.Conn, r *http.Request) {
 		calls := number.Add(1)
 		switch {
 		case calls <= 20:
-			say(c, r, 500)
+			writeResponse(c, r, 500)
 		case calls <= 25:
-			reset(c)
+			resetConn(c)
 		default:
 			succeed(c, r)
 		}
@@ -67,7 +67,7 @@
 	var arrivals []time.Duration
 	var urgent []bool
 	start := time.Now()
-	endpoint := startStandIn(t, func(c net.Conn, r *http.Request) {
+	endpoint := startFakeWorker(t, func(c net.Conn, r *http.Request) {
 		mu.Lock()
 		arrivals = append(arrivals, time.Since(start))
 		urgent = append(urgent, r.Header.Get(headerOrderKey) == "urgent")
@@ -102,31 +102,31 @@
 }
 
 func TestOverRatePause(t *testing.T) {
-	endpoint := startStandIn(t, func(c net.Conn, r *http.Request) { say(c, r, 429, "X-Not-Executed: 1") })
+	endpoint := startFakeWorker(t, func(c net.Conn, r *http.Request) { writeResponse(c, r, 429, "X-Not-Executed: 1") })
 	e := startEngine(t, staticConfig(endpoint.address(), 1000))
 	begin := time.Now()
 	for range 3 {
-		must.Eq(t, Outcome{Kind: NotRun, RetryAfter: overRatePause}, await(t, submit(e, newJob())))
+		must.Eq(t, Outcome{Kind: NotRun, RetryAfter: rateLimitBackoff}, await(t, submit(e, newJob())))
 	}
-	must.GreaterEq(t, 2*overRatePause, time.Since(begin))
+	must.GreaterEq(t, 2*rateLimitBackoff, time.Since(begin))
 	must.Eq(t, 3, endpoint.requests.Load())
 }
 
 // While the endpoint is down it is probed by one job at a time, less and less often, and used fully again from its first answer.
 func TestEndpointDownAndBack(t *testing.T) {
-	endpoint := startStandIn(t, succeed)
+	endpoint := startFakeWorker(t, succeed)
 	address := endpoint.address()
 	endpoint.close()
 	e := startEngine(t, staticConfig(address, 0))
-	must.Eq(t, Outcome{Kind: NotRun, RetryAfter: downPauseFirst}, await(t, submit(e, newJob())))
-	must.Eq(t, Outcome{Kind: NotRun, RetryAfter: 2 * downPauseFirst}, await(t, submit(e, newJob())))
+	must.Eq(t, Outcome{Kind: NotRun, RetryAfter: downBackoffInitial}, await(t, submit(e, newJob())))
+	must.Eq(t, Outcome{Kind: NotRun, RetryAfter: 2 * downBackoffInitial}, await(t, submit(e, newJob())))
 	var waiting []<-chan Outcome
 	for range 30 {
 		waiting = append(waiting, submit(e, newJob()))
 	}
 	listener, err := net.Listen("tcp4", address)
 	must.NoError(t, err)
-	back := &standIn{listener: listener, behave: succeed}
+	back := &fakeWorker{listener: listener, behave: succeed}
 	go back.serve()
 	t.Cleanup(back.close)
 	for _, o := range waiting {
@@ -136,23 +136,23 @@
 }
 
 func TestQueueIsBounded(t *testing.T) {
-	endpoint := startStandIn(t, succeed)
+	endpoint := startFakeWorker(t, succeed)
 	e := startEngine(t, staticConfig(endpoint.address(), 1)) // the first may pass after a second
 	var outcomes []<-chan Outcome
-	for range queueLimit {
+	for range maxQueueLength {
 		outcomes = append(outcomes, submit(e, newJob()))
 	}
 	must.Eq(t, NotRun, await(t, submit(e, newJob())).Kind)
 	job := newJob()
 	job.Route = "urgent" // takes the place of the last of the others
 	urgent := submit(e, job)
-	must.Eq(t, NotRun, await(t, outcomes[queueLimit-1]).Kind)
+	must.Eq(t, NotRun, await(t, outcomes[maxQueueLength-1]).Kind)
 	must.Eq(t, Succeeded, await(t, urgent).Kind)
 	notRun := 0
-	for _, o := range outcomes[:queueLimit-1] {
+	for _, o := range outcomes[:maxQueueLength-1] {
 		if await(t, o).Kind == NotRun { // they waited for too long
 			notRun++
 		}
 	}
-	must.GreaterEq(t, queueLimit-3, notRun)
+	must.GreaterEq(t, maxQueueLength-3, notRun)
 }
--- a/internal/delivery/target.go
+++ b/internal/delivery/target.go
@@ -8,98 +8,99 @@
 )
 
 const (
-	failureMemory = 8.0  // answers of a worker that its part of failed ones is of
-	laneMemory    = 64.0 // answers of a service likewise
-	blameFrom     = 0.3  // part of failed answers from which a worker may be at fault itself
-	blameTimes    = 2.0  // if it is this many times the service's
+	workerFailureWindow  = 8.0  // responses over which a worker's failure rate is averaged
+	serviceFailureWindow = 64.0 // responses over which a service's failure rate is averaged
+	blameMinFailureRate  = 0.3  // a worker's failure rate from which the worker may be at fault
+	blameMinRatio        = 2.0  // if it is also this multiple of the service's failure rate
 )
 
-// target is a worker, or a static endpoint, with the connections to it. It is guarded by the engine's lock.
+// target is a worker or a static endpoint, with the connections to it. It is guarded by the engine's lock.
 type target struct {
-	key     string // how the decision module knows it
-	id      string // for X-Expect-Instance; empty for a static endpoint
-	address string
-	zone    string
-	lane    *lane
-	ready   bool          // may be sent to: listed, not draining, and the worker that it is taken for
-	coldTo  time.Duration // until when it is slow after its start
+	key       string // identifies it in the decision module
+	id        string // value of X-Expect-Instance; empty for a static endpoint
+	address   string
+	zone      string
+	service   *service
+	ready     bool          // may be sent to: listed, not draining, not misdirected
+	coldUntil time.Duration // the worker counts as cold before this time
 
-	misdirected bool // another worker answers at its address, as far as the newest list goes
+	misdirected bool // a response of 421 since the newest worker list: another worker has this address
 
-	idle        []*conn // the one used last is at the end
-	open        int     // connections, with those being opened
-	failedShare float64 // of the last answers that were 500
+	idleConns   []*conn // most recently used last
+	openConns   int     // connections, including those being opened
+	failureRate float64 // moving average of responses with status 500, 0 to 1
 }
 
-// update takes the worker's entry of a new list.
+// update applies the worker's entry in a new list.
 func (t *target) update(w *rpc.Worker) {
 	t.zone = w.Zone
 	t.ready = !w.Draining && !t.misdirected
 }
 
-// take reserves a connection for a job: an idle one, or the right to open one (nil). It tells false when all are in use.
-func (t *target) take(now time.Duration, job *Job) (c *conn, ok bool) {
-	if c = t.takeIdle(now, job); c != nil {
+// reserveConn reserves a connection for a job: an idle one, or a slot to open one (nil). ok is false if all are in use.
+func (t *target) reserveConn(now time.Duration, job *Job) (c *conn, ok bool) {
+	if c = t.popIdleConn(now, job); c != nil {
 		return c, true
 	}
-	if t.open >= t.lane.connectionLimit() {
-		return nil, t.swapIdle()
+	if t.openConns >= t.service.maxConnsPerWorker() {
+		return nil, t.closeOldestIdleConn()
 	}
-	if !t.lane.engine.makeRoom() {
+	if !t.service.engine.ensureSocketAvailable() {
 		return nil, false
 	}
-	t.open++
-	t.lane.engine.open++
+	t.openConns++
+	t.service.engine.openConns++
 	return nil, true
 }
 
-// takeIdle takes the idle connection used last that may carry the job; nil for none.
-func (t *target) takeIdle(now time.Duration, job *Job) *conn {
-	for i := len(t.idle) - 1; i >= 0; i-- {
-		c := t.idle[i]
-		if now >= c.closeAt || c.carriedBefore(job.RequestID) {
+// popIdleConn removes and returns the most recently used idle connection that may carry the job, or nil if there is none.
+func (t *target) popIdleConn(now time.Duration, job *Job) *conn {
+	for i := len(t.idleConns) - 1; i >= 0; i-- {
+		c := t.idleConns[i]
+		if now >= c.idleDeadline || c.hasUnsuccessful(job.RequestID) {
 			continue
 		}
-		t.idle = slices.Delete(t.idle, i, i+1)
+		t.idleConns = slices.Delete(t.idleConns, i, i+1)
 		return c
 	}
 	return nil
 }
 
-// swapIdle closes an idle connection, so that a new one may be opened in its place; false if there is none.
-func (t *target) swapIdle() bool {
-	if len(t.idle) == 0 {
+// closeOldestIdleConn closes the least recently used idle connection, so that its slot can be used for a new one. It returns
+// false if there is none.
+func (t *target) closeOldestIdleConn() bool {
+	if len(t.idleConns) == 0 {
 		return false
 	}
-	t.idle[0].close()
-	t.idle = slices.Delete(t.idle, 0, 1)
+	t.idleConns[0].close()
+	t.idleConns = slices.Delete(t.idleConns, 0, 1)
 	return true
 }
 
-// release gives a reserved connection back: c is kept if it is not nil.
-func (t *target) release(c *conn) {
-	if c == nil || !t.ready || t.lane.engine.closed || t.open > t.lane.connectionLimit() {
+// releaseConn returns a reservation. The connection c is kept idle if it is not nil and may still be used.
+func (t *target) releaseConn(c *conn) {
+	if c == nil || !t.ready || t.service.engine.closed || t.openConns > t.service.maxConnsPerWorker() {
 		if c != nil {
 			c.close()
 		}
-		t.forget()
+		t.releaseConnSlot()
 		return
 	}
-	t.idle = append(t.idle, c)
-	t.lane.engine.sweepSoon()
+	t.idleConns = append(t.idleConns, c)
+	t.service.engine.scheduleIdleSweep()
 }
 
-// forget gives up the place of a connection that was closed or not opened.
-func (t *target) forget() {
-	t.open--
-	t.lane.engine.open--
-	t.lane.engine.expect(t.open >= len(t.idle), "each connection gives up its place once")
+// releaseConnSlot releases the slot of a connection that was closed or never opened.
+func (t *target) releaseConnSlot() {
+	t.openConns--
+	t.service.engine.openConns--
+	t.service.engine.checkInvariant(t.openConns >= len(t.idleConns), "each connection slot is released once")
 }
 
-// closeIdle closes the idle connections that match.
-func (t *target) closeIdle(match func(*conn) bool) {
+// closeIdleConns closes the idle connections that match.
+func (t *target) closeIdleConns(match func(*conn) bool) {
 	closed := 0
-	t.idle = slices.DeleteFunc(t.idle, func(c *conn) bool {
+	t.idleConns = slices.DeleteFunc(t.idleConns, func(c *conn) bool {
 		if !match(c) {
 			return false
 		}
@@ -108,18 +109,18 @@
 		return true
 	})
 	for range closed {
-		t.forget()
+		t.releaseConnSlot()
 	}
 }
 
-// answered enters whether an answer was a failure, and tells whether the worker is to be blamed for it. Messages that fail
-// at every worker say nothing of the one that they were sent to.
+// answered records whether a response was a failure, and reports whether the worker is likely at fault. Messages that fail on
+// every worker do not count against the worker that they were sent to.
 func (t *target) answered(failed bool) (blamed bool) {
-	was := 0.0
+	sample := 0.0
 	if failed {
-		was = 1
+		sample = 1
 	}
-	t.failedShare += (was - t.failedShare) / failureMemory
-	t.lane.failedShare += (was - t.lane.failedShare) / laneMemory
-	return failed && t.failedShare >= blameFrom && t.failedShare >= blameTimes*t.lane.failedShare
+	t.failureRate += (sample - t.failureRate) / workerFailureWindow
+	t.service.failureRate += (sample - t.service.failureRate) / serviceFailureWindow
+	return failed && t.failureRate >= blameMinFailureRate && t.failureRate >= blameMinRatio*t.service.failureRate
 }
--- a/internal/delivery/bucket_test.go
+++ b/internal/delivery/token_bucket_test.go
@@ -13,7 +13,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		highest := rapid.Float64Range(0.5, 500).Draw(t, "rate")
 		now := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "start"))
-		bucket := NewBucket(highest, now)
+		bucket := NewTokenBucket(highest, now)
 		var taken []time.Duration
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(40*time.Millisecond)).Draw(t, "gap"))
@@ -43,7 +43,7 @@
 }
 
 func TestBucketStartsEmpty(t *testing.T) {
-	bucket := NewBucket(10, time.Second)
+	bucket := NewTokenBucket(10, time.Second)
 	ok, wait := bucket.Take(time.Second)
 	must.False(t, ok)
 	ok, _ = bucket.Take(time.Second + wait)
@@ -55,7 +55,7 @@
 // After the pause that it names, a token is there.
 func TestBucketWaitSuffices(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bucket := NewBucket(rapid.Float64Range(0.5, 500).Draw(t, "rate"), 0)
+		bucket := NewTokenBucket(rapid.Float64Range(0.5, 500).Draw(t, "rate"), 0)
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(10*time.Millisecond)).Draw(t, "gap"))
--- a/internal/delivery/workers.go
+++ b/internal/delivery/workers.go
@@ -6,11 +6,11 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// The list of workers, as the engine takes it.
+// Processing of worker lists.
 
-// SetWorkers takes the list of all workers. Nothing new is sent to one that drains or is not listed any more.
+// SetWorkers applies a list of all workers. No further requests are sent to workers that are draining or no longer listed.
 func (e *Engine) SetWorkers(workers []*rpc.Worker) {
-	e.lockedAside(func(now time.Duration) {
+	e.doAndNotifyAsync(func(now time.Duration) {
 		if e.closed {
 			return
 		}
@@ -18,69 +18,70 @@
 		for _, t := range e.targets {
 			t.misdirected = false
 		}
-		e.setWorkers(now)
+		e.applyWorkers(now)
 	})
 }
 
-// setWorkers applies the newest list to the services there are.
-func (e *Engine) setWorkers(now time.Duration) {
+// applyWorkers applies the newest list to the configured services.
+func (e *Engine) applyWorkers(now time.Duration) {
 	listed := make(map[string]bool, len(e.workers))
 	for _, w := range e.workers {
-		if l := e.lanes[w.Service]; l != nil && l.endpoint == nil {
+		if s := e.services[w.Service]; s != nil && s.endpoint == nil {
 			listed[w.Id] = true
-			e.setWorker(now, l, w)
+			e.applyWorker(now, s, w)
 		}
 	}
 	for key, t := range e.targets {
 		if t.id != "" && !listed[key] {
-			e.retire(t)
+			e.retireTarget(t)
 		}
 	}
-	e.relist(now)
+	e.sendWorkerLists(now)
 }
 
-// setWorker enters one worker of a list.
-func (e *Engine) setWorker(now time.Duration, l *lane, w *rpc.Worker) {
+// applyWorker applies one entry of a worker list.
+func (e *Engine) applyWorker(now time.Duration, s *service, w *rpc.Worker) {
 	t := e.targets[w.Id]
-	if t != nil && (t.lane != l || t.address != w.Address) {
-		e.retire(t)
+	if t != nil && (t.service != s || t.address != w.Address) {
+		e.retireTarget(t)
 		t = nil
 	}
 	if t == nil {
-		t = &target{key: w.Id, id: w.Id, address: w.Address, lane: l}
-		if cold := min(time.Duration(w.ColdMs)*time.Millisecond, longestCold); cold > 0 {
-			t.coldTo = now + cold
-			e.warmWithin = max(e.warmWithin, cold.Seconds())
+		t = &target{key: w.Id, id: w.Id, address: w.Address, service: s}
+		if cold := min(time.Duration(w.ColdMs)*time.Millisecond, maxColdDuration); cold > 0 {
+			t.coldUntil = now + cold
+			e.warmUpSeconds = max(e.warmUpSeconds, cold.Seconds())
 		}
 		e.targets[w.Id] = t
 	}
 	t.update(w)
 	if !t.ready {
-		t.closeIdle(always)
+		t.closeIdleConns(anyConn)
 	}
 }
 
-// relist tells all instances of the module which workers there are.
-func (e *Engine) relist(now time.Duration) {
+// sendWorkerLists sends each route's worker list to its decision module.
+func (e *Engine) sendWorkerLists(now time.Duration) {
 	for _, r := range e.routes {
-		r.list(now)
+		r.sendWorkerList(now)
 	}
 }
 
-// listed returns the workers of a service.
-func (e *Engine) listed(l *lane) []*target {
-	var listed []*target
+// listedWorkers returns the workers of a service.
+func (e *Engine) listedWorkers(s *service) []*target {
+	var listedWorkers []*target
 	for _, t := range e.targets {
-		if t.lane == l && t.id != "" {
-			listed = append(listed, t)
+		if t.service == s && t.id != "" {
+			listedWorkers = append(listedWorkers, t)
 		}
 	}
-	return listed
+	return listedWorkers
 }
 
-// SetDispatchers says how many processes deliver: limits of connections and what cold workers may be sent are divided by it.
+// SetDispatchers sets the number of processes that deliver to the same workers. Connection limits and the load for cold workers
+// are divided by it.
 func (e *Engine) SetDispatchers(n int) {
-	e.lockedAside(func(time.Duration) {
+	e.doAndNotifyAsync(func(time.Duration) {
 		n = max(n, 1)
 		if n == e.dispatchers {
 			return
