--- a/internal/message/entry.go
+++ b/internal/message/entry.go
@@ -1,5 +1,5 @@
-// Package message is the state machine of the messages that a store keeps: which are queued, which may run now, and what
-// became of each. It does no I/O and reads no clock: the caller passes the time, a duration since the start of the process.
+// Package message implements the state machine of the messages that a store keeps: which are queued, which may run now, and how
+// each ended. It does no I/O and reads no clock: callers pass the time as the duration since the start of the process.
 package message
 
 import (
@@ -10,7 +10,7 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// Entry is one message. Its fields are the table's; callers read them on the goroutine that owns the table.
+// Entry is one message. It belongs to the table: callers read and change its fields only on the goroutine that owns the table.
 type Entry struct {
 	Name        string
 	Partition   uint32
@@ -21,47 +21,47 @@
 	RequestID   string
 	OrderKey    string
 	ContentType string
-	Epoch       uint64 // epoch under which an owner numbered it
-	Seq         uint64 // 0 where no owner has numbered it
-	Arrived     time.Duration
-	Due         time.Duration // before this it may not run
-	Attempts    uint32        // answers of 500
+	Epoch       uint64        // partition epoch in which an owner assigned Seq
+	Seq         uint64        // position within the partition and epoch; 0 if no owner has assigned one
+	Arrived     time.Duration // when the message was received
+	Due         time.Duration // earliest time at which it may run
+	Attempts    uint32        // failed attempts, that is, responses of 500
 	State       rpc.State
-	Stamp       string
+	Stamp       string // response stamp of the successful run
 	EndedAt     time.Duration
-	BodyBytes   int
-	Body        []byte // cached; nil where it must be read from the log
-	Stored      bool   // this store's log holds the message with its body
-	Unreadable  bool   // though the log holds it, the record can't be read
-	SilentReads uint8  // readings in a row that a holder has left unanswered
-	Record      applog.Position
-	Holders     []string // disks of other stores that hold a copy, as far as the owner knows
-	Running     bool
-	ReadUnder   uint64        // newest table of owners under which enough copies had all been read and found good, or were written
-	ScrubAt     time.Duration // when a holder next asks the owner about it
-	RepairAt    time.Duration // when the owner next restores a copy that is missing
-	PlacedUnder uint64        // table of owners under which a dispatcher began to place the copy here; 0 where that isn't known
-	OwnerKnows  bool          // a copy that a dispatcher wrote round the owner: the owner has been told of it
-	Accepting   uint64        // version of the map under which it is being accepted; 0 once that is over
-	EnoughAt    uint64        // version of the map by which its end was found to be on enough disks; 0 for none
-	Retries     int           // attempts of any outcome since this store owned it
-
-	scheduled bool // in the timer heap or in a route's queue
-	index     int
+	BodyBytes   int             // size of the body
+	Body        []byte          // cached body; nil if it must be read from the log
+	Stored      bool            // this store's log holds the message with its body
+	Unreadable  bool            // the log holds the message, but its record can't be read
+	SilentReads uint8           // consecutive unanswered requests to read a holder's copy
+	Record      applog.Position // position of the message in this store's log
+	Holders     []string        // disks of other stores that hold a copy, as far as the owner knows
+	Running     bool            // an attempt is in progress
+	ReadUnder   uint64          // newest partition map version as of which enough copies were written, or had all been read and found intact
+	ScrubAt     time.Duration   // when a holder next asks the owner about the message
+	RepairAt    time.Duration   // when the owner next restores a missing copy
+	PlacedUnder uint64          // partition map version under which a dispatcher began to place the copy here; 0 if unknown
+	OwnerKnows  bool            // the owner has been informed of a copy that a dispatcher wrote while bypassing it
+	Accepting   uint64          // partition map version under which the message is being accepted; 0 once it has been accepted
+	EnoughAt    uint64          // partition map version as of which its end is known to be on enough disks; 0 for none
+	Retries     int             // attempts in this process whose outcome is unknown
+
+	scheduled bool // in Table.delayed or in the queue of its route
+	heapIndex int  // in Table.delayed; -1 if removed from a heap
 }
 
-// Ended reports whether nothing more is owed for the message.
+// Ended reports whether the message has completed or is dead, so that it must not run again.
 func (e *Entry) Ended() bool { return e.State != rpc.State_QUEUED }
 
-// before orders messages of one key.
-func (e *Entry) before(other *Entry) bool {
+// precedes reports whether e runs before other, which has the same order key.
+func (e *Entry) precedes(other *Entry) bool {
 	if e.Epoch != other.Epoch {
 		return e.Epoch < other.Epoch
 	}
 	return e.Seq < other.Seq
 }
 
-// AddHolder notes that the store with this disk holds a copy.
+// AddHolder records that the store with this disk holds a copy.
 func (e *Entry) AddHolder(disk string) {
 	for _, known := range e.Holders {
 		if known == disk {
@@ -71,28 +71,29 @@
 	e.Holders = append(e.Holders, disk)
 }
 
-// RemoveHolder notes that the store with this disk holds no copy that counts. It reports whether it was known as a holder.
+// RemoveHolder records that the store with this disk holds no valid copy. It reports whether the disk was a known holder.
 func (e *Entry) RemoveHolder(disk string) bool {
-	position := slices.Index(e.Holders, disk)
-	if position < 0 {
+	index := slices.Index(e.Holders, disk)
+	if index < 0 {
 		return false
 	}
-	e.Holders = slices.Delete(slices.Clone(e.Holders), position, position+1)
+	e.Holders = slices.Delete(slices.Clone(e.Holders), index, index+1)
 	return true
 }
 
-// HasLocalCopy reports whether this store's log holds what is owed for the message: its end alone once it is completed, else all of it.
+// HasLocalCopy reports whether this store's log holds what must be kept of the message: only its end if it has completed,
+// otherwise all of it.
 func (e *Entry) HasLocalCopy() bool {
 	return e.Stored && !e.Unreadable || e.State == rpc.State_COMPLETED
 }
 
-// SetRecord notes the record of this store's log that holds the message with its body.
+// SetRecord records the position in this store's log of the message with its body.
 func (e *Entry) SetRecord(record applog.Position) {
 	e.Stored, e.Unreadable, e.Record = true, false, record
 }
 
-// Copies counts the failure domains in which there is a copy: this store's own, and those that domains gives for the disks that
-// count.
+// CountCopies returns the number of distinct failure domains that hold a copy. domains maps the disks whose copies count to their
+// failure domains; own is the failure domain of this store.
 func (e *Entry) CountCopies(domains map[string]string, own string) int {
 	count := 0
 	if e.HasLocalCopy() {
@@ -100,7 +101,7 @@
 	}
 	for i, disk := range e.Holders {
 		domain, counts := domains[disk]
-		if !counts || e.HasLocalCopy() && domain == own || e.heldIn(domain, domains, i) {
+		if !counts || e.HasLocalCopy() && domain == own || e.hasHolderIn(domain, domains, i) {
 			continue
 		}
 		count++
@@ -108,9 +109,9 @@
 	return count
 }
 
-// heldIn reports whether one of the first so many holders stands in the failure domain.
-func (e *Entry) heldIn(domain string, domains map[string]string, first int) bool {
-	for _, disk := range e.Holders[:first] {
+// hasHolderIn reports whether one of the first firstN holders is in the failure domain.
+func (e *Entry) hasHolderIn(domain string, domains map[string]string, firstN int) bool {
+	for _, disk := range e.Holders[:firstN] {
 		if other, counts := domains[disk]; counts && other == domain {
 			return true
 		}
@@ -118,7 +119,7 @@
 	return false
 }
 
-// NewEntry makes an entry of a message that was received now.
+// NewEntry returns an entry for a message received at time now. Relative times in m are converted to this process's clock.
 func NewEntry(m *rpc.Message, now time.Duration) *Entry {
 	e := &Entry{
 		Name: m.Name, Partition: m.Partition, Route: m.Route, Method: m.Method, Path: m.Path, Host: m.Host,
@@ -136,7 +137,7 @@
 	return e
 }
 
-// Message returns the entry in the form that travels, without its body.
+// Message returns the entry as an RPC message without the body. Times are given relative to now.
 func (e *Entry) Message(now time.Duration) *rpc.Message {
 	m := &rpc.Message{
 		Name: e.Name, Partition: e.Partition, Route: e.Route, Method: e.Method, Path: e.Path, Host: e.Host,
@@ -150,13 +151,13 @@
 	return m
 }
 
-// End returns what is still owed for a message that is completed, in the form that travels: its state and the stamp of its run.
+// CompletionMessage returns, for a completed message, the part that must be kept: its state and the response stamp.
 func (e *Entry) CompletionMessage(now time.Duration) *rpc.Message {
 	return &rpc.Message{Name: e.Name, Partition: e.Partition, State: e.State, Stamp: e.Stamp, Epoch: e.Epoch, Seq: e.Seq,
 		EndedMsAgo: (now - e.EndedAt).Milliseconds()}
 }
 
-// Fate returns what became of the message.
+// Fate returns the state, response stamp and number of failed attempts as an RPC message.
 func (e *Entry) Fate() *rpc.Fate {
 	return &rpc.Fate{Name: e.Name, Partition: e.Partition, State: e.State, Stamp: e.Stamp, Attempts: e.Attempts}
 }
--- a/internal/message/ownership.go
+++ b/internal/message/ownership.go
@@ -4,33 +4,34 @@
 	"time"
 )
 
-// Ownership of partitions, and the fences below which writes are refused.
+// Ownership of partitions, and the epochs that fence off writes by former owners.
 
-// partition is what the table knows of one partition.
+// partition is the state of one partition on this store.
 type partition struct {
-	fence   uint64 // writes of an older epoch are refused
-	epoch   uint64 // epoch under which this store owns it; 0 where it does not
-	ready   bool   // what other stores hold of it is known
-	paused  bool   // to be released: nothing new is begun
-	running int
-	nextSeq uint64
-	members map[string]*Entry
-	keys    map[string][]*Entry // queued messages of each order key, in order
+	fence     uint64              // writes with an older epoch are rejected
+	epoch     uint64              // epoch in which this store owns the partition; 0 if it does not
+	ready     bool                // the messages that other stores hold have been gathered
+	paused    bool                // about to be released: no attempts are started
+	running   int                 // attempts in progress
+	lastSeq   uint64              // last sequence number assigned in this epoch
+	messages  map[string]*Entry   // known messages, by name
+	keyQueues map[string][]*Entry // queued messages by order key, in order of execution
 }
 
+// partition returns the state of a partition, and creates it on first use.
 func (t *Table) partition(id uint32) *partition {
 	p := t.partitions[id]
 	if p == nil {
-		p = &partition{members: map[string]*Entry{}, keys: map[string][]*Entry{}}
+		p = &partition{messages: map[string]*Entry{}, keyQueues: map[string][]*Entry{}}
 		t.partitions[id] = p
 	}
 	return p
 }
 
-// Fence returns the epoch below which writes to the partition are refused.
+// Fence returns the epoch below which writes to the partition are rejected.
 func (t *Table) Fence(id uint32) uint64 { return t.partition(id).fence }
 
-// Fences returns the fence of every partition that has one.
+// Fences returns the fences of all partitions that have one.
 func (t *Table) Fences() map[uint32]uint64 {
 	fences := map[uint32]uint64{}
 	for id, p := range t.partitions {
@@ -41,7 +42,7 @@
 	return fences
 }
 
-// RaiseFence refuses writes below epoch from now on. It reports whether the fence rose.
+// RaiseFence rejects writes with an epoch below the given one from now on. It reports whether the fence was raised.
 func (t *Table) RaiseFence(id uint32, epoch uint64) bool {
 	p := t.partition(id)
 	if epoch <= p.fence {
@@ -51,74 +52,75 @@
 	return true
 }
 
-// Own begins the ownership of a partition, which stays idle until Ready.
+// BeginOwnership makes this store the owner of a partition. No message of it runs before MarkReady. It panics if the epoch is
+// fenced off.
 func (t *Table) BeginOwnership(id uint32, epoch uint64) {
 	p := t.partition(id)
 	if epoch < p.fence {
-		panic("message: a partition is owned under an epoch that is fenced off")
+		panic("message: ownership begun in an epoch that is fenced off")
 	}
 	p.fence = epoch
-	p.epoch, p.ready, p.paused, p.nextSeq = epoch, false, false, 0
+	p.epoch, p.ready, p.paused, p.lastSeq = epoch, false, false, 0
 }
 
-// Disown ends the ownership of a partition. Attempts under way go on; their outcomes are still taken.
+// EndOwnership ends the ownership of a partition. Attempts in progress continue, and their outcomes are still accepted.
 func (t *Table) EndOwnership(id uint32) {
 	p := t.partition(id)
 	p.epoch, p.ready, p.paused = 0, false, false
-	for _, e := range p.members {
+	for _, e := range p.messages {
 		t.unschedule(e)
 		e.Body = nil
 	}
 }
 
-// OwnedEpoch returns the epoch under which this store owns the partition; 0 where it does not.
+// OwnedEpoch returns the epoch in which this store owns the partition, or 0 if it does not.
 func (t *Table) OwnedEpoch(id uint32) uint64 { return t.partition(id).epoch }
 
-// IsReady reports whether the partition is owned and what other stores hold of it is known.
+// IsReady reports whether this store owns the partition and has gathered the messages that other stores hold.
 func (t *Table) IsReady(id uint32) bool {
 	p := t.partition(id)
 	return p.epoch > 0 && p.ready
 }
 
-// Ready begins to run the messages of an owned partition.
+// MarkReady allows the messages of an owned partition to run.
 func (t *Table) MarkReady(id uint32, now time.Duration) {
 	p := t.partition(id)
 	p.ready = true
-	for _, e := range p.members {
+	for _, e := range p.messages {
 		t.schedule(p, e, now)
 	}
 }
 
-// Pause begins no further attempts of the partition, and Running tells when none is left.
+// Pause prevents further attempts in the partition until Resume. RunningCount returns 0 when the last one has ended.
 func (t *Table) Pause(id uint32) {
 	p := t.partition(id)
 	if p.paused {
 		return
 	}
 	p.paused = true
-	for _, e := range p.members {
+	for _, e := range p.messages {
 		t.unschedule(e)
 	}
 }
 
-// Resume takes a pause back.
+// Resume undoes Pause.
 func (t *Table) Resume(id uint32, now time.Duration) {
 	p := t.partition(id)
 	if !p.paused {
 		return
 	}
 	p.paused = false
-	for _, e := range p.members {
+	for _, e := range p.messages {
 		t.schedule(p, e, now)
 	}
 }
 
-// Running returns how many attempts of the partition are under way.
+// RunningCount returns the number of attempts in progress in the partition.
 func (t *Table) RunningCount(id uint32) int { return t.partition(id).running }
 
-// Partition calls visit with every message of the partition.
+// Partition calls visit for every message of the partition.
 func (t *Table) Partition(id uint32, visit func(*Entry)) {
-	for _, e := range t.partition(id).members {
+	for _, e := range t.partition(id).messages {
 		visit(e)
 	}
 }
--- a/internal/message/queue.go
+++ b/internal/message/queue.go
@@ -5,60 +5,62 @@
 	"time"
 )
 
-// timerHeap orders waiting messages by the time at which they are due.
-type timerHeap []*Entry
+// dueHeap is a min-heap of messages by due time.
+type dueHeap []*Entry
 
-func (h timerHeap) Len() int           { return len(h) }
-func (h timerHeap) Less(i, j int) bool { return h[i].Due < h[j].Due }
-func (h timerHeap) Swap(i, j int) {
+func (h dueHeap) Len() int           { return len(h) }
+func (h dueHeap) Less(i, j int) bool { return h[i].Due < h[j].Due }
+func (h dueHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (h *timerHeap) Push(x any) {
+func (h *dueHeap) Push(x any) {
 	e := x.(*Entry)
-	e.index = len(*h)
+	e.heapIndex = len(*h)
 	*h = append(*h, e)
 }
 
 // Pop implements heap.Interface.
-func (h *timerHeap) Pop() any {
+func (h *dueHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	e.index = -1
+	e.heapIndex = -1
 	return e
 }
 
-// lateTurn is how often a late message goes before one that is in time: once in so many.
-const lateTurn = 4
+// lateInterval is the share of late messages while others are on time: one in lateInterval, so that late messages are not
+// starved.
+const lateInterval = 4
 
-// routeQueue holds the messages of one route that are due.
+// routeQueue holds the due messages of one route.
 type routeQueue struct {
-	fresh   timerHeap // that may still begin within the aim
-	late    timerHeap
-	running int
-	turn    int
+	onTime          dueHeap // can still start within the route's target
+	late            dueHeap // can no longer start within it
+	running         int     // attempts in progress
+	onTimeSinceLate int     // messages started from onTime since the last one from late
 }
 
-func (q *routeQueue) len() int { return len(q.fresh) + len(q.late) }
+func (q *routeQueue) len() int { return len(q.onTime) + len(q.late) }
 
-func (q *routeQueue) push(e *Entry) { heap.Push(&q.fresh, e) }
+func (q *routeQueue) push(e *Entry) { heap.Push(&q.onTime, e) }
 
-// pop returns the next message, or nil. Those whose aim has passed move to the late ones.
-func (q *routeQueue) pop(aim, now time.Duration) *Entry {
-	for len(q.fresh) > 0 && q.fresh[0].Due+aim < now {
-		heap.Push(&q.late, heap.Pop(&q.fresh))
+// pop removes and returns the next message, or nil if there is none. Messages that can no longer start within startTarget of
+// their due time move to the late ones.
+func (q *routeQueue) pop(startTarget, now time.Duration) *Entry {
+	for len(q.onTime) > 0 && q.onTime[0].Due+startTarget < now {
+		heap.Push(&q.late, heap.Pop(&q.onTime))
 	}
-	if len(q.late) > 0 && (len(q.fresh) == 0 || q.turn+1 >= lateTurn) {
-		q.turn = 0
+	if len(q.late) > 0 && (len(q.onTime) == 0 || q.onTimeSinceLate+1 >= lateInterval) {
+		q.onTimeSinceLate = 0
 		return heap.Pop(&q.late).(*Entry)
 	}
-	if len(q.fresh) == 0 {
+	if len(q.onTime) == 0 {
 		return nil
 	}
-	q.turn++
-	return heap.Pop(&q.fresh).(*Entry)
+	q.onTimeSinceLate++
+	return heap.Pop(&q.onTime).(*Entry)
 }
--- a/internal/message/schedule.go
+++ b/internal/message/schedule.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// What is due, and what runs.
+// Scheduling of due messages and of attempts.
 
-// schedule lets the entry run when it is due, where the partition and its key allow it.
+// schedule queues the entry to run when it is due, if its partition and its order key permit that.
 func (t *Table) schedule(p *partition, e *Entry, now time.Duration) {
-	if e.scheduled || e.Running || e.Ended() || p.epoch == 0 || !p.ready || p.paused || !p.first(e) {
+	if e.scheduled || e.Running || e.Ended() || p.epoch == 0 || !p.ready || p.paused || !p.isFirstOfKey(e) {
 		return
 	}
 	e.scheduled = true
 	if e.Due <= now {
-		t.route(e.Route).push(e)
+		t.queueFor(e.Route).push(e)
 		return
 	}
-	heap.Push(&t.timers, e)
+	heap.Push(&t.delayed, e)
 }
 
+// unschedule keeps a scheduled entry from running.
 func (t *Table) unschedule(e *Entry) {
 	if !e.scheduled {
 		return
 	}
 	e.scheduled = false
-	if e.index >= 0 && e.index < len(t.timers) && t.timers[e.index] == e {
-		heap.Remove(&t.timers, e.index)
+	if e.heapIndex >= 0 && e.heapIndex < len(t.delayed) && t.delayed[e.heapIndex] == e {
+		heap.Remove(&t.delayed, e.heapIndex)
 	}
-	// An entry in a route's queue is skipped when it comes up.
+	// An entry in a route's queue stays there: StartNext skips it.
 }
 
-func (t *Table) route(name string) *routeQueue {
+// queueFor returns the queue of a route, and creates it on first use.
+func (t *Table) queueFor(name string) *routeQueue {
 	q := t.routes[name]
 	if q == nil {
 		q = &routeQueue{}
@@ -40,23 +42,24 @@
 	return q
 }
 
-// NextDue returns when the next waiting message becomes due, and false where none waits.
+// NextDue returns when the next delayed message is due, or false if there is none.
 func (t *Table) NextDue() (time.Duration, bool) {
-	if len(t.timers) == 0 {
+	if len(t.delayed) == 0 {
 		return 0, false
 	}
-	return t.timers[0].Due, true
+	return t.delayed[0].Due, true
 }
 
-// Advance moves messages that have become due to the queues of their routes.
+// Advance moves delayed messages that are due to the queues of their routes.
 func (t *Table) Advance(now time.Duration) {
-	for len(t.timers) > 0 && t.timers[0].Due <= now {
-		e := heap.Pop(&t.timers).(*Entry)
-		t.route(e.Route).push(e)
+	for len(t.delayed) > 0 && t.delayed[0].Due <= now {
+		e := heap.Pop(&t.delayed).(*Entry)
+		t.queueFor(e.Route).push(e)
 	}
 }
 
-// Routes calls visit with every route that has messages waiting to run, and the number of its attempts under way.
+// EachWaitingRoute calls visit for every route with messages waiting to run, with their number and the number of attempts in
+// progress.
 func (t *Table) EachWaitingRoute(visit func(route string, waiting, running int)) {
 	for name, q := range t.routes {
 		if q.len() > 0 {
@@ -65,20 +68,21 @@
 	}
 }
 
-// Start takes the next message of the route that may run, and marks it running. A message that can still begin within
-// its aim goes before late ones, of which one in four goes first so that none starves. It returns nil where none may run.
-func (t *Table) StartNext(route string, aim, now time.Duration) *Entry {
-	q := t.route(route)
+// StartNext takes the next message of the route that may run, and marks it as running. startTarget is the route's target for the
+// time from due to start. Messages that can still meet it run before late ones, except that every fourth is a late one, so that
+// none starves. It returns nil if no message may run.
+func (t *Table) StartNext(route string, startTarget, now time.Duration) *Entry {
+	q := t.queueFor(route)
 	for {
-		e := q.pop(aim, now)
+		e := q.pop(startTarget, now)
 		if e == nil {
 			return nil
 		}
 		p := t.partition(e.Partition)
-		if !e.scheduled || e.Due > now { // left over from an earlier place in the queue
+		if !e.scheduled || e.Due > now { // an outdated queue entry
 			continue
 		}
-		if e.Running || e.Ended() || p.epoch == 0 || !p.ready || p.paused || !p.first(e) {
+		if e.Running || e.Ended() || p.epoch == 0 || !p.ready || p.paused || !p.isFirstOfKey(e) {
 			e.scheduled = false
 			continue
 		}
@@ -89,26 +93,28 @@
 	}
 }
 
-// Stop ends an attempt that left the message queued: it may run again from due on.
+// Requeue ends an attempt of a message that remains queued. The message may run again from due on. If it was marked as ended
+// meanwhile, only the attempt ends.
 func (t *Table) Requeue(e *Entry, due, now time.Duration) {
-	t.stopRunning(e)
+	t.endAttempt(e)
 	if e.Ended() {
-		t.releaseKey(e, now)
+		t.scheduleNextOfKey(e, now)
 		return
 	}
 	e.Due = max(e.Due, due)
 	p := t.partition(e.Partition)
-	if e.OrderKey != "" { // one that goes before it may have been learnt meanwhile
-		e = p.keys[e.OrderKey][0]
+	if e.OrderKey != "" { // a message that precedes it may have been added meanwhile
+		e = p.keyQueues[e.OrderKey][0]
 	}
 	t.schedule(p, e, now)
 }
 
-func (t *Table) stopRunning(e *Entry) {
+// endAttempt marks the attempt of an entry as ended. It panics if none is in progress.
+func (t *Table) endAttempt(e *Entry) {
 	if !e.Running {
-		panic("message: an attempt ended that was not under way")
+		panic("message: ended an attempt that was not in progress")
 	}
 	e.Running = false
 	t.partition(e.Partition).running--
-	t.route(e.Route).running--
+	t.queueFor(e.Route).running--
 }
--- a/internal/message/table.go
+++ b/internal/message/table.go
@@ -6,16 +6,16 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// Table holds the messages of one store: those of partitions that it owns, and copies of others. It is not safe for
-// concurrent use.
+// Table holds the messages of one store: those of partitions that it owns, and copies of others. It is not safe for concurrent
+// use.
 type Table struct {
 	entries    map[string]*Entry
 	partitions map[uint32]*partition
-	timers     timerHeap
+	delayed    dueHeap // owned entries that are not due yet
 	routes     map[string]*routeQueue
-	ended      []*Entry // in the order in which they ended here
+	ended      []*Entry // in the order in which they ended on this store
 	queued     int      // entries that have not ended
-	liveBytes  int      // body bytes of entries whose body is still owed
+	liveBytes  int      // body bytes of entries that have not ended
 }
 
 // NewTable returns an empty table.
@@ -23,29 +23,30 @@
 	return &Table{entries: map[string]*Entry{}, partitions: map[uint32]*partition{}, routes: map[string]*routeQueue{}}
 }
 
-// Get returns the message of this name, or nil.
+// Get returns the message with this name, or nil.
 func (t *Table) Get(name string) *Entry { return t.entries[name] }
 
-// Queued returns how many messages have not ended.
+// Queued returns the number of messages that have not ended.
 func (t *Table) Queued() int { return t.queued }
 
-// Len returns how many messages are known, ended ones included.
+// Len returns the number of known messages, including ended ones.
 func (t *Table) Len() int { return len(t.entries) }
 
-// LiveBytes returns the bytes of all bodies that are still owed.
+// LiveBytes returns the total size of the bodies of messages that have not ended, in bytes.
 func (t *Table) LiveBytes() int { return t.liveBytes }
 
-// Number gives the entry the next place in an owned partition.
+// AssignSeq assigns the next sequence number of the entry's partition. It panics if the partition is not owned.
 func (t *Table) AssignSeq(e *Entry) {
 	p := t.partition(e.Partition)
 	if p.epoch == 0 {
-		panic("message: numbered in a partition that is not owned")
+		panic("message: sequence number assigned in a partition that is not owned")
 	}
-	p.nextSeq++
-	e.Epoch, e.Seq = p.epoch, p.nextSeq
+	p.lastSeq++
+	e.Epoch, e.Seq = p.epoch, p.lastSeq
 }
 
-// Add enters a message, or merges what is told of one that is known. It returns the entry that the table holds.
+// Add adds a message. If it is already known, its state is merged into the existing entry. Add returns the entry that the table
+// holds.
 func (t *Table) Add(e *Entry, now time.Duration) *Entry {
 	if known := t.entries[e.Name]; known != nil {
 		t.merge(known, e, now)
@@ -53,7 +54,7 @@
 	}
 	t.entries[e.Name] = e
 	p := t.partition(e.Partition)
-	p.members[e.Name] = e
+	p.messages[e.Name] = e
 	if e.Ended() {
 		t.ended = append(t.ended, e)
 		e.Body = nil
@@ -62,42 +63,43 @@
 	t.queued++
 	t.liveBytes += e.BodyBytes
 	if e.OrderKey != "" {
-		p.insertKey(e)
+		p.addToKeyQueue(e)
 	}
 	t.schedule(p, e, now)
 	return e
 }
 
-func (t *Table) merge(known, told *Entry, now time.Duration) {
-	if known.Attempts < told.Attempts {
-		known.Attempts = told.Attempts
+// merge applies the attempts, the end and the sequence number of update to a known entry.
+func (t *Table) merge(known, update *Entry, now time.Duration) {
+	if known.Attempts < update.Attempts {
+		known.Attempts = update.Attempts
 	}
-	if told.Ended() {
-		t.MarkEnded(known, told.State, told.Stamp, now)
+	if update.Ended() {
+		t.MarkEnded(known, update.State, update.Stamp, now)
 		return
 	}
-	if known.Seq == 0 && told.Seq > 0 && !known.Ended() {
+	if known.Seq == 0 && update.Seq > 0 && !known.Ended() {
 		p := t.partition(known.Partition)
-		p.removeKey(known)
-		known.Epoch, known.Seq = told.Epoch, told.Seq
+		p.removeFromKeyQueue(known)
+		known.Epoch, known.Seq = update.Epoch, update.Seq
 		if known.OrderKey != "" {
-			p.insertKey(known)
+			p.addToKeyQueue(known)
 		}
 	}
 }
 
-// Finish ends an attempt and the message with it.
+// FinishAttempt ends an attempt in progress, and the message with it.
 func (t *Table) FinishAttempt(e *Entry, state rpc.State, stamp string, now time.Duration) {
-	t.stopRunning(e)
+	t.endAttempt(e)
 	t.MarkEnded(e, state, stamp, now)
-	t.releaseKey(e, now)
+	t.scheduleNextOfKey(e, now)
 }
 
-// End marks the message ended. An end that is known stands, except that a success replaces a dead letter. It reports
-// whether anything changed.
+// MarkEnded marks a message as ended. A message that has already ended keeps its state, except that a success replaces a dead
+// letter. MarkEnded reports whether the state changed, and panics if state is QUEUED.
 func (t *Table) MarkEnded(e *Entry, state rpc.State, stamp string, now time.Duration) bool {
 	if state == rpc.State_QUEUED {
-		panic("message: ended without a state")
+		panic("message: marked as ended with state QUEUED")
 	}
 	if e.Ended() {
 		if e.State == rpc.State_DEAD && state == rpc.State_COMPLETED {
@@ -112,42 +114,43 @@
 	t.queued--
 	t.liveBytes -= e.BodyBytes
 	t.ended = append(t.ended, e)
-	t.releaseKey(e, now)
+	t.scheduleNextOfKey(e, now)
 	return true
 }
 
-// Each calls visit with every message.
+// Each calls visit for every message.
 func (t *Table) Each(visit func(*Entry)) {
 	for _, e := range t.entries {
 		visit(e)
 	}
 }
 
-// Drop forgets a queued message that this store neither owns nor holds: others do. No attempt of it may be under way.
+// Remove removes a queued message that this store neither owns nor stores; other stores hold it. It panics if the message is
+// still needed here or an attempt is in progress.
 func (t *Table) Remove(e *Entry) {
 	if e.Ended() || e.Running || e.Stored || t.OwnedEpoch(e.Partition) > 0 {
-		panic("message: dropped while it is needed")
+		panic("message: removed while still needed")
 	}
 	t.unschedule(e)
-	t.partition(e.Partition).removeKey(e)
-	delete(t.partition(e.Partition).members, e.Name)
+	t.partition(e.Partition).removeFromKeyQueue(e)
+	delete(t.partition(e.Partition).messages, e.Name)
 	delete(t.entries, e.Name)
 	t.queued--
 	t.liveBytes -= e.BodyBytes
 }
 
-// Forget drops messages that ended longer than keep ago. It returns how many.
-func (t *Table) ExpireEnded(keep, now time.Duration) int {
+// ExpireEnded removes messages that ended more than retention ago, and returns their number.
+func (t *Table) ExpireEnded(retention, now time.Duration) int {
 	count := 0
 	for len(t.ended) > 0 {
 		e := t.ended[0]
-		if now-e.EndedAt <= keep || e.Running {
+		if now-e.EndedAt <= retention || e.Running {
 			break
 		}
 		t.ended = t.ended[1:]
 		if t.entries[e.Name] == e {
 			delete(t.entries, e.Name)
-			delete(t.partition(e.Partition).members, e.Name)
+			delete(t.partition(e.Partition).messages, e.Name)
 			count++
 		}
 	}
--- a/internal/message/table_test.go
+++ b/internal/message/table_test.go
@@ -11,7 +11,7 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-const aim = 500 * time.Millisecond
+const startTarget = 500 * time.Millisecond
 
 func queued(name, route, key string, partition uint32, due time.Duration) *Entry {
 	return &Entry{Name: name, Route: route, OrderKey: key, Partition: partition, Due: due, BodyBytes: 10}
@@ -33,15 +33,15 @@
 		table.AssignSeq(e)
 		table.Add(e, 0)
 	}
-	first := table.StartNext("r", aim, 0)
+	first := table.StartNext("r", startTarget, 0)
 	must.Eq(t, "0", first.Name)
-	must.Nil(t, table.StartNext("r", aim, 0))
+	must.Nil(t, table.StartNext("r", startTarget, 0))
 	table.Requeue(first, 50*time.Millisecond, 0) // its outcome is unknown: the others go on waiting
-	must.Nil(t, table.StartNext("r", aim, 10*time.Millisecond))
+	must.Nil(t, table.StartNext("r", startTarget, 10*time.Millisecond))
 	table.Advance(50 * time.Millisecond)
-	must.Eq(t, first, table.StartNext("r", aim, 50*time.Millisecond))
+	must.Eq(t, first, table.StartNext("r", startTarget, 50*time.Millisecond))
 	table.FinishAttempt(first, rpc.State_COMPLETED, "s", 60*time.Millisecond)
-	must.Eq(t, "1", table.StartNext("r", aim, 60*time.Millisecond).Name)
+	must.Eq(t, "1", table.StartNext("r", startTarget, 60*time.Millisecond).Name)
 }
 
 func TestEndReportedWhileRunningReleasesTheKey(t *testing.T) {
@@ -51,11 +51,11 @@
 		table.AssignSeq(e)
 		table.Add(e, 0)
 	}
-	first := table.StartNext("r", aim, 0)
+	first := table.StartNext("r", startTarget, 0)
 	must.True(t, table.MarkEnded(first, rpc.State_COMPLETED, "s", 1))
-	must.Nil(t, table.StartNext("r", aim, 1)) // the attempt is still under way
+	must.Nil(t, table.StartNext("r", startTarget, 1)) // the attempt is still under way
 	table.Requeue(first, 2, 2)
-	must.Eq(t, "1", table.StartNext("r", aim, 2).Name)
+	must.Eq(t, "1", table.StartNext("r", startTarget, 2).Name)
 }
 
 func TestGatheredMessagesKeepTheOrderOfTheFormerOwner(t *testing.T) {
@@ -66,13 +66,13 @@
 		e.Epoch, e.Seq = 6, seq
 		table.Add(e, 0)
 	}
-	must.Nil(t, table.StartNext("r", aim, 0)) // not ready
+	must.Nil(t, table.StartNext("r", startTarget, 0)) // not ready
 	table.MarkReady(0, 0)
 	later := queued("new", "r", "key", 0, 0)
 	table.AssignSeq(later)
 	table.Add(later, 0)
 	for _, name := range []string{"1", "2", "3", "new"} {
-		e := table.StartNext("r", aim, 0)
+		e := table.StartNext("r", startTarget, 0)
 		must.Eq(t, name, e.Name)
 		table.FinishAttempt(e, rpc.State_COMPLETED, "s", 0)
 	}
@@ -82,24 +82,24 @@
 	table := ownedTable(0)
 	table.Add(queued("a", "r", "", 0, 0), 0)
 	table.Pause(0)
-	must.Nil(t, table.StartNext("r", aim, 0))
+	must.Nil(t, table.StartNext("r", startTarget, 0))
 	table.Resume(0, 0)
-	must.Eq(t, "a", table.StartNext("r", aim, 0).Name)
+	must.Eq(t, "a", table.StartNext("r", startTarget, 0).Name)
 }
 
 func TestRetriedMessageWaitsForItsPause(t *testing.T) {
 	table := ownedTable(0)
 	table.Add(queued("a", "r", "", 0, 0), 0)
-	e := table.StartNext("r", aim, 0)
+	e := table.StartNext("r", startTarget, 0)
 	table.Pause(0)
 	table.Resume(0, 0)
 	table.Requeue(e, time.Second, 0)
-	must.Nil(t, table.StartNext("r", aim, 0))
+	must.Nil(t, table.StartNext("r", startTarget, 0))
 	due, ok := table.NextDue()
 	must.True(t, ok)
 	must.Eq(t, time.Second, due)
 	table.Advance(time.Second)
-	must.Eq(t, e, table.StartNext("r", aim, time.Second))
+	must.Eq(t, e, table.StartNext("r", startTarget, time.Second))
 }
 
 func TestSuccessReplacesADeadLetterButNothingReplacesASuccess(t *testing.T) {
@@ -203,7 +203,7 @@
 		w.finish(e)
 		return
 	}
-	if e := w.table.StartNext(fmt.Sprintf("r%d", w.rng.IntN(2)), aim, w.now); e != nil {
+	if e := w.table.StartNext(fmt.Sprintf("r%d", w.rng.IntN(2)), startTarget, w.now); e != nil {
 		w.started(e)
 	}
 }
@@ -245,9 +245,9 @@
 	w.now += time.Second
 	for w.table.Queued() > 0 {
 		w.table.Advance(w.now)
-		e := w.table.StartNext("r0", aim, w.now)
+		e := w.table.StartNext("r0", startTarget, w.now)
 		if e == nil {
-			e = w.table.StartNext("r1", aim, w.now)
+			e = w.table.StartNext("r1", startTarget, w.now)
 		}
 		must.NotNil(w.t, e, must.Sprintf("%d messages are stranded", w.table.Queued()))
 		w.finish(e)
@@ -262,15 +262,15 @@
 	second := queued("second", "r", "key", 0, 0)
 	second.Epoch, second.Seq = 1, 2
 	table.Add(second, 0)
-	must.Eq(t, second, table.StartNext("r", aim, 0))
+	must.Eq(t, second, table.StartNext("r", startTarget, 0))
 	first := queued("first", "r", "key", 0, 0)
 	first.Epoch, first.Seq = 1, 1
 	table.Add(first, 0)
-	must.Nil(t, table.StartNext("r", aim, 0))
+	must.Nil(t, table.StartNext("r", startTarget, 0))
 	table.Requeue(second, 0, 0)
-	must.Eq(t, first, table.StartNext("r", aim, 0))
+	must.Eq(t, first, table.StartNext("r", startTarget, 0))
 	table.FinishAttempt(first, rpc.State_COMPLETED, "s", 0)
-	must.Eq(t, second, table.StartNext("r", aim, 0))
+	must.Eq(t, second, table.StartNext("r", startTarget, 0))
 }
 
 func TestDropForgetsAMessageThatOthersHold(t *testing.T) {
@@ -287,16 +287,16 @@
 	must.Eq(t, second.BodyBytes, table.LiveBytes())
 	table.BeginOwnership(0, 2)
 	table.MarkReady(0, 0)
-	must.Eq(t, second, table.StartNext("r", aim, 0))
+	must.Eq(t, second, table.StartNext("r", startTarget, 0))
 }
 
 func TestNothingRunsBeforeItIsKnownWhatOthersHold(t *testing.T) {
 	table := NewTable()
 	table.BeginOwnership(0, 2)
 	table.Add(queued("m", "r", "", 0, 0), 0)
-	must.Nil(t, table.StartNext("r", aim, time.Second))
+	must.Nil(t, table.StartNext("r", startTarget, time.Second))
 	table.MarkReady(0, time.Second)
-	must.Eq(t, "m", table.StartNext("r", aim, time.Second).Name)
+	must.Eq(t, "m", table.StartNext("r", startTarget, time.Second).Name)
 }
 
 func TestEndTravelsWithItsAge(t *testing.T) {
