--- a/internal/delivery/bench_test.go
+++ b/internal/delivery/bench_test.go
@@ -53,13 +53,13 @@
 		if err != nil {
 			return
 		}
-		go answerMinimal(conn)
+		go respondMinimal(conn)
 	}
 }
 
-// answerMinimal responds to each request that arrives in one read, at minimal cost.
-func answerMinimal(conn net.Conn) {
-	answer := []byte("HTTP/1.1 200 OK\r\nX-Response-Stamp: 3e1b.07.5a2.600.0.c9f2a4d1\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok")
+// respondMinimal responds to each request that arrives in one read, at minimal cost.
+func respondMinimal(conn net.Conn) {
+	response := []byte("HTTP/1.1 200 OK\r\nX-Response-Stamp: 3e1b.07.5a2.600.0.c9f2a4d1\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok")
 	buffer := make([]byte, 64<<10)
 	for {
 		n, err := io.ReadAtLeast(conn, buffer, 1)
@@ -67,7 +67,7 @@
 			_ = conn.Close()
 			return
 		}
-		if _, err := conn.Write(answer); err != nil {
+		if _, err := conn.Write(response); err != nil {
 			return
 		}
 	}
--- a/internal/delivery/busy_worker_test.go
+++ b/internal/delivery/busy_worker_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// With as many stores as connections to a worker, each store holds a single one to each. A job must then reach a worker whose
-// connection is free, rather than be refused because some of the workers are busy.
+// If a worker accepts only about as many connections as there are stores, each store may hold one connection per worker. A job must
+// then reach a worker whose connection is free, rather than be refused because some of the workers are busy.
 func TestJobReachesFreeWorkerAmongBusyOnes(t *testing.T) {
 	const (
 		nearWorkers = 4
--- a/internal/delivery/cold_start_test.go
+++ b/internal/delivery/cold_start_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// A cold worker gets less load than the others, and an equal share once it is warm.
+// A cold worker gets less load than the others, and about an equal share once it is warm.
 func TestColdWorkerGetsLessLoad(t *testing.T) {
 	e, workers := newVirtualTimeEngine(t, 10*time.Millisecond, 5)
 	e.SetWorkers(workerList(workers[:4]...))
--- a/internal/delivery/engine_test.go
+++ b/internal/delivery/engine_test.go
@@ -36,11 +36,11 @@
 }
 
 func TestKeepAliveTimeout(t *testing.T) {
-	const otherwise = 3 * time.Second
-	must.Eq(t, 4*time.Second, keepAliveTimeout("timeout=5, max=100", otherwise))
-	must.Eq(t, 400*time.Millisecond, keepAliveTimeout("max=2,timeout=0.5", otherwise))
+	const fallback = 3 * time.Second
+	must.Eq(t, 4*time.Second, keepAliveTimeout("timeout=5, max=100", fallback))
+	must.Eq(t, 400*time.Millisecond, keepAliveTimeout("max=2,timeout=0.5", fallback))
 	for _, field := range []string{"", "max=5", "timeout=x", "timeout=-1", "timeout=1e30", "timeout=NaN"} {
-		must.Eq(t, otherwise, keepAliveTimeout(field, otherwise))
+		must.Eq(t, fallback, keepAliveTimeout(field, fallback))
 	}
 }
 
@@ -336,12 +336,12 @@
 	const fast, slow, inFlight, jobs = 40 * time.Millisecond, 160 * time.Millisecond, 10, 600
 	respondAfter := func(pause time.Duration) func(net.Conn, *http.Request) {
 		return func(c net.Conn, r *http.Request) {
-			answered := make(chan struct{})
+			done := make(chan struct{})
 			time.AfterFunc(pause, func() {
 				succeed(c, r)
-				close(answered)
+				close(done)
 			})
-			<-answered
+			<-done
 		}
 	}
 	first, second := startFakeWorker(t, respondAfter(fast)), startFakeWorker(t, respondAfter(slow))
--- a/internal/delivery/static_endpoint_test.go
+++ b/internal/delivery/static_endpoint_test.go
@@ -91,7 +91,7 @@
 	mu.Lock()
 	defer mu.Unlock()
 	const tolerance, burst = 1.1, 5.0 // as in the acceptance check of the rate limit
-	assertCeiling(t, arrivals, rate*tolerance, burst)
+	assertRate(t, arrivals, rate*tolerance, burst)
 	urgentFirst := 0
 	for _, ok := range urgent[:jobsPerRoute] {
 		if ok {
--- a/internal/delivery/token_bucket_test.go
+++ b/internal/delivery/token_bucket_test.go
@@ -28,12 +28,12 @@
 			}
 			must.Positive(t, wait)
 		}
-		assertCeiling(t, taken, highest, bucketBurst)
+		assertRate(t, taken, highest, bucketBurst)
 	})
 }
 
-// assertCeiling checks every interval that begins and ends with a granted token.
-func assertCeiling(t must.T, taken []time.Duration, rate, burst float64) {
+// assertRate checks every interval that begins and ends with a granted token.
+func assertRate(t must.T, taken []time.Duration, rate, burst float64) {
 	const rounding = 1e-6
 	for i := range taken {
 		for j := i; j < len(taken); j++ {
--- a/internal/message/table_test.go
+++ b/internal/message/table_test.go
@@ -124,16 +124,17 @@
 // Performs random operations, including changes of ownership, and checks the invariants after each step.
 func TestRandomOperationsKeepInvariants(t *testing.T) {
 	for seed := range uint64(40) {
-		w := &randomTest{t: t, rng: rand.New(rand.NewPCG(seed, 1)), table: NewTable(), lastSeq: map[string]uint64{}}
+		rt := &randomTest{t: t, rng: rand.New(rand.NewPCG(seed, 1)), table: NewTable(), lastSeq: map[string]uint64{}}
 		for range 3000 {
-			w.step()
+			rt.step()
 		}
-		w.drain()
+		rt.drain()
 	}
 }
 
 const randomTestPartitions = 3
 
+// randomTest applies random operations to a table and checks the invariants.
 type randomTest struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -143,117 +144,117 @@
 	epoch   uint64
 	added   int
 	ended   int
-	lastSeq map[string]uint64 // of the last message that ended, by order key
+	lastSeq map[string]uint64 // by order key: epoch << 32 | sequence number of the last message that ended
 }
 
-func (w *randomTest) step() {
-	w.now += time.Duration(w.rng.IntN(20)) * time.Millisecond
-	w.table.Advance(w.now)
-	id := uint32(w.rng.IntN(randomTestPartitions))
-	switch w.rng.IntN(10) {
+func (rt *randomTest) step() {
+	rt.now += time.Duration(rt.rng.IntN(20)) * time.Millisecond
+	rt.table.Advance(rt.now)
+	id := uint32(rt.rng.IntN(randomTestPartitions))
+	switch rt.rng.IntN(10) {
 	case 0:
-		w.epoch++
-		w.table.BeginOwnership(id, w.epoch)
+		rt.epoch++
+		rt.table.BeginOwnership(id, rt.epoch)
 	case 1:
-		if w.table.OwnedEpoch(id) > 0 {
-			w.table.MarkReady(id, w.now)
+		if rt.table.OwnedEpoch(id) > 0 {
+			rt.table.MarkReady(id, rt.now)
 		}
 	case 2:
-		if w.rng.IntN(4) == 0 {
-			w.table.EndOwnership(id)
+		if rt.rng.IntN(4) == 0 {
+			rt.table.EndOwnership(id)
 		}
 	case 3:
-		w.table.Pause(id)
+		rt.table.Pause(id)
 	case 4:
-		w.table.Resume(id, w.now)
+		rt.table.Resume(id, rt.now)
 	case 5, 6:
-		w.add(id)
+		rt.add(id)
 	default:
-		w.attempt()
+		rt.attempt()
 	}
 }
 
-func (w *randomTest) add(id uint32) {
-	if w.table.OwnedEpoch(id) == 0 {
+func (rt *randomTest) add(id uint32) {
+	if rt.table.OwnedEpoch(id) == 0 {
 		return
 	}
 	key := ""
-	if w.rng.IntN(2) == 0 {
-		key = fmt.Sprintf("%d-%d", id, w.rng.IntN(3))
+	if rt.rng.IntN(2) == 0 {
+		key = fmt.Sprintf("%d-%d", id, rt.rng.IntN(3))
 	}
-	due := w.now + time.Duration(w.rng.IntN(100))*time.Millisecond
+	due := rt.now + time.Duration(rt.rng.IntN(100))*time.Millisecond
 	if key != "" {
-		due = w.now
+		due = rt.now
 	}
-	e := queuedEntry(fmt.Sprint(w.added), fmt.Sprintf("r%d", w.rng.IntN(2)), key, id, due)
-	w.added++
-	w.table.AssignSeq(e)
-	w.table.Add(e, w.now)
+	e := queuedEntry(fmt.Sprint(rt.added), fmt.Sprintf("r%d", rt.rng.IntN(2)), key, id, due)
+	rt.added++
+	rt.table.AssignSeq(e)
+	rt.table.Add(e, rt.now)
 }
 
-func (w *randomTest) attempt() {
-	if len(w.running) > 0 && w.rng.IntN(2) == 0 {
-		i := w.rng.IntN(len(w.running))
-		e := w.running[i]
-		w.running = append(w.running[:i], w.running[i+1:]...)
-		if w.rng.IntN(3) == 0 {
-			w.table.Requeue(e, w.now+time.Duration(w.rng.IntN(30))*time.Millisecond, w.now)
+func (rt *randomTest) attempt() {
+	if len(rt.running) > 0 && rt.rng.IntN(2) == 0 {
+		i := rt.rng.IntN(len(rt.running))
+		e := rt.running[i]
+		rt.running = append(rt.running[:i], rt.running[i+1:]...)
+		if rt.rng.IntN(3) == 0 {
+			rt.table.Requeue(e, rt.now+time.Duration(rt.rng.IntN(30))*time.Millisecond, rt.now)
 			return
 		}
-		w.finish(e)
+		rt.finish(e)
 		return
 	}
-	if e := w.table.StartNext(fmt.Sprintf("r%d", w.rng.IntN(2)), startTarget, w.now); e != nil {
-		w.started(e)
+	if e := rt.table.StartNext(fmt.Sprintf("r%d", rt.rng.IntN(2)), startTarget, rt.now); e != nil {
+		rt.started(e)
 	}
 }
 
-func (w *randomTest) started(e *Entry) {
-	must.LessEq(w.t, w.now, e.Due)
-	must.False(w.t, e.Ended())
-	must.True(w.t, w.table.IsReady(e.Partition))
-	for _, other := range w.running {
-		must.True(w.t, e != other)
+func (rt *randomTest) started(e *Entry) {
+	must.LessEq(rt.t, rt.now, e.Due)
+	must.False(rt.t, e.Ended())
+	must.True(rt.t, rt.table.IsReady(e.Partition))
+	for _, other := range rt.running {
+		must.True(rt.t, e != other)
 		if e.OrderKey != "" {
-			must.NotEq(w.t, e.OrderKey, other.OrderKey)
+			must.NotEq(rt.t, e.OrderKey, other.OrderKey)
 		}
 	}
-	w.running = append(w.running, e)
+	rt.running = append(rt.running, e)
 }
 
-func (w *randomTest) finish(e *Entry) {
-	w.table.FinishAttempt(e, rpc.State_COMPLETED, "s", w.now)
-	w.ended++
+func (rt *randomTest) finish(e *Entry) {
+	rt.table.FinishAttempt(e, rpc.State_COMPLETED, "s", rt.now)
+	rt.ended++
 	if e.OrderKey != "" {
-		place := e.Epoch<<32 | e.Seq
-		must.Greater(w.t, w.lastSeq[e.OrderKey], place)
-		w.lastSeq[e.OrderKey] = place
+		position := e.Epoch<<32 | e.Seq
+		must.Greater(rt.t, rt.lastSeq[e.OrderKey], position)
+		rt.lastSeq[e.OrderKey] = position
 	}
 }
 
 // drain takes ownership of all partitions and runs all messages: none may be left behind.
-func (w *randomTest) drain() {
-	for _, e := range w.running {
-		w.finish(e)
+func (rt *randomTest) drain() {
+	for _, e := range rt.running {
+		rt.finish(e)
 	}
-	w.running = nil
+	rt.running = nil
 	for id := range uint32(randomTestPartitions) {
-		w.epoch++
-		w.table.BeginOwnership(id, w.epoch)
-		w.table.MarkReady(id, w.now)
+		rt.epoch++
+		rt.table.BeginOwnership(id, rt.epoch)
+		rt.table.MarkReady(id, rt.now)
 	}
-	w.now += time.Second
-	for w.table.Queued() > 0 {
-		w.table.Advance(w.now)
-		e := w.table.StartNext("r0", startTarget, w.now)
+	rt.now += time.Second
+	for rt.table.Queued() > 0 {
+		rt.table.Advance(rt.now)
+		e := rt.table.StartNext("r0", startTarget, rt.now)
 		if e == nil {
-			e = w.table.StartNext("r1", startTarget, w.now)
+			e = rt.table.StartNext("r1", startTarget, rt.now)
 		}
-		must.NotNil(w.t, e, must.Sprintf("%d messages are queued, but none may run", w.table.Queued()))
-		w.finish(e)
+		must.NotNil(rt.t, e, must.Sprintf("%d messages are queued, but none may run", rt.table.Queued()))
+		rt.finish(e)
 	}
-	must.Eq(w.t, w.added, w.ended)
-	must.Eq(w.t, 0, w.table.LiveBytes())
+	must.Eq(rt.t, rt.added, rt.ended)
+	must.Eq(rt.t, 0, rt.table.LiveBytes())
 }
 
 // A message may be added after a later one of its order key has started. It must run once that attempt has ended.
