--- a/internal/delivery/busy_test.go
+++ b/internal/delivery/busy_worker_test.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// A job is not refused because a few of the workers are busy: with as many stores as there are connections to a worker each
-// store holds one, and a job must come to a worker whose connection is free.
-func TestBusyWorkersDoNotEndAJob(t *testing.T) {
+// If a worker accepts only about as many connections as there are stores, each store may hold one connection per worker. A job must
+// then reach a worker whose connection is free, rather than be refused because some of the workers are busy.
+func TestJobReachesFreeWorkerAmongBusyOnes(t *testing.T) {
 	const (
 		nearWorkers = 4
 		farWorkers  = 4
@@ -18,22 +18,22 @@
 	)
 	release := make(chan struct{})
 	arrived := make(chan struct{}, workers)
-	var standIns []*standIn
+	var fakeWorkers []*fakeWorker
 	for range workers {
-		standIns = append(standIns, startStandIn(t, func(c net.Conn, r *http.Request) {
+		fakeWorkers = append(fakeWorkers, startFakeWorker(t, func(c net.Conn, r *http.Request) {
 			arrived <- struct{}{}
 			<-release
 			succeed(c, r)
 		}))
 	}
 	config := testConfig()
-	config.Routes[0].TimeoutMs = float64(patience.Milliseconds())
+	config.Routes[0].TimeoutMs = float64(testTimeout.Milliseconds())
 	config.Services[0].MaxConns = 24
 	e := New(Options{Zone: "a"})
 	t.Cleanup(e.Close)
 	e.SetDispatchers(15)
 	e.SetCatalog(config.Version, config)
-	list := listOf(standIns...)
+	list := workerList(fakeWorkers...)
 	for _, far := range list[nearWorkers:] {
 		far.Zone = "b"
 	}
--- a/internal/delivery/bucket_test.go
+++ b/internal/delivery/token_bucket_test.go
@@ -8,12 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// Over any span, whatever the load and however the rate changes below its highest, no more is taken than the ceiling allows.
-func TestBucketNeverAboveItsCeiling(t *testing.T) {
+// In any interval, whatever the load and however the rate changes below its maximum, no more tokens are granted than the maximum
+// rate and the burst allow.
+func TestTokenBucketNeverExceedsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		highest := rapid.Float64Range(0.5, 500).Draw(t, "rate")
 		now := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "start"))
-		bucket := NewBucket(highest, now)
+		bucket := NewTokenBucket(highest, now)
 		var taken []time.Duration
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(40*time.Millisecond)).Draw(t, "gap"))
@@ -27,12 +28,12 @@
 			}
 			must.Positive(t, wait)
 		}
-		assertCeiling(t, taken, highest, bucketBurst)
+		assertRate(t, taken, highest, bucketBurst)
 	})
 }
 
-// assertCeiling checks every span that begins and ends with a taking.
-func assertCeiling(t must.T, taken []time.Duration, rate, burst float64) {
+// assertRate checks every interval that begins and ends with a granted token.
+func assertRate(t must.T, taken []time.Duration, rate, burst float64) {
 	const rounding = 1e-6
 	for i := range taken {
 		for j := i; j < len(taken); j++ {
@@ -42,8 +43,8 @@
 	}
 }
 
-func TestBucketStartsEmpty(t *testing.T) {
-	bucket := NewBucket(10, time.Second)
+func TestTokenBucketStartsEmpty(t *testing.T) {
+	bucket := NewTokenBucket(10, time.Second)
 	ok, wait := bucket.Take(time.Second)
 	must.False(t, ok)
 	ok, _ = bucket.Take(time.Second + wait)
@@ -52,10 +53,10 @@
 	must.False(t, ok)
 }
 
-// After the pause that it names, a token is there.
-func TestBucketWaitSuffices(t *testing.T) {
+// After the wait that Take returns, a token is available.
+func TestTokenBucketWaitIsSufficient(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bucket := NewBucket(rapid.Float64Range(0.5, 500).Draw(t, "rate"), 0)
+		bucket := NewTokenBucket(rapid.Float64Range(0.5, 500).Draw(t, "rate"), 0)
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(10*time.Millisecond)).Draw(t, "gap"))
--- a/internal/message/table_test.go
+++ b/internal/message/table_test.go
@@ -11,130 +11,131 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-const aim = 500 * time.Millisecond
+const startTarget = 500 * time.Millisecond
 
-func queued(name, route, key string, partition uint32, due time.Duration) *Entry {
+func queuedEntry(name, route, key string, partition uint32, due time.Duration) *Entry {
 	return &Entry{Name: name, Route: route, OrderKey: key, Partition: partition, Due: due, BodyBytes: 10}
 }
 
 func ownedTable(partitions ...uint32) *Table {
 	t := NewTable()
 	for _, id := range partitions {
-		t.Own(id, 1)
-		t.Ready(id, 0)
+		t.BeginOwnership(id, 1)
+		t.MarkReady(id, 0)
 	}
 	return t
 }
 
-func TestKeyRunsOneAtATimeInOrder(t *testing.T) {
+func TestOrderKeyRunsOneAtATimeInOrder(t *testing.T) {
 	table := ownedTable(0)
 	for i := range 3 {
-		e := queued(fmt.Sprint(i), "r", "key", 0, 0)
-		table.Number(e)
+		e := queuedEntry(fmt.Sprint(i), "r", "key", 0, 0)
+		table.AssignSeq(e)
 		table.Add(e, 0)
 	}
-	first := table.Start("r", aim, 0)
+	first := table.StartNext("r", startTarget, 0)
 	must.Eq(t, "0", first.Name)
-	must.Nil(t, table.Start("r", aim, 0))
-	table.Stop(first, 50*time.Millisecond, 0) // its outcome is unknown: the others go on waiting
-	must.Nil(t, table.Start("r", aim, 10*time.Millisecond))
+	must.Nil(t, table.StartNext("r", startTarget, 0))
+	table.Requeue(first, 50*time.Millisecond, 0) // its outcome is unknown: the others keep waiting
+	must.Nil(t, table.StartNext("r", startTarget, 10*time.Millisecond))
 	table.Advance(50 * time.Millisecond)
-	must.Eq(t, first, table.Start("r", aim, 50*time.Millisecond))
-	table.Finish(first, rpc.State_COMPLETED, "s", 60*time.Millisecond)
-	must.Eq(t, "1", table.Start("r", aim, 60*time.Millisecond).Name)
+	must.Eq(t, first, table.StartNext("r", startTarget, 50*time.Millisecond))
+	table.FinishAttempt(first, rpc.State_COMPLETED, "s", 60*time.Millisecond)
+	must.Eq(t, "1", table.StartNext("r", startTarget, 60*time.Millisecond).Name)
 }
 
-func TestEndReportedWhileRunningReleasesTheKey(t *testing.T) {
+func TestEndDuringAttemptReleasesOrderKey(t *testing.T) {
 	table := ownedTable(0)
 	for i := range 2 {
-		e := queued(fmt.Sprint(i), "r", "key", 0, 0)
-		table.Number(e)
+		e := queuedEntry(fmt.Sprint(i), "r", "key", 0, 0)
+		table.AssignSeq(e)
 		table.Add(e, 0)
 	}
-	first := table.Start("r", aim, 0)
-	must.True(t, table.End(first, rpc.State_COMPLETED, "s", 1))
-	must.Nil(t, table.Start("r", aim, 1)) // the attempt is still under way
-	table.Stop(first, 2, 2)
-	must.Eq(t, "1", table.Start("r", aim, 2).Name)
+	first := table.StartNext("r", startTarget, 0)
+	must.True(t, table.MarkEnded(first, rpc.State_COMPLETED, "s", 1))
+	must.Nil(t, table.StartNext("r", startTarget, 1)) // the attempt is still in progress
+	table.Requeue(first, 2, 2)
+	must.Eq(t, "1", table.StartNext("r", startTarget, 2).Name)
 }
 
-func TestGatheredMessagesKeepTheOrderOfTheFormerOwner(t *testing.T) {
+func TestGatheredMessagesKeepOrderOfFormerOwner(t *testing.T) {
 	table := NewTable()
-	table.Own(0, 7)
+	table.BeginOwnership(0, 7)
 	for _, seq := range []uint64{3, 1, 2} {
-		e := queued(fmt.Sprint(seq), "r", "key", 0, 0)
+		e := queuedEntry(fmt.Sprint(seq), "r", "key", 0, 0)
 		e.Epoch, e.Seq = 6, seq
 		table.Add(e, 0)
 	}
-	must.Nil(t, table.Start("r", aim, 0)) // not ready
-	table.Ready(0, 0)
-	later := queued("new", "r", "key", 0, 0)
-	table.Number(later)
+	must.Nil(t, table.StartNext("r", startTarget, 0)) // not ready
+	table.MarkReady(0, 0)
+	later := queuedEntry("new", "r", "key", 0, 0)
+	table.AssignSeq(later)
 	table.Add(later, 0)
 	for _, name := range []string{"1", "2", "3", "new"} {
-		e := table.Start("r", aim, 0)
+		e := table.StartNext("r", startTarget, 0)
 		must.Eq(t, name, e.Name)
-		table.Finish(e, rpc.State_COMPLETED, "s", 0)
+		table.FinishAttempt(e, rpc.State_COMPLETED, "s", 0)
 	}
 }
 
-func TestPausedPartitionBeginsNothing(t *testing.T) {
+func TestPausedPartitionStartsNothing(t *testing.T) {
 	table := ownedTable(0)
-	table.Add(queued("a", "r", "", 0, 0), 0)
+	table.Add(queuedEntry("a", "r", "", 0, 0), 0)
 	table.Pause(0)
-	must.Nil(t, table.Start("r", aim, 0))
+	must.Nil(t, table.StartNext("r", startTarget, 0))
 	table.Resume(0, 0)
-	must.Eq(t, "a", table.Start("r", aim, 0).Name)
+	must.Eq(t, "a", table.StartNext("r", startTarget, 0).Name)
 }
 
-func TestRetriedMessageWaitsForItsPause(t *testing.T) {
+func TestRequeuedMessageWaitsUntilDue(t *testing.T) {
 	table := ownedTable(0)
-	table.Add(queued("a", "r", "", 0, 0), 0)
-	e := table.Start("r", aim, 0)
+	table.Add(queuedEntry("a", "r", "", 0, 0), 0)
+	e := table.StartNext("r", startTarget, 0)
 	table.Pause(0)
 	table.Resume(0, 0)
-	table.Stop(e, time.Second, 0)
-	must.Nil(t, table.Start("r", aim, 0))
+	table.Requeue(e, time.Second, 0)
+	must.Nil(t, table.StartNext("r", startTarget, 0))
 	due, ok := table.NextDue()
 	must.True(t, ok)
 	must.Eq(t, time.Second, due)
 	table.Advance(time.Second)
-	must.Eq(t, e, table.Start("r", aim, time.Second))
+	must.Eq(t, e, table.StartNext("r", startTarget, time.Second))
 }
 
-func TestSuccessReplacesADeadLetterButNothingReplacesASuccess(t *testing.T) {
+func TestOnlySuccessReplacesDeadLetter(t *testing.T) {
 	table := ownedTable(0)
-	e := table.Add(queued("a", "r", "", 0, 0), 0)
-	must.True(t, table.End(e, rpc.State_DEAD, "", 1))
-	must.True(t, table.End(e, rpc.State_COMPLETED, "s", 2))
-	must.False(t, table.End(e, rpc.State_DEAD, "", 3))
+	e := table.Add(queuedEntry("a", "r", "", 0, 0), 0)
+	must.True(t, table.MarkEnded(e, rpc.State_DEAD, "", 1))
+	must.True(t, table.MarkEnded(e, rpc.State_COMPLETED, "s", 2))
+	must.False(t, table.MarkEnded(e, rpc.State_DEAD, "", 3))
 	must.Eq(t, "s", e.Stamp)
 	must.Eq(t, 0, table.LiveBytes())
 }
 
-func TestForgetKeepsStatesForTheirTime(t *testing.T) {
+func TestExpireEndedRespectsRetention(t *testing.T) {
 	table := ownedTable(0)
-	e := table.Add(queued("a", "r", "", 0, 0), 0)
-	table.End(e, rpc.State_COMPLETED, "s", time.Second)
-	must.Eq(t, 0, table.Forget(time.Minute, time.Minute))
-	must.Eq(t, 1, table.Forget(time.Minute, 2*time.Minute))
+	e := table.Add(queuedEntry("a", "r", "", 0, 0), 0)
+	table.MarkEnded(e, rpc.State_COMPLETED, "s", time.Second)
+	must.Eq(t, 0, table.ExpireEnded(time.Minute, time.Minute))
+	must.Eq(t, 1, table.ExpireEnded(time.Minute, 2*time.Minute))
 	must.Nil(t, table.Get("a"))
 }
 
-// The random walk below plays owners that come and go, and checks what must hold after every step.
-func TestRandomWalkKeepsTheInvariants(t *testing.T) {
+// Performs random operations, including changes of ownership, and checks the invariants after each step.
+func TestRandomOperationsKeepInvariants(t *testing.T) {
 	for seed := range uint64(40) {
-		w := &walk{t: t, rng: rand.New(rand.NewPCG(seed, 1)), table: NewTable(), lastSeq: map[string]uint64{}}
+		rt := &randomTest{t: t, rng: rand.New(rand.NewPCG(seed, 1)), table: NewTable(), lastSeq: map[string]uint64{}}
 		for range 3000 {
-			w.step()
+			rt.step()
 		}
-		w.drain()
+		rt.drain()
 	}
 }
 
-const walkPartitions = 3
+const randomTestPartitions = 3
 
-type walk struct {
+// randomTest applies random operations to a table and checks the invariants.
+type randomTest struct {
 	t       *testing.T
 	rng     *rand.Rand
 	table   *Table
@@ -143,170 +144,170 @@
 	epoch   uint64
 	added   int
 	ended   int
-	lastSeq map[string]uint64 // of the last message of a key that ended
+	lastSeq map[string]uint64 // by order key: epoch << 32 | sequence number of the last message that ended
 }
 
-func (w *walk) step() {
-	w.now += time.Duration(w.rng.IntN(20)) * time.Millisecond
-	w.table.Advance(w.now)
-	id := uint32(w.rng.IntN(walkPartitions))
-	switch w.rng.IntN(10) {
+func (rt *randomTest) step() {
+	rt.now += time.Duration(rt.rng.IntN(20)) * time.Millisecond
+	rt.table.Advance(rt.now)
+	id := uint32(rt.rng.IntN(randomTestPartitions))
+	switch rt.rng.IntN(10) {
 	case 0:
-		w.epoch++
-		w.table.Own(id, w.epoch)
+		rt.epoch++
+		rt.table.BeginOwnership(id, rt.epoch)
 	case 1:
-		if w.table.OwnedEpoch(id) > 0 {
-			w.table.Ready(id, w.now)
+		if rt.table.OwnedEpoch(id) > 0 {
+			rt.table.MarkReady(id, rt.now)
 		}
 	case 2:
-		if w.rng.IntN(4) == 0 {
-			w.table.Disown(id)
+		if rt.rng.IntN(4) == 0 {
+			rt.table.EndOwnership(id)
 		}
 	case 3:
-		w.table.Pause(id)
+		rt.table.Pause(id)
 	case 4:
-		w.table.Resume(id, w.now)
+		rt.table.Resume(id, rt.now)
 	case 5, 6:
-		w.add(id)
+		rt.add(id)
 	default:
-		w.attempt()
+		rt.attempt()
 	}
 }
 
-func (w *walk) add(id uint32) {
-	if w.table.OwnedEpoch(id) == 0 {
+func (rt *randomTest) add(id uint32) {
+	if rt.table.OwnedEpoch(id) == 0 {
 		return
 	}
 	key := ""
-	if w.rng.IntN(2) == 0 {
-		key = fmt.Sprintf("%d-%d", id, w.rng.IntN(3))
+	if rt.rng.IntN(2) == 0 {
+		key = fmt.Sprintf("%d-%d", id, rt.rng.IntN(3))
 	}
-	due := w.now + time.Duration(w.rng.IntN(100))*time.Millisecond
+	due := rt.now + time.Duration(rt.rng.IntN(100))*time.Millisecond
 	if key != "" {
-		due = w.now
+		due = rt.now
 	}
-	e := queued(fmt.Sprint(w.added), fmt.Sprintf("r%d", w.rng.IntN(2)), key, id, due)
-	w.added++
-	w.table.Number(e)
-	w.table.Add(e, w.now)
+	e := queuedEntry(fmt.Sprint(rt.added), fmt.Sprintf("r%d", rt.rng.IntN(2)), key, id, due)
+	rt.added++
+	rt.table.AssignSeq(e)
+	rt.table.Add(e, rt.now)
 }
 
-func (w *walk) attempt() {
-	if len(w.running) > 0 && w.rng.IntN(2) == 0 {
-		i := w.rng.IntN(len(w.running))
-		e := w.running[i]
-		w.running = append(w.running[:i], w.running[i+1:]...)
-		if w.rng.IntN(3) == 0 {
-			w.table.Stop(e, w.now+time.Duration(w.rng.IntN(30))*time.Millisecond, w.now)
+func (rt *randomTest) attempt() {
+	if len(rt.running) > 0 && rt.rng.IntN(2) == 0 {
+		i := rt.rng.IntN(len(rt.running))
+		e := rt.running[i]
+		rt.running = append(rt.running[:i], rt.running[i+1:]...)
+		if rt.rng.IntN(3) == 0 {
+			rt.table.Requeue(e, rt.now+time.Duration(rt.rng.IntN(30))*time.Millisecond, rt.now)
 			return
 		}
-		w.finish(e)
+		rt.finish(e)
 		return
 	}
-	if e := w.table.Start(fmt.Sprintf("r%d", w.rng.IntN(2)), aim, w.now); e != nil {
-		w.started(e)
+	if e := rt.table.StartNext(fmt.Sprintf("r%d", rt.rng.IntN(2)), startTarget, rt.now); e != nil {
+		rt.started(e)
 	}
 }
 
-func (w *walk) started(e *Entry) {
-	must.LessEq(w.t, w.now, e.Due)
-	must.False(w.t, e.Ended())
-	must.True(w.t, w.table.IsReady(e.Partition))
-	for _, other := range w.running {
-		must.True(w.t, e != other)
+func (rt *randomTest) started(e *Entry) {
+	must.LessEq(rt.t, rt.now, e.Due)
+	must.False(rt.t, e.Ended())
+	must.True(rt.t, rt.table.IsReady(e.Partition))
+	for _, other := range rt.running {
+		must.True(rt.t, e != other)
 		if e.OrderKey != "" {
-			must.NotEq(w.t, e.OrderKey, other.OrderKey)
+			must.NotEq(rt.t, e.OrderKey, other.OrderKey)
 		}
 	}
-	w.running = append(w.running, e)
+	rt.running = append(rt.running, e)
 }
 
-func (w *walk) finish(e *Entry) {
-	w.table.Finish(e, rpc.State_COMPLETED, "s", w.now)
-	w.ended++
+func (rt *randomTest) finish(e *Entry) {
+	rt.table.FinishAttempt(e, rpc.State_COMPLETED, "s", rt.now)
+	rt.ended++
 	if e.OrderKey != "" {
-		place := e.Epoch<<32 | e.Seq
-		must.Greater(w.t, w.lastSeq[e.OrderKey], place)
-		w.lastSeq[e.OrderKey] = place
+		position := e.Epoch<<32 | e.Seq
+		must.Greater(rt.t, rt.lastSeq[e.OrderKey], position)
+		rt.lastSeq[e.OrderKey] = position
 	}
 }
 
-// drain owns everything and runs it: no message may be stranded.
-func (w *walk) drain() {
-	for _, e := range w.running {
-		w.finish(e)
+// drain takes ownership of all partitions and runs all messages: none may be left behind.
+func (rt *randomTest) drain() {
+	for _, e := range rt.running {
+		rt.finish(e)
 	}
-	w.running = nil
-	for id := range uint32(walkPartitions) {
-		w.epoch++
-		w.table.Own(id, w.epoch)
-		w.table.Ready(id, w.now)
+	rt.running = nil
+	for id := range uint32(randomTestPartitions) {
+		rt.epoch++
+		rt.table.BeginOwnership(id, rt.epoch)
+		rt.table.MarkReady(id, rt.now)
 	}
-	w.now += time.Second
-	for w.table.Queued() > 0 {
-		w.table.Advance(w.now)
-		e := w.table.Start("r0", aim, w.now)
+	rt.now += time.Second
+	for rt.table.Queued() > 0 {
+		rt.table.Advance(rt.now)
+		e := rt.table.StartNext("r0", startTarget, rt.now)
 		if e == nil {
-			e = w.table.Start("r1", aim, w.now)
+			e = rt.table.StartNext("r1", startTarget, rt.now)
 		}
-		must.NotNil(w.t, e, must.Sprintf("%d messages are stranded", w.table.Queued()))
-		w.finish(e)
+		must.NotNil(rt.t, e, must.Sprintf("%d messages are queued, but none may run", rt.table.Queued()))
+		rt.finish(e)
 	}
-	must.Eq(w.t, w.added, w.ended)
-	must.Eq(w.t, 0, w.table.LiveBytes())
+	must.Eq(rt.t, rt.added, rt.ended)
+	must.Eq(rt.t, 0, rt.table.LiveBytes())
 }
 
-// A message that was learnt late goes before one of its key that is under way; it must run when that one stops.
-func TestLateMessageRunsAfterTheAttemptThatItFoundUnderWay(t *testing.T) {
+// A message may be added after a later one of its order key has started. It must run once that attempt has ended.
+func TestMessageAddedOutOfOrderRunsAfterCurrentAttempt(t *testing.T) {
 	table := ownedTable(0)
-	second := queued("second", "r", "key", 0, 0)
+	second := queuedEntry("second", "r", "key", 0, 0)
 	second.Epoch, second.Seq = 1, 2
 	table.Add(second, 0)
-	must.Eq(t, second, table.Start("r", aim, 0))
-	first := queued("first", "r", "key", 0, 0)
+	must.Eq(t, second, table.StartNext("r", startTarget, 0))
+	first := queuedEntry("first", "r", "key", 0, 0)
 	first.Epoch, first.Seq = 1, 1
 	table.Add(first, 0)
-	must.Nil(t, table.Start("r", aim, 0))
-	table.Stop(second, 0, 0)
-	must.Eq(t, first, table.Start("r", aim, 0))
-	table.Finish(first, rpc.State_COMPLETED, "s", 0)
-	must.Eq(t, second, table.Start("r", aim, 0))
+	must.Nil(t, table.StartNext("r", startTarget, 0))
+	table.Requeue(second, 0, 0)
+	must.Eq(t, first, table.StartNext("r", startTarget, 0))
+	table.FinishAttempt(first, rpc.State_COMPLETED, "s", 0)
+	must.Eq(t, second, table.StartNext("r", startTarget, 0))
 }
 
-func TestDropForgetsAMessageThatOthersHold(t *testing.T) {
+func TestRemoveMessageHeldByOthers(t *testing.T) {
 	table := ownedTable(0)
-	first, second := queued("first", "r", "key", 0, 0), queued("second", "r", "key", 0, 0)
-	table.Number(first)
-	table.Number(second)
+	first, second := queuedEntry("first", "r", "key", 0, 0), queuedEntry("second", "r", "key", 0, 0)
+	table.AssignSeq(first)
+	table.AssignSeq(second)
 	table.Add(first, 0)
 	table.Add(second, 0)
-	table.Disown(0)
-	table.Drop(first)
+	table.EndOwnership(0)
+	table.Remove(first)
 	must.Nil(t, table.Get("first"))
 	must.Eq(t, 1, table.Queued())
 	must.Eq(t, second.BodyBytes, table.LiveBytes())
-	table.Own(0, 2)
-	table.Ready(0, 0)
-	must.Eq(t, second, table.Start("r", aim, 0))
+	table.BeginOwnership(0, 2)
+	table.MarkReady(0, 0)
+	must.Eq(t, second, table.StartNext("r", startTarget, 0))
 }
 
-func TestNothingRunsBeforeItIsKnownWhatOthersHold(t *testing.T) {
+func TestNothingRunsBeforePartitionIsReady(t *testing.T) {
 	table := NewTable()
-	table.Own(0, 2)
-	table.Add(queued("m", "r", "", 0, 0), 0)
-	must.Nil(t, table.Start("r", aim, time.Second))
-	table.Ready(0, time.Second)
-	must.Eq(t, "m", table.Start("r", aim, time.Second).Name)
+	table.BeginOwnership(0, 2)
+	table.Add(queuedEntry("m", "r", "", 0, 0), 0)
+	must.Nil(t, table.StartNext("r", startTarget, time.Second))
+	table.MarkReady(0, time.Second)
+	must.Eq(t, "m", table.StartNext("r", startTarget, time.Second).Name)
 }
 
-func TestEndTravelsWithItsAge(t *testing.T) {
+func TestCompletionMessageKeepsAge(t *testing.T) {
 	e := &Entry{Name: "m", Partition: 3, State: rpc.State_COMPLETED, Stamp: "s", Body: []byte("body"), BodyBytes: 4, EndedAt: 2 * time.Second,
 		Epoch: 5, Seq: 6}
-	told := FromMessage(e.End(9*time.Second), 30*time.Second)
-	must.EqOp(t, "m", told.Name)
-	must.EqOp(t, 3, told.Partition)
-	must.EqOp(t, rpc.State_COMPLETED, told.State)
-	must.EqOp(t, "s", told.Stamp)
-	must.EqOp(t, 23*time.Second, told.EndedAt)
-	must.EqOp(t, 0, told.BodyBytes)
+	received := NewEntry(e.CompletionMessage(9*time.Second), 30*time.Second)
+	must.EqOp(t, "m", received.Name)
+	must.EqOp(t, 3, received.Partition)
+	must.EqOp(t, rpc.State_COMPLETED, received.State)
+	must.EqOp(t, "s", received.Stamp)
+	must.EqOp(t, 23*time.Second, received.EndedAt)
+	must.EqOp(t, 0, received.BodyBytes)
 }
