--- a/coord/applog/doc.go
+++ b/coord/applog/doc.go
@@ -1,11 +1,11 @@
-// Package applog keeps an append-only file of checksummed records.
+// Package applog implements an append-only log file of checksummed records.
 //
-// Appends go to a buffer in memory. One background goroutine writes the buffer and syncs the file, so that
-// all callers that wait at one time share one fdatasync (group commit). A log that has become long is
-// replaced by Rewrite with the records that are still wanted.
+// Appends go to a buffer in memory. One background goroutine writes the buffer and syncs the file, so
+// concurrent requests for a sync share one fdatasync (group commit). Rewrite compacts the log: it replaces
+// the file with one that holds only the records that are still needed.
 //
-// A record is a header of 8 bytes and a payload. The header holds a little-endian word, with the length of
-// the payload in the lower 24 bits and a fixed marker in the upper 8, and the CRC-32C of the record. The
-// checksum starts from the record's offset, so bytes are a valid record only where they were written; a
-// copy of a record within a payload is never taken for one.
+// A record is an 8-byte header followed by the payload. The header holds a little-endian 32-bit word, with
+// the length of the payload in the lower 24 bits and a fixed marker in the upper 8, and the CRC-32C of the
+// length word and the payload. The checksum is seeded with the record's offset, so bytes are a valid record
+// only at the offset where they were written: a copy of a record inside a payload is not replayed.
 package applog
--- a/coord/applog/errors.go
+++ b/coord/applog/errors.go
@@ -3,39 +3,39 @@
 import "github.com/pkg/errors"
 
 var (
-	// ErrFull says that the log has reached Options.MaxBytes or that the disk has no space. The log stays
-	// usable: records can be read, and appends succeed again after a Rewrite or when space was freed.
-	ErrFull = errors.New("the log is full: rewrite it with fewer records, or free space on the disk")
+	// ErrFull is returned when the log has reached Options.MaxBytes or the disk has no space left. The log
+	// stays usable: records can be read, and appends succeed again after a Rewrite or once space is free.
+	ErrFull = errors.New("log full: rewrite it with fewer records, or free disk space")
 
-	// ErrCorrupt says that the bytes at a position aren't the record that was appended there.
-	ErrCorrupt = errors.New("the record is corrupt: fetch its content from another copy")
+	// ErrCorrupt is returned when the bytes at a position are not the record that was appended there.
+	ErrCorrupt = errors.New("record corrupt: fetch its content from another copy")
 
-	// ErrStalePosition says that a position was given out before the last Rewrite.
-	ErrStalePosition = errors.New("the position is from before a rewrite: look the record up again in the new index")
+	// ErrStalePosition is returned for a position from before the last Rewrite.
+	ErrStalePosition = errors.New("stale log position: a rewrite has replaced it; look up the record in the new index")
 
-	// ErrTooLarge says that a payload is longer than MaxPayloadBytes.
-	ErrTooLarge = errors.New("the payload is too large for one record: split it below 16 MiB")
+	// ErrTooLarge is returned for a payload longer than MaxPayloadBytes.
+	ErrTooLarge = errors.New("payload too large for one record: split it into parts below 16 MiB")
 
-	// ErrWriteFailed says that a write or a sync failed for another reason than space. What the file holds since
-	// the last sync is unknown, so the log refuses all further writes.
-	ErrWriteFailed = errors.New("the disk failed the log: restart the process, which replays what was kept")
+	// ErrWriteFailed is returned when a write or sync has failed for any reason other than lack of space.
+	// The content of the file after the last successful sync is then unknown, so the log rejects all further
+	// writes until it is opened again.
+	ErrWriteFailed = errors.New("write to the log failed: restart the process to replay the records on disk")
 
-	// ErrClosed says that the log was closed.
-	ErrClosed = errors.New("the log is closed: open it again")
+	// ErrClosed is returned by calls on a closed log.
+	ErrClosed = errors.New("log closed")
 )
 
-// failedError is an ErrWriteFailed with the cause that the system reported.
-type failedError struct {
+// writeFailedError is an ErrWriteFailed with the failed operation and the error of the operating system.
+type writeFailedError struct {
 	operation string
 	cause     error
 }
 
-func (e *failedError) Error() string {
+func (e *writeFailedError) Error() string {
 	return ErrWriteFailed.Error() + " (" + e.operation + ": " + e.cause.Error() + ")"
 }
 
 // Is reports whether target is ErrWriteFailed.
-func (e *failedError) Is(target error) bool { return target == ErrWriteFailed }
+func (e *writeFailedError) Is(target error) bool { return target == ErrWriteFailed }
 
-// Unwrap returns the cause that the system reported.
-func (e *failedError) Unwrap() error { return e.cause }
+func (e *writeFailedError) Unwrap() error { return e.cause }
--- a/coord/applog/file.go
+++ b/coord/applog/file.go
@@ -13,24 +13,24 @@
 	directoryMode = 0o755
 	fileMode      = 0o644
 
-	// rewriteSuffix marks a file that a rewrite has not finished.
+	// rewriteSuffix is appended to the name of the log for the file that a rewrite is writing. Open removes
+	// a file with this suffix, which an interrupted rewrite has left.
 	rewriteSuffix = ".rewrite"
 )
 
-// dataFile is the part of a file that the log uses.
+// dataFile is the interface through which the log uses its file; tests inject faults behind it.
 type dataFile interface {
 	io.ReaderAt
 	io.WriterAt
 	io.Closer
 	Truncate(size int64) error
-	// SyncData returns when what was written is on the disk.
+	// SyncData flushes all written data to the disk. On Linux it is fdatasync.
 	SyncData() error
 }
 
-// diskFile is a dataFile of the operating system.
+// diskFile implements dataFile with a file of the operating system.
 type diskFile struct{ *os.File }
 
-// SyncData implements dataFile.
 func (f diskFile) SyncData() error {
 	for {
 		err := unix.Fdatasync(int(f.Fd()))
@@ -40,10 +40,11 @@
 	}
 }
 
-// openFile opens the file of a log, or creates it so that it lasts.
+// openFile opens the file of a log and returns its size in bytes. If the file does not exist, openFile
+// creates it and makes it durable. It removes the file of an interrupted rewrite.
 func openFile(directory, name string) (dataFile, int64, error) {
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
-		return nil, 0, errors.Wrap(err, "create the folder of the log")
+		return nil, 0, errors.Wrap(err, "create the log directory")
 	}
 	path := filepath.Join(directory, name)
 	if err := os.Remove(path + rewriteSuffix); err != nil && !os.IsNotExist(err) {
@@ -63,8 +64,9 @@
 	return diskFile{file}, size, nil
 }
 
-// prepareFile makes a new file last, and returns the size of the file. The folder is synced in any case: a
-// process that was killed during a rewrite may have renamed the file without a sync.
+// prepareFile makes the file and its directory entry durable and returns the size of the file in bytes. It
+// always syncs the directory, because a process that was killed during a rewrite may have renamed the file
+// without syncing the directory.
 func prepareFile(file *os.File, directory string, created bool) (int64, error) {
 	if created {
 		if err := file.Sync(); err != nil {
@@ -81,17 +83,18 @@
 	return info.Size(), nil
 }
 
-// syncDirectory makes the names of files in a folder last.
+// syncDirectory makes the entries of a directory durable.
 func syncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
-		return errors.Wrap(err, "open the folder of the log")
+		return errors.Wrap(err, "open the log directory")
 	}
 	defer directory.Close()
-	return errors.Wrap(directory.Sync(), "sync the folder of the log")
+	return errors.Wrap(directory.Sync(), "sync the log directory")
 }
 
-// isNoSpace reports whether a write failed because the disk or the file has no more space.
+// isNoSpace reports whether a write failed because the disk is full, the quota is exhausted or the file has
+// reached its size limit.
 func isNoSpace(err error) bool {
 	return errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) || errors.Is(err, unix.EFBIG)
 }
--- a/coord/applog/helpers_test.go
+++ b/coord/applog/helpers_test.go
@@ -10,15 +10,15 @@
 	"github.com/shoenig/test/must"
 )
 
-const testName = "records"
+const testLogName = "records"
 
-// openCollecting opens a log and returns the payloads that were replayed and the regions reported corrupt.
+// openCollecting opens a log and returns it with the replayed payloads and the regions reported as corrupt.
 func openCollecting(t *testing.T, directory string, options Options) (*Log, []string, []Position) {
 	t.Helper()
 	var payloads []string
 	var corrupt []Position
 	options.OnCorrupt = func(region Position) { corrupt = append(corrupt, region) }
-	log, err := Open(directory, testName, options, func(_ Position, payload []byte) error {
+	log, err := Open(directory, testLogName, options, func(_ Position, payload []byte) error {
 		payloads = append(payloads, string(payload))
 		return nil
 	})
@@ -26,20 +26,19 @@
 	return log, payloads, corrupt
 }
 
-// replayOf returns what a log with that content replays.
-func replayOf(t *testing.T, content []byte) ([]string, []Position) {
+// replayContent opens a log with the given file content and returns the replayed payloads and corrupt regions.
+func replayContent(t *testing.T, content []byte) ([]string, []Position) {
 	t.Helper()
 	directory := t.TempDir()
-	must.NoError(t, os.WriteFile(filepath.Join(directory, testName), content, fileMode))
+	must.NoError(t, os.WriteFile(filepath.Join(directory, testLogName), content, fileMode))
 	log, payloads, corrupt := openCollecting(t, directory, Options{})
 	must.NoError(t, log.Close())
 	return payloads, corrupt
 }
 
-// contentOf returns the bytes of a log's file.
-func contentOf(t *testing.T, directory string) []byte {
+func readLogFile(t *testing.T, directory string) []byte {
 	t.Helper()
-	content, err := os.ReadFile(filepath.Join(directory, testName))
+	content, err := os.ReadFile(filepath.Join(directory, testLogName))
 	must.NoError(t, err)
 	return content
 }
@@ -60,18 +59,18 @@
 	return payloads
 }
 
-// faultyFile is a dataFile whose writes and syncs can fail or be held up.
+// faultyFile is a dataFile whose writes and syncs can fail and whose syncs can be blocked. It performs no sync.
 type faultyFile struct {
 	dataFile
-	mutex      sync.Mutex
-	writeError error // of the next writes, after half of the bytes were written
-	syncError  error
-	syncs      int
-	syncBegan  chan struct{} // if set, receives at the start of each sync
-	syncMayEnd chan struct{} // if set, each sync waits for it
+	mutex       sync.Mutex
+	writeError  error // returned by writes, which then write only half of the bytes
+	syncError   error
+	syncs       int
+	syncStarted chan struct{} // if set, each sync sends to it when it starts
+	finishSync  chan struct{} // with syncStarted set, each sync receives from it before it returns
 }
 
-func (f *faultyFile) set(writeError, syncError error) {
+func (f *faultyFile) setErrors(writeError, syncError error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.writeError = writeError
@@ -94,24 +93,24 @@
 	f.syncs++
 	failure := f.syncError
 	f.mutex.Unlock()
-	if f.syncBegan != nil {
-		f.syncBegan <- struct{}{}
-		<-f.syncMayEnd
+	if f.syncStarted != nil {
+		f.syncStarted <- struct{}{}
+		<-f.finishSync
 	}
 	return failure
 }
 
-// openFaulty opens an empty log on a faultyFile.
+// openFaulty opens an empty log whose file is a faultyFile.
 func openFaulty(t *testing.T, directory string, options Options) (*Log, *faultyFile) {
 	t.Helper()
-	file, size, err := openFile(directory, testName)
+	file, size, err := openFile(directory, testLogName)
 	must.NoError(t, err)
 	must.Zero(t, size)
 	faulty := &faultyFile{dataFile: file}
-	return start(faulty, 0, directory, testName, options), faulty
+	return startLog(faulty, 0, directory, testLogName, options), faulty
 }
 
-// writeContent replaces the file of a closed log.
-func writeContent(directory string, content []byte) error {
-	return os.WriteFile(filepath.Join(directory, testName), content, fileMode)
+// writeLogFile replaces the content of a log's file.
+func writeLogFile(directory string, content []byte) error {
+	return os.WriteFile(filepath.Join(directory, testLogName), content, fileMode)
 }
--- a/coord/applog/log_test.go
+++ b/coord/applog/log_test.go
@@ -28,7 +28,7 @@
 		if random.IntN(40) == 0 {
 			must.NoError(t, log.Wait())
 		}
-		for position, payload := range wanted { // any one of them
+		for position, payload := range wanted { // an arbitrary record
 			got, err := log.Read(position)
 			must.NoError(t, err)
 			must.True(t, payload == string(got))
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestReadRefusesWhatIsNoRecord(t *testing.T) {
+func TestReadRejectsInvalidAndCorruptRecords(t *testing.T) {
 	directory := t.TempDir()
 	log, _, _ := openCollecting(t, directory, Options{})
 	position, err := log.Append([]byte("payload"))
@@ -59,15 +59,15 @@
 		_, err := log.Read(wrong)
 		must.ErrorIs(t, err, ErrCorrupt)
 	}
-	content := contentOf(t, directory)
+	content := readLogFile(t, directory)
 	content[len(content)-1] ^= 4
-	must.NoError(t, writeContent(directory, content))
+	must.NoError(t, writeLogFile(directory, content))
 	_, err = log.Read(position)
 	must.ErrorIs(t, err, ErrCorrupt)
 	must.NoError(t, log.Close())
 }
 
-func TestRewriteKeepsWhatWasEmitted(t *testing.T) {
+func TestRewriteKeepsEmittedRecords(t *testing.T) {
 	random := rand.New(rand.NewPCG(11, 12))
 	directory := t.TempDir()
 	log, _, _ := openCollecting(t, directory, Options{})
@@ -96,7 +96,8 @@
 	must.NoError(t, log.Close())
 }
 
-// rewriteSome rewrites a log with about half of its records and checks that old positions are refused.
+// rewriteSome rewrites a log with about half of its records, checks that old positions are rejected as stale,
+// and returns the new index.
 func rewriteSome(t *testing.T, log *Log, random *rand.Rand, index map[Position]string) map[Position]string {
 	t.Helper()
 	kept := map[Position]string{}
@@ -134,7 +135,7 @@
 	payload, err := log.Read(position)
 	must.NoError(t, err)
 	must.EqOp(t, "kept", string(payload))
-	_, err = os.Stat(filepath.Join(directory, testName+rewriteSuffix))
+	_, err = os.Stat(filepath.Join(directory, testLogName+rewriteSuffix))
 	must.True(t, os.IsNotExist(err))
 	must.NoError(t, log.Close())
 	log, payloads, _ := openCollecting(t, directory, Options{})
@@ -144,7 +145,7 @@
 
 func TestOpenRemovesUnfinishedRewrite(t *testing.T) {
 	directory := t.TempDir()
-	path := filepath.Join(directory, testName+rewriteSuffix)
+	path := filepath.Join(directory, testLogName+rewriteSuffix)
 	must.NoError(t, os.WriteFile(path, []byte("half"), fileMode))
 	log, payloads, _ := openCollecting(t, directory, Options{})
 	must.SliceEmpty(t, payloads)
@@ -153,10 +154,11 @@
 	must.NoError(t, log.Close())
 }
 
+// Sync requests made while a sync runs must all be answered by one further sync.
 func TestGroupCommitSharesSyncs(t *testing.T) {
 	log, file := openFaulty(t, t.TempDir(), Options{})
-	file.syncBegan = make(chan struct{})
-	file.syncMayEnd = make(chan struct{})
+	file.syncStarted = make(chan struct{})
+	file.finishSync = make(chan struct{})
 	const callers = 50
 	var group sync.WaitGroup
 	request := func() {
@@ -169,30 +171,32 @@
 		})
 	}
 	request()
-	<-file.syncBegan
+	<-file.syncStarted
 	for range callers {
 		request()
 	}
-	file.syncMayEnd <- struct{}{}
-	<-file.syncBegan
-	file.syncMayEnd <- struct{}{}
+	file.finishSync <- struct{}{}
+	<-file.syncStarted
+	file.finishSync <- struct{}{}
 	group.Wait()
-	must.NoError(t, log.Wait()) // nothing is left to sync
+	must.NoError(t, log.Wait()) // nothing to sync, so it must not sync again
 	must.EqOp(t, 2, file.syncs)
 	must.NoError(t, log.Close())
 	must.EqOp(t, 2, file.syncs)
 }
 
-func TestFailedSyncRefusesWrites(t *testing.T) {
+// After a failed sync the content of the file is unknown: all further writes must fail, also once the disk works
+// again, while reads still succeed.
+func TestFailedSyncRejectsWrites(t *testing.T) {
 	log, file := openFaulty(t, t.TempDir(), Options{})
 	position, err := log.Append([]byte("payload"))
 	must.NoError(t, err)
-	file.set(nil, unix.EIO)
+	file.setErrors(nil, unix.EIO)
 	err = log.Wait()
 	must.ErrorIs(t, err, ErrWriteFailed)
 	must.ErrorIs(t, err, unix.EIO)
 	must.StrContains(t, err.Error(), "restart the process")
-	file.set(nil, nil)
+	file.setErrors(nil, nil)
 	_, err = log.Append([]byte("later"))
 	must.ErrorIs(t, err, ErrWriteFailed)
 	must.ErrorIs(t, log.Wait(), ErrWriteFailed)
@@ -202,26 +206,28 @@
 	must.ErrorIs(t, log.Close(), ErrWriteFailed)
 }
 
+// A write without disk space must leave the file at its old length and keep the records in the buffer, where they
+// can be read, until a later write succeeds.
 func TestFullDiskKeepsRecords(t *testing.T) {
 	directory := t.TempDir()
 	log, file := openFaulty(t, directory, Options{})
 	_, err := log.Append([]byte("first"))
 	must.NoError(t, err)
 	must.NoError(t, log.Wait())
-	before := len(contentOf(t, directory))
+	before := len(readLogFile(t, directory))
 
-	file.set(unix.ENOSPC, nil)
+	file.setErrors(unix.ENOSPC, nil)
 	position, err := log.Append([]byte("second"))
 	must.NoError(t, err)
 	must.ErrorIs(t, log.Wait(), ErrFull)
-	must.EqOp(t, before, len(contentOf(t, directory)))
+	must.EqOp(t, before, len(readLogFile(t, directory)))
 	_, err = log.Append([]byte("refused"))
 	must.ErrorIs(t, err, ErrFull)
 	payload, err := log.Read(position)
 	must.NoError(t, err)
 	must.EqOp(t, "second", string(payload))
 
-	file.set(nil, nil)
+	file.setErrors(nil, nil)
 	must.NoError(t, log.Wait())
 	_, err = log.Append([]byte("third"))
 	must.NoError(t, err)
@@ -249,12 +255,13 @@
 	must.ErrorIs(t, log.Wait(), ErrClosed)
 }
 
-// TestConcurrentUse appends, syncs, reads and rewrites from several goroutines.
+// TestConcurrentUse appends, syncs, reads and rewrites from several goroutines. All records must be readable
+// throughout and replayed at the end.
 func TestConcurrentUse(t *testing.T) {
 	directory := t.TempDir()
 	log, _, _ := openCollecting(t, directory, Options{})
 	const writers, records = 4, 300
-	var index sync.RWMutex // held for a rewrite as by a caller that owns the index
+	var index sync.RWMutex // guards positions; held during a rewrite, as by a caller that owns the index
 	positions := map[Position]string{}
 	var group sync.WaitGroup
 	for writer := range writers {
@@ -310,43 +317,46 @@
 	return next
 }
 
-func TestWaitingShowsADiskThatDoesNotAnswer(t *testing.T) {
+// While a sync blocks, OldestSyncWait must report the wait of its request even after later requests, so that a
+// stalled disk is detected.
+func TestOldestSyncWaitGrowsWhileDiskIsStalled(t *testing.T) {
 	log, file := openFaulty(t, t.TempDir(), Options{})
 	must.Eq(t, 0, log.OldestSyncWait())
-	file.syncBegan = make(chan struct{})
-	file.syncMayEnd = make(chan struct{})
+	file.syncStarted = make(chan struct{})
+	file.finishSync = make(chan struct{})
 	_, err := log.Append([]byte("payload"))
 	must.NoError(t, err)
 	first := make(chan error, 1)
 	began := time.Now()
 	log.RequestSync(func(err error) { first <- err })
-	<-file.syncBegan
+	<-file.syncStarted
 	second := make(chan error, 1)
 	_, err = log.Append([]byte("behind it"))
 	must.NoError(t, err)
 	log.RequestSync(func(err error) { second <- err })
 	must.Positive(t, log.BufferedBytes())
-	for log.OldestSyncWait() < 10*time.Millisecond { // that of the sync under way, not of the later one
+	for log.OldestSyncWait() < 10*time.Millisecond { // the wait of the running sync, not of the later request
 		must.Less(t, time.Minute, time.Since(began))
 	}
-	file.syncMayEnd <- struct{}{}
+	file.finishSync <- struct{}{}
 	must.NoError(t, <-first)
-	<-file.syncBegan
-	file.syncMayEnd <- struct{}{}
+	<-file.syncStarted
+	file.finishSync <- struct{}{}
 	must.NoError(t, <-second)
 	must.NoError(t, log.Close())
 	must.Eq(t, 0, log.OldestSyncWait())
 	must.Eq(t, 0, log.BufferedBytes())
 }
 
-func TestFullTellsOfADiskWithoutSpaceUntilThereIsSome(t *testing.T) {
+// Full must be true after a write without space, and false again once a retry succeeds.
+func TestFullReportsDiskWithoutSpace(t *testing.T) {
 	log, file := openFaulty(t, t.TempDir(), Options{})
-	file.set(syscall.ENOSPC, nil)
+	file.setErrors(syscall.ENOSPC, nil)
 	_, err := log.Append([]byte("payload"))
 	must.NoError(t, err)
 	must.ErrorIs(t, log.Wait(), ErrFull)
 	must.True(t, log.Full())
-	file.set(nil, nil)
+	file.setErrors(nil, nil)
 	must.NoError(t, log.Wait())
 	must.False(t, log.Full())
 	must.NoError(t, log.Close())
--- a/coord/applog/rewrite.go
+++ b/coord/applog/rewrite.go
@@ -7,24 +7,29 @@
 	"github.com/pkg/errors"
 )
 
-// rewriteBufferBytes is what a rewrite writes at one time.
+// rewriteBufferBytes is the buffer length from which a rewrite writes to the new file.
 const rewriteBufferBytes = 256 << 10
 
-// rewriter writes the file that replaces a log's.
+// rewriter writes the new file of a rewrite.
 type rewriter struct {
 	file       dataFile
-	buffer     []byte
-	written    int64
-	maxBytes   int64
-	generation uint32
+	buffer     []byte // records that are not yet written
+	written    int64  // length of the file in bytes
+	maxBytes   int64  // maximum length of the file; 0 for no limit
+	generation uint32 // of the returned positions
 }
 
-// Rewrite replaces the content of the log by the records that emit gives to write, in their order. When it
-// returns nil, they are synced, the positions from write are valid, and all older ones are not: the caller
-// exchanges its index before it reads again. After an error the log and its positions are as before
-// (ErrWriteFailed excepted). Appends wait while it runs; emit may call Read, but not Append, Wait or Close.
-// Requests for a sync that wait meanwhile are answered with the new file in place. Errors: ErrFull,
-// ErrTooLarge, ErrWriteFailed, ErrClosed, or that of emit.
+// Rewrite replaces the content of the log, buffered records included, with the records that emit passes to
+// write, in that order. When Rewrite returns nil, the records are synced, the positions that write returned are
+// valid, and all earlier positions are stale: the caller must replace its index before the next Read.
+//
+// If emit, the new file or its rename fails, the log and its positions are unchanged. After ErrWriteFailed the
+// log rejects writes. If only closing the replaced file fails, Rewrite returns that error although the new
+// content is in place.
+//
+// Append blocks during a Rewrite. emit may call Read, but must not call Append, Wait or Close. Pending sync
+// requests complete once the rewrite has ended. Errors: ErrFull, ErrTooLarge, ErrWriteFailed, ErrClosed, the
+// error of emit, or an I/O error.
 func (l *Log) Rewrite(emit func(write func(payload []byte) (Position, error)) error) error {
 	l.ioMutex.Lock()
 	defer l.ioMutex.Unlock()
@@ -35,26 +40,27 @@
 	path := filepath.Join(l.directory, l.name)
 	file, err := os.OpenFile(path+rewriteSuffix, os.O_RDWR|os.O_CREATE|os.O_TRUNC, fileMode)
 	if err != nil {
-		return errors.Wrap(asFull(err), "create the new file of the log")
+		return errors.Wrap(mapNoSpace(err), "create the new log file")
 	}
 	next := &rewriter{file: diskFile{file}, maxBytes: l.options.MaxBytes, generation: l.generation + 1}
-	if err := next.fill(emit); err != nil {
-		return discard(file, err)
+	if err := next.writeRecords(emit); err != nil {
+		return discardRewrite(file, err)
 	}
 	if err := os.Rename(file.Name(), path); err != nil {
-		return discard(file, errors.Wrap(err, "rename the new file of the log"))
+		return discardRewrite(file, errors.Wrap(err, "rename the new log file"))
 	}
 	if err := syncDirectory(l.directory); err != nil {
 		_ = file.Close()
-		return l.fail("sync the folder", err)
+		return l.fail("sync the log directory", err)
 	}
-	return l.adopt(next)
+	return l.switchFile(next)
 }
 
+// beginRewrite blocks appends. It returns an error if the log does not accept writes.
 func (l *Log) beginRewrite() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if err := l.refusal(); err != nil {
+	if err := l.writeError(); err != nil {
 		return err
 	}
 	l.rewriting = true
@@ -68,8 +74,9 @@
 	l.changed.Broadcast()
 }
 
-// adopt continues the log in the new file. What the buffers held is part of what was replaced.
-func (l *Log) adopt(next *rewriter) error {
+// switchFile continues the log in the new file. It clears the buffers, because the rewrite has replaced their
+// records too.
+func (l *Log) switchFile(next *rewriter) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.fileMutex.Lock()
@@ -79,24 +86,24 @@
 	l.generation = next.generation
 	l.written = next.written
 	l.synced = next.written
-	l.flushing = emptied(l.flushing)
-	l.active = emptied(l.active)
+	l.flushing = resetBuffer(l.flushing)
+	l.active = resetBuffer(l.active)
 	l.full = false
-	return errors.Wrap(old.Close(), "close the replaced file of the log")
+	return errors.Wrap(old.Close(), "close the replaced log file")
 }
 
-// fill writes and syncs all that emit gives.
-func (r *rewriter) fill(emit func(write func(payload []byte) (Position, error)) error) error {
+// writeRecords writes and syncs the records that emit passes to it.
+func (r *rewriter) writeRecords(emit func(write func(payload []byte) (Position, error)) error) error {
 	if err := emit(r.write); err != nil {
 		return err
 	}
 	if err := r.flush(); err != nil {
 		return err
 	}
-	return errors.Wrap(asFull(r.file.SyncData()), "sync the new file of the log")
+	return errors.Wrap(mapNoSpace(r.file.SyncData()), "sync the new log file")
 }
 
-// write adds one record.
+// write adds one record and returns its position in the new file.
 func (r *rewriter) write(payload []byte) (Position, error) {
 	if len(payload) > MaxPayloadBytes {
 		return Position{}, ErrTooLarge
@@ -113,27 +120,28 @@
 	return position, r.flush()
 }
 
+// flush writes the buffer to the new file.
 func (r *rewriter) flush() error {
 	if len(r.buffer) == 0 {
 		return nil
 	}
 	if _, err := r.file.WriteAt(r.buffer, r.written); err != nil {
-		return errors.Wrap(asFull(err), "write the new file of the log")
+		return errors.Wrap(mapNoSpace(err), "write the new log file")
 	}
 	r.written += int64(len(r.buffer))
 	r.buffer = r.buffer[:0]
 	return nil
 }
 
-// discard removes an unfinished file and returns the error that ended the rewrite.
-func discard(file *os.File, cause error) error {
+// discardRewrite closes and removes an unfinished file and returns cause.
+func discardRewrite(file *os.File, cause error) error {
 	_ = file.Close()
 	_ = os.Remove(file.Name())
 	return cause
 }
 
-// asFull returns ErrFull for an error that says there is no space, and others as they are.
-func asFull(err error) error {
+// mapNoSpace returns ErrFull if err is caused by lack of disk space, and err itself otherwise.
+func mapNoSpace(err error) error {
 	if isNoSpace(err) {
 		return ErrFull
 	}
--- a/coord/applog/sync.go
+++ b/coord/applog/sync.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// wakeUp asks the goroutine of run for a round.
-func (l *Log) wakeUp() {
+// requestCommit wakes the background goroutine. It does not block.
+func (l *Log) requestCommit() {
 	select {
-	case l.wake <- struct{}{}:
-	default: // a round is already due
+	case l.commitRequested <- struct{}{}:
+	default: // a commit is already requested
 	}
 }
 
-// Sync asks for a sync of all that was appended so far and returns at once. The log's goroutine calls done
-// after it: with nil, with ErrFull where there was no space (the records stay readable, and the next
-// sync tries again), with ErrWriteFailed, or with ErrClosed. While a sync runs, requests collect for the next one.
-// done must not block and must not call Wait, Rewrite or Close.
+// RequestSync requests a sync of all records appended so far and returns at once. After the sync, the log's
+// goroutine calls done with nil, ErrFull, ErrWriteFailed, or an error that Options.AroundSync substitutes. After
+// ErrFull the records stay readable and the next sync retries the write. On a closed log, done is called with
+// ErrClosed in a goroutine of its own. Requests made while a sync runs share the next sync. done must not block
+// and must not call Wait, Rewrite or Close.
 func (l *Log) RequestSync(done func(error)) {
 	l.mutex.Lock()
 	if l.closed {
@@ -22,58 +23,58 @@
 		return
 	}
 	if len(l.waiters) == 0 {
-		l.queuedAt = time.Now()
+		l.oldestWaiterAt = time.Now()
 	}
 	l.waiters = append(l.waiters, done)
 	l.mutex.Unlock()
-	l.wakeUp()
+	l.requestCommit()
 }
 
-// Waiting returns for how long the oldest request for a sync has waited, 0 where there is none.
+// OldestSyncWait returns how long the oldest unanswered sync request has waited, or 0 if there is none.
 func (l *Log) OldestSyncWait() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	switch {
-	case !l.roundAt.IsZero():
-		return time.Since(l.roundAt)
+	case !l.syncRequestedAt.IsZero():
+		return time.Since(l.syncRequestedAt)
 	case len(l.waiters) > 0:
-		return time.Since(l.queuedAt)
+		return time.Since(l.oldestWaiterAt)
 	default:
 		return 0
 	}
 }
 
-// Wait returns when all that was appended before the call is synced. Its errors are those of Sync.
+// Wait blocks until all records appended before the call are synced. It returns the same errors as RequestSync.
 func (l *Log) Wait() error {
 	result := make(chan error, 1)
 	l.RequestSync(func(err error) { result <- err })
 	return <-result
 }
 
-// run writes and syncs until the log is closed.
+// run commits on request until the log is closed.
 func (l *Log) run() {
 	defer close(l.stopped)
-	for range l.wake {
-		if l.round() {
+	for range l.commitRequested {
+		if l.commitPending() {
 			return
 		}
 	}
 }
 
-// round writes the buffer and, where somebody waits, syncs the file once for all of them. It reports whether
-// the log was closed.
-func (l *Log) round() bool {
+// commitPending writes the buffer, syncs the file if a sync was requested, and answers the requests. It reports
+// whether the log was closed.
+func (l *Log) commitPending() bool {
 	l.mutex.Lock()
 	waiters := l.waiters
 	l.waiters = nil
 	if len(waiters) > 0 {
-		l.roundAt = l.queuedAt
+		l.syncRequestedAt = l.oldestWaiterAt
 	}
 	closed := l.closed
 	l.mutex.Unlock()
 	err := l.commitFor(waiters)
 	l.mutex.Lock()
-	l.roundAt = time.Time{}
+	l.syncRequestedAt = time.Time{}
 	l.mutex.Unlock()
 	for _, done := range waiters {
 		done(err)
@@ -81,7 +82,7 @@
 	return closed
 }
 
-// commitFor writes the buffer, and syncs the file where somebody waits for it.
+// commitFor writes the buffer, and syncs the file if there are waiters.
 func (l *Log) commitFor(waiters []func(error)) error {
 	if len(waiters) == 0 {
 		return l.commit(false)
@@ -93,19 +94,20 @@
 	return commit()
 }
 
-func (l *Log) commit(wantSync bool) error {
+// commit writes the buffer, and syncs the file if sync is set.
+func (l *Log) commit(sync bool) error {
 	l.ioMutex.Lock()
 	defer l.ioMutex.Unlock()
 	if err := l.flush(); err != nil {
 		return err
 	}
-	if !wantSync {
+	if !sync {
 		return nil
 	}
 	return l.syncWritten()
 }
 
-// flush writes what a failed write left, then all that was appended since.
+// flush writes the records left over from a failed write, then those appended since. The caller holds ioMutex.
 func (l *Log) flush() error {
 	if err := l.writeFlushing(); err != nil {
 		return err
@@ -116,6 +118,7 @@
 	return l.writeFlushing()
 }
 
+// writeFlushing writes the flushing buffer to the end of the file. The caller holds ioMutex.
 func (l *Log) writeFlushing() error {
 	l.mutex.Lock()
 	chunk, offset, failure := l.flushing, l.written, l.failure
@@ -124,24 +127,25 @@
 		return failure
 	}
 	if _, err := l.file.WriteAt(chunk, offset); err != nil {
-		return l.undoWrite(err, offset)
+		return l.handleWriteError(err, offset)
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.written += int64(len(chunk))
-	l.flushing = emptied(chunk)
+	l.flushing = resetBuffer(chunk)
 	l.full = false
 	l.changed.Broadcast()
 	return nil
 }
 
-// undoWrite cuts a failed write off the file. The records stay in the buffer.
-func (l *Log) undoWrite(cause error, offset int64) error {
+// handleWriteError truncates the file to offset after a write failed for lack of space and returns ErrFull; the
+// records stay in the buffer. After any other error the log rejects all further writes.
+func (l *Log) handleWriteError(cause error, offset int64) error {
 	if !isNoSpace(cause) {
 		return l.fail("write", cause)
 	}
 	if err := l.file.Truncate(offset); err != nil {
-		return l.fail("cut off a failed write", err)
+		return l.fail("truncate after a failed write", err)
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -150,7 +154,7 @@
 	return ErrFull
 }
 
-// syncWritten syncs the file unless nothing was written since the last sync.
+// syncWritten syncs the file if data was written since the last sync. The caller holds ioMutex.
 func (l *Log) syncWritten() error {
 	l.mutex.Lock()
 	target := l.written
@@ -168,20 +172,21 @@
 	return nil
 }
 
-// fail makes the log refuse all further writes.
+// fail makes the log reject all further writes. It returns the error of the first failure.
 func (l *Log) fail(operation string, cause error) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.failure == nil {
-		l.failure = &failedError{operation: operation, cause: cause}
+		l.failure = &writeFailedError{operation: operation, cause: cause}
 	}
 	l.changed.Broadcast()
 	return l.failure
 }
 
-// emptied returns a buffer for reuse, unless it has grown large.
-func emptied(buffer []byte) []byte {
-	if cap(buffer) > 4*flushBytes {
+// resetBuffer returns the buffer with length 0 for reuse, or nil if its capacity is above four times the flush
+// threshold, to free the memory after a burst.
+func resetBuffer(buffer []byte) []byte {
+	if cap(buffer) > 4*flushThresholdBytes {
 		return nil
 	}
 	return buffer[:0]
