--- a/coord/lease/lease.go
+++ b/coord/lease/lease.go
@@ -1,12 +1,13 @@
-// Package lease keeps the leases that a leader grants to members. It reads no clock: each call is passed the
-// time since some start of the leader's choice, which must not run backwards.
+// Package lease implements the table of leases that a leader grants to members. It does not read a clock:
+// callers pass the current time as the duration since an origin of the leader's choice. It must not decrease.
 //
-// A holder counts its lease from the moment it sent the renewal, the table from the moment the renewal came,
-// which is later. The table counts a lease as ended only a margin after that, so the holder has stopped before,
-// as long as the clocks run at nearly the same speed. In between the state is Unknown.
+// The holder counts its lease from the time at which it sent the renewal; the table counts from the time at
+// which the renewal arrived, which is later. The table regards a lease as ended only a safety margin after its
+// expiry. As long as both clocks run at nearly the same rate, the holder has stopped by then. Between expiry
+// and the end of the margin the state is Unknown.
 //
-// An incarnation is one run of a member's process. Once it has ended it stays so: what it held may have been
-// given away. Its process draws a new incarnation to hold a lease again.
+// An incarnation is one run of a member's process. By default an incarnation cannot renew once its lease has
+// ended, because its resources may have been reassigned: the process must continue under a new incarnation.
 package lease
 
 import (
@@ -16,25 +17,24 @@
 )
 
 var (
-	// ErrEnded says that the lease of an incarnation is over for good.
-	ErrEnded = errors.New("the lease of this incarnation has ended: stop what it covered and renew under a new incarnation")
-	// ErrSuperseded says that a renewal came from an incarnation that isn't the newest of its node.
-	ErrSuperseded = errors.New("another incarnation of this node holds the lease: end this process, or try again after that lease")
+	// ErrEnded is returned for a renewal by an incarnation whose lease has ended permanently.
+	ErrEnded = errors.New("lease of this incarnation ended: stop the work it covered and renew under a new incarnation")
+	// ErrSuperseded is returned for a renewal by an incarnation that must not replace the current one of its node.
+	ErrSuperseded = errors.New("lease held by another incarnation of this node: stop this process, or retry after it ends")
 )
 
-// State says what the table knows of the lease of an incarnation.
+// State is the state of an incarnation's lease, as far as the table knows it.
 type State int
 
 const (
-	// Unknown: the holder may still count the lease as valid. Nothing is taken from it.
+	// Unknown means that the holder may still regard its lease as valid, so its resources must not be reassigned.
 	Unknown State = iota
-	// Alive: the lease is valid.
+	// Alive means that the lease is valid.
 	Alive
-	// Ended: the holder has certainly stopped.
+	// Ended means that the holder has released the lease, was superseded, or must have stopped by now.
 	Ended
 )
 
-// String returns the name of the state.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -46,21 +46,23 @@
 	}
 }
 
-// Options set the terms of all leases of a table.
+// Options configures the leases of a table.
 type Options struct {
-	Duration           time.Duration // of a lease, from its renewal
-	MaxEarlierDuration time.Duration // the longest length under which earlier leaders may have granted leases; 0 for Length
-	Margin             time.Duration // after which a lease that has run out counts as ended
-	LeaderStartedAt    time.Duration // when this leader began; earlier leaders may have granted leases until then
-	// Newer reports whether candidate is a later incarnation of a node than current. Where it isn't, candidate
-	// gets a lease only after the one of current has ended; this keeps a renewal that the network held up
-	// from displacing a living process. If nil, an incarnation that the table hasn't seen counts as newer.
+	Duration           time.Duration // of a lease, from the renewal's arrival
+	MaxEarlierDuration time.Duration // longest lease that earlier leaders may have granted; 0 means Duration
+	Margin             time.Duration // from the expiry of a lease until it counts as ended
+	LeaderStartedAt    time.Duration // start of this leader's term; earlier leaders may have granted leases until then
+	// IsNewer reports whether candidate is a later incarnation of a node than current. Otherwise candidate gets
+	// a lease only after that of current has ended, so that a renewal delayed by the network cannot displace a
+	// live process. If nil, every incarnation that has not been superseded yet counts as newer.
 	IsNewer func(candidate, current string) bool
-	// Reusable lets an ended incarnation renew. It is for members that own nothing.
+	// AllowRenewalAfterEnd lets an incarnation renew after its lease has ended. This is safe for members that
+	// own nothing. If members own resources, the caller must ensure before each renewal that the member knows
+	// which of them were reassigned.
 	AllowRenewalAfterEnd bool
 }
 
-// Holder is the newest incarnation of a node and the state of its lease.
+// Holder is the current incarnation of a node and the state of its lease.
 type Holder struct {
 	Node        string
 	Incarnation string
--- a/coord/lease/table.go
+++ b/coord/lease/table.go
@@ -8,101 +8,102 @@
 	"github.com/pkg/errors"
 )
 
-// maxFormer is the number of superseded incarnations that are remembered for each node.
-const maxFormer = 8
+// maxSupersededPerNode is the number of superseded incarnations that are remembered per node.
+const maxSupersededPerNode = 8
 
-// grant is the lease of the newest incarnation of a node.
+// grant is the lease of the current, most recently accepted incarnation of a node.
 type grant struct {
-	incarnation string
-	renewed     bool          // with this leader; else only an earlier one can have granted the lease
-	validUntil  time.Duration // set where renewed
-	released    bool          // the holder gave it up
-	former      []string      // incarnations that it superseded, oldest first
+	incarnation         string
+	renewedByThisLeader bool          // if false, only an earlier leader can have granted the lease
+	validUntil          time.Duration // set if renewedByThisLeader
+	released            bool          // the holder has released the lease
+	superseded          []string      // earlier incarnations of the node, oldest first
 }
 
-// Table holds the leases of all members. It isn't safe for concurrent use.
+// Table holds the leases of all members. It is not safe for concurrent use.
 type Table struct {
 	options Options
 	grants  map[string]*grant // by node
 }
 
-// New returns the table of a leader that has just begun. All leases that an earlier leader may have granted
-// count as held until Grace.
+// New returns the table of a leader whose term has just started. Leases that earlier leaders may have granted
+// have the state Unknown until GraceEnd.
 func New(options Options) *Table {
 	return &Table{options: options, grants: make(map[string]*grant)}
 }
 
-// Grace returns the time until which leases of earlier leaders count as held.
+// GraceEnd returns the time from which all leases granted by earlier leaders count as ended.
 func (t *Table) GraceEnd() time.Duration {
 	return t.options.LeaderStartedAt + cmp.Or(t.options.MaxEarlierDuration, t.options.Duration) + t.options.Margin
 }
 
-// Length is that of the leases that are granted or renewed now.
+// Duration returns the duration of the leases that are granted or renewed now.
 func (t *Table) Duration() time.Duration { return t.options.Duration }
 
-// SetDuration sets the length of the leases that are granted or renewed from now on.
-func (t *Table) SetDuration(length time.Duration) { t.options.Duration = length }
+// SetDuration sets the duration of the leases that are granted or renewed from now on.
+func (t *Table) SetDuration(duration time.Duration) { t.options.Duration = duration }
 
-// Restore tells the table of an incarnation that an earlier leader knew. Its state is Unknown until it renews
-// or Grace has come, when it has ended for good. A new leader restores each member that owns anything, before
-// the first renewal. A node that the table knows already is left as it is.
+// Restore adds an incarnation that an earlier leader knew. Its state is Unknown until it renews or, if it does
+// not, until GraceEnd, when it becomes Ended. A new leader must restore every member that owns anything before
+// the first renewal. Restore does not change a node that is already in the table.
 func (t *Table) Restore(node, incarnation string) {
 	if t.grants[node] == nil {
 		t.grants[node] = &grant{incarnation: incarnation}
 	}
 }
 
-// Renew grants or renews a lease. The first renewal of a new incarnation proves that all others of its node
-// have ended. Errors: ErrEnded, ErrSuperseded; the table is then as before.
+// Renew grants or renews a lease. The first renewal by a new incarnation proves that the earlier incarnations
+// of its node have ended. Errors: ErrEnded, ErrSuperseded; in both cases the table is unchanged.
 func (t *Table) Renew(node, incarnation string, now time.Duration) error {
-	held := t.grants[node]
+	current := t.grants[node]
 	switch {
-	case held == nil:
-		held = &grant{incarnation: incarnation}
-		t.grants[node] = held
-	case held.incarnation != incarnation:
-		if !t.supersedes(held, incarnation, now) {
+	case current == nil:
+		current = &grant{incarnation: incarnation}
+		t.grants[node] = current
+	case current.incarnation != incarnation:
+		if !t.maySupersede(current, incarnation, now) {
 			return errors.Wrapf(ErrSuperseded, "node %s, incarnation %s", node, incarnation)
 		}
-		held.supersede(incarnation)
-	case !t.options.AllowRenewalAfterEnd && t.stateOf(held, now) == Ended:
+		current.replaceIncarnation(incarnation)
+	case !t.options.AllowRenewalAfterEnd && t.currentState(current, now) == Ended:
 		return errors.Wrapf(ErrEnded, "node %s, incarnation %s", node, incarnation)
 	}
-	held.renewed = true
-	held.released = false
-	held.validUntil = max(held.validUntil, now+t.options.Duration)
+	current.renewedByThisLeader = true
+	current.released = false
+	current.validUntil = max(current.validUntil, now+t.options.Duration)
 	return nil
 }
 
-// supersedes reports whether an incarnation may take the place of the one that holds the lease.
-func (t *Table) supersedes(held *grant, incarnation string, now time.Duration) bool {
-	if slices.Contains(held.former, incarnation) {
+// maySupersede reports whether an incarnation may replace the current one of its node.
+func (t *Table) maySupersede(current *grant, incarnation string, now time.Duration) bool {
+	if slices.Contains(current.superseded, incarnation) {
 		return false
 	}
-	if t.options.IsNewer == nil || t.options.IsNewer(incarnation, held.incarnation) {
+	if t.options.IsNewer == nil || t.options.IsNewer(incarnation, current.incarnation) {
 		return true
 	}
-	return t.stateOf(held, now) == Ended
+	return t.currentState(current, now) == Ended
 }
 
-// supersede makes an incarnation the newest of its node.
-func (g *grant) supersede(incarnation string) {
-	former := append(g.former, g.incarnation)
-	if len(former) > maxFormer {
-		former = former[1:]
+// replaceIncarnation makes an incarnation the current one of its node and records the previous one as superseded.
+func (g *grant) replaceIncarnation(incarnation string) {
+	superseded := append(g.superseded, g.incarnation)
+	if len(superseded) > maxSupersededPerNode {
+		superseded = superseded[1:]
 	}
-	*g = grant{incarnation: incarnation, former: former}
+	*g = grant{incarnation: incarnation, superseded: superseded}
 }
 
-// Release ends the lease of an incarnation that has stopped of its own accord.
+// Release ends the lease of an incarnation that has stopped its work. It has no effect if another incarnation
+// of the node holds the lease.
 func (t *Table) Release(node, incarnation string) {
-	held := t.grants[node]
-	if held == nil {
-		held = &grant{incarnation: incarnation}
-		t.grants[node] = held
+	current := t.grants[node]
+	if current == nil {
+		current = &grant{incarnation: incarnation}
+		t.grants[node] = current
 	}
-	if held.incarnation == incarnation {
-		held.released = true
+	if current.incarnation == incarnation {
+		current.released = true
 	}
 }
 
@@ -111,79 +112,80 @@
 	return t.State(node, incarnation, now) == Alive
 }
 
-// Ended reports whether an incarnation has certainly stopped.
+// Ended reports whether the lease of an incarnation has ended.
 func (t *Table) Ended(node, incarnation string, now time.Duration) bool {
 	return t.State(node, incarnation, now) == Ended
 }
 
-// State returns what is known of the lease of an incarnation. One that the table was never told of counts as
-// ended after Grace, but may still come and renew for the first time.
+// State returns the state of the lease of an incarnation. An incarnation that the table does not know counts as
+// ended from GraceEnd on, but may still renew for the first time.
 func (t *Table) State(node, incarnation string, now time.Duration) State {
-	held := t.grants[node]
-	if held == nil {
-		return t.stateAfterGrace(now)
+	current := t.grants[node]
+	if current == nil {
+		return t.stateWithoutRenewal(now)
 	}
-	if held.incarnation == incarnation {
-		return t.stateOf(held, now)
+	if current.incarnation == incarnation {
+		return t.currentState(current, now)
 	}
-	if t.isEarlier(held, incarnation) {
+	if t.isKnownEarlier(current, incarnation) {
 		return Ended
 	}
-	return t.stateAfterGrace(now)
+	return t.stateWithoutRenewal(now)
 }
 
-// isEarlier reports whether an incarnation came before the one that holds the lease.
-func (t *Table) isEarlier(held *grant, incarnation string) bool {
-	if slices.Contains(held.former, incarnation) {
+// isKnownEarlier reports whether an incarnation is known to be earlier than the current one of its node.
+func (t *Table) isKnownEarlier(current *grant, incarnation string) bool {
+	if slices.Contains(current.superseded, incarnation) {
 		return true
 	}
-	if !held.renewed {
-		return false // nobody has heard from the holder, so it proves nothing
+	if !current.renewedByThisLeader {
+		return false // without a renewal by the current incarnation, another one may still hold the lease
 	}
-	return t.options.IsNewer == nil || t.options.IsNewer(held.incarnation, incarnation)
+	return t.options.IsNewer == nil || t.options.IsNewer(current.incarnation, incarnation)
 }
 
-// stateOf returns the state of the newest incarnation of a node.
-func (t *Table) stateOf(held *grant, now time.Duration) State {
+// currentState returns the state of the current incarnation of a node.
+func (t *Table) currentState(current *grant, now time.Duration) State {
 	switch {
-	case held.released:
+	case current.released:
 		return Ended
-	case !held.renewed:
-		return t.stateAfterGrace(now)
-	case now < held.validUntil:
+	case !current.renewedByThisLeader:
+		return t.stateWithoutRenewal(now)
+	case now < current.validUntil:
 		return Alive
-	case now < held.validUntil+t.options.Margin:
+	case now < current.validUntil+t.options.Margin:
 		return Unknown
 	default:
 		return Ended
 	}
 }
 
-// stateAfterGrace returns the state of a lease that only an earlier leader can have granted.
-func (t *Table) stateAfterGrace(now time.Duration) State {
+// stateWithoutRenewal returns the state of an incarnation that has not renewed with this leader: an earlier
+// leader may have granted it a lease that is valid until GraceEnd.
+func (t *Table) stateWithoutRenewal(now time.Duration) State {
 	if now < t.GraceEnd() {
 		return Unknown
 	}
 	return Ended
 }
 
-// Holders returns the newest incarnation of each node, sorted by node.
+// Holders returns the current incarnation of each node, sorted by node.
 func (t *Table) Holders(now time.Duration) []Holder {
 	holders := make([]Holder, 0, len(t.grants))
-	for node, held := range t.grants {
-		holders = append(holders, Holder{Node: node, Incarnation: held.incarnation, State: t.stateOf(held, now)})
+	for node, current := range t.grants {
+		holders = append(holders, Holder{Node: node, Incarnation: current.incarnation, State: t.currentState(current, now)})
 	}
 	slices.SortFunc(holders, func(a, b Holder) int { return cmp.Compare(a.Node, b.Node) })
 	return holders
 }
 
-// Expired returns the holders whose lease has ended, sorted by node.
+// EndedHolders returns the holders whose lease has ended, sorted by node.
 func (t *Table) EndedHolders(now time.Duration) []Holder {
 	return slices.DeleteFunc(t.Holders(now), func(holder Holder) bool { return holder.State != Ended })
 }
 
-// NextStateChange returns the earliest time after now at which a state changes if nobody renews, or false where
-// none will.
+// NextStateChange returns the earliest time after now at which the state of a holder changes if nobody renews
+// or releases a lease, or false if there is none.
 func (t *Table) NextStateChange(now time.Duration) (time.Duration, bool) {
 	var next time.Duration
 	found := false
@@ -192,23 +194,24 @@
 			next, found = at, true
 		}
 	}
-	for _, held := range t.grants {
+	for _, current := range t.grants {
 		switch {
-		case held.released:
-		case !held.renewed:
+		case current.released:
+		case !current.renewedByThisLeader:
 			consider(t.GraceEnd())
 		default:
-			consider(held.validUntil)
-			consider(held.validUntil + t.options.Margin)
+			consider(current.validUntil)
+			consider(current.validUntil + t.options.Margin)
 		}
 	}
 	return next, found
 }
 
-// Forget removes a node whose lease has ended, and reports whether it did. It is for nodes that were removed.
+// Remove deletes a node whose lease has ended and reports whether it did. It is meant for nodes that have left
+// the deployment.
 func (t *Table) Remove(node string, now time.Duration) bool {
-	held := t.grants[node]
-	if held == nil || t.stateOf(held, now) != Ended {
+	current := t.grants[node]
+	if current == nil || t.currentState(current, now) != Ended {
 		return false
 	}
 	delete(t.grants, node)
