--- a/coord/placement/placement_test.go
+++ b/coord/placement/placement_test.go
@@ -6,12 +6,12 @@
 	"github.com/shoenig/test/must"
 )
 
-func alive(node, zone string) Member {
+func aliveMember(node, zone string) Member {
 	return Member{Node: node, Incarnation: node + "/1", Zone: zone, Alive: true, Eligible: true}
 }
 
-// owned returns a table of partitions in epoch 1 with these owners.
-func owned(owners ...Member) []Partition {
+// ownedBy returns a table of partitions in epoch 1 with the given owners.
+func ownedBy(owners ...Member) []Partition {
 	var partitions []Partition
 	for _, owner := range owners {
 		partitions = append(partitions, Partition{Owner: owner.Node, Incarnation: owner.Incarnation, Epoch: 1})
@@ -27,11 +27,11 @@
 }
 
 func TestFirstPlanSpreadsOverMembersAndZones(t *testing.T) {
-	members := []Member{alive("a", "x"), alive("b", "x"), alive("c", "y")}
+	members := []Member{aliveMember("a", "x"), aliveMember("b", "x"), aliveMember("c", "y")}
 	next, changed, err := Plan(members, make([]Partition, 4), 2)
 	must.NoError(t, err)
 	must.True(t, changed)
-	must.Eq(t, owned(members[0], members[2], members[1], members[2]), next)
+	must.Eq(t, ownedBy(members[0], members[2], members[1], members[2]), next)
 	again, changed, err := Plan(members, next, 2)
 	must.NoError(t, err)
 	must.False(t, changed)
@@ -39,13 +39,13 @@
 }
 
 func TestRestartedNodeGetsItsPartitionsBack(t *testing.T) {
-	a, b := alive("a", "x"), alive("b", "y")
-	partitions := owned(a, a, a, b)
+	a, b := aliveMember("a", "x"), aliveMember("b", "y")
+	partitions := ownedBy(a, a, a, b)
 	old := a
 	old.Alive, old.Ended = false, true
 	restarted := a
 	restarted.Incarnation = "a/2"
-	want := owned(a, a, a, b)
+	want := ownedBy(a, a, a, b)
 	for i := range 3 {
 		want[i] = Partition{Owner: "a", Incarnation: "a/2", Epoch: 2}
 	}
@@ -53,9 +53,9 @@
 	must.Eq(t, want, mustPlan(t, []Member{restarted, b}, partitions, 0))
 }
 
-func TestEndedMemberLosesAndUnknownMemberKeeps(t *testing.T) {
-	a, b, c := alive("a", "x"), alive("b", "y"), alive("c", "z")
-	partitions := owned(a, a, b, b, c)
+func TestOnlyPartitionsOfEndedMembersAreReassigned(t *testing.T) {
+	a, b, c := aliveMember("a", "x"), aliveMember("b", "y"), aliveMember("c", "z")
+	partitions := ownedBy(a, a, b, b, c)
 	a.Alive = false
 	must.Eq(t, partitions, mustPlan(t, []Member{a, b, c}, partitions, 0))
 	a.Ended = true
@@ -65,26 +65,28 @@
 	must.Eq(t, partitions[2:], next[2:])
 }
 
+// If a former incarnation of a node has ended and the state of the current one is unknown, the current one may
+// still be running and must keep its partitions.
 func TestEndedOldIncarnationDoesNotEndAnUnknownNewOne(t *testing.T) {
 	old := Member{Node: "a", Incarnation: "a/0", Ended: true}
 	current := Member{Node: "a", Incarnation: "a/1", Eligible: true}
-	partitions := owned(current)
-	must.Eq(t, partitions, mustPlan(t, []Member{old, current, alive("b", "y")}, partitions, 1))
+	partitions := ownedBy(current)
+	must.Eq(t, partitions, mustPlan(t, []Member{old, current, aliveMember("b", "y")}, partitions, 1))
 }
 
-func TestPartitionWaitsWhileNobodyMayOwnIt(t *testing.T) {
-	a, b := alive("a", "x"), alive("b", "y")
+func TestPartitionIsNotReassignedWithoutEligibleMember(t *testing.T) {
+	a, b := aliveMember("a", "x"), aliveMember("b", "y")
 	a.Alive, a.Ended = false, true
 	b.Eligible = false
-	partitions := owned(a, a)
+	partitions := ownedBy(a, a)
 	must.Eq(t, partitions, mustPlan(t, []Member{a, b}, partitions, 2))
 }
 
-func TestLeavingMemberIsEmptied(t *testing.T) {
-	a, b := alive("a", "x"), alive("b", "y")
+func TestLeavingMemberReleasesItsPartitions(t *testing.T) {
+	a, b := aliveMember("a", "x"), aliveMember("b", "y")
 	a.Leaving = true
 	members := []Member{a, b}
-	partitions := mustPlan(t, members, owned(a, a, a, b), 2)
+	partitions := mustPlan(t, members, ownedBy(a, a, a, b), 2)
 	must.EqOp(t, 2, countReleasing(partitions))
 	must.EqOp(t, "b", partitions[0].Successor)
 
@@ -99,9 +101,9 @@
 }
 
 func TestReleaseWithoutSuccessor(t *testing.T) {
-	a, b, c := alive("a", "x"), alive("b", "y"), alive("c", "z")
+	a, b, c := aliveMember("a", "x"), aliveMember("b", "y"), aliveMember("c", "z")
 	a.Leaving = true
-	partitions := mustPlan(t, []Member{a, b}, owned(a), 1)
+	partitions := mustPlan(t, []Member{a, b}, ownedBy(a), 1)
 	b.Alive = false
 	next, err := Release([]Member{a, b, c}, partitions, 0, 1)
 	must.NoError(t, err)
@@ -113,27 +115,27 @@
 	must.Eq(t, Partition{Owner: "c", Incarnation: "c/1", Epoch: 3}, mustPlan(t, []Member{a, b, c}, next, 1)[0])
 }
 
-func TestMoveToEndedSuccessorIsPlannedAnew(t *testing.T) {
-	a, b, c := alive("a", "x"), alive("b", "y"), alive("c", "z")
+func TestMoveToEndedSuccessorIsReplanned(t *testing.T) {
+	a, b, c := aliveMember("a", "x"), aliveMember("b", "y"), aliveMember("c", "z")
 	a.Leaving = true
-	partitions := mustPlan(t, []Member{a, b}, owned(a), 1)
+	partitions := mustPlan(t, []Member{a, b}, ownedBy(a), 1)
 	b.Alive, b.Ended = false, true
 	must.EqOp(t, "c", mustPlan(t, []Member{a, b, c}, partitions, 1)[0].Successor)
-	must.Eq(t, owned(a), mustPlan(t, []Member{a, b}, partitions, 1))
+	must.Eq(t, ownedBy(a), mustPlan(t, []Member{a, b}, partitions, 1))
 }
 
 func TestZonesAreBalancedWhereMembersStayInBalance(t *testing.T) {
-	a, b, c, d := alive("a", "x"), alive("b", "x"), alive("c", "y"), alive("d", "y")
+	a, b, c, d := aliveMember("a", "x"), aliveMember("b", "x"), aliveMember("c", "y"), aliveMember("d", "y")
 	members := []Member{a, b, c, d}
-	next := mustPlan(t, members, owned(a, a, b, b, c, d), 4)
+	next := mustPlan(t, members, ownedBy(a, a, b, b, c, d), 4)
 	must.EqOp(t, 1, countReleasing(next))
 	must.EqOp(t, "c", next[0].Successor)
-	must.Eq(t, owned(a, a, b, c, d), mustPlan(t, members, owned(a, a, b, c, d), 4))
+	must.Eq(t, ownedBy(a, a, b, c, d), mustPlan(t, members, ownedBy(a, a, b, c, d), 4))
 }
 
 func TestTwoLivingIncarnationsAreRefused(t *testing.T) {
-	partitions := owned(alive("a", "x"))
-	next, changed, err := Plan([]Member{alive("a", "x"), alive("a", "x")}, partitions, 1)
+	partitions := ownedBy(aliveMember("a", "x"))
+	next, changed, err := Plan([]Member{aliveMember("a", "x"), aliveMember("a", "x")}, partitions, 1)
 	must.ErrorIs(t, err, ErrInvalidMembers)
 	must.False(t, changed)
 	must.Eq(t, partitions, next)
@@ -142,7 +144,7 @@
 func TestInvariantsAreChecked(t *testing.T) {
 	before := Partition{Owner: "a", Incarnation: "a/1", Epoch: 3}
 	for name, after := range map[string]Partition{
-		"epoch fell":             {Owner: "a", Incarnation: "a/1", Epoch: 2},
+		"epoch decreased":        {Owner: "a", Incarnation: "a/1", Epoch: 2},
 		"owner in same epoch":    {Owner: "b", Incarnation: "b/1", Epoch: 3},
 		"restart in same epoch":  {Owner: "a", Incarnation: "a/2", Epoch: 3},
 		"successor is the owner": {Owner: "a", Incarnation: "a/1", Epoch: 3, Releasing: true, Successor: "a"},
--- a/coord/placement/plan.go
+++ b/coord/placement/plan.go
@@ -3,84 +3,88 @@
 import "slices"
 
 const (
-	// memberImbalance is the difference of partitions between two members from which one is moved.
-	memberImbalance = 2
-	// zoneImbalance is the difference between two zones from which one is moved, if their members
-	// stay in balance.
-	zoneImbalance = 2
+	// minMemberImbalance is the difference in partitions between two members from which a partition is moved.
+	minMemberImbalance = 2
+	// minZoneImbalance is the difference in partitions between two zones from which a partition is moved, if the
+	// difference between the two members does not grow by the move.
+	minZoneImbalance = 2
 )
 
-// Plan returns the table that follows from the state of the members, and whether it differs. At most maxMoves
-// partitions are releasing at one time because of Plan; those of ended owners are given away at once. The
-// table passed in isn't changed. Errors: ErrInvalidMembers, ErrInvariant.
+// Plan returns the table for the current state of the members, and whether it differs from the given one. It
+// reassigns the partitions of ended owners at once. To empty leaving members and to balance the load, it requests
+// releases as long as fewer than maxMoves partitions are releasing. The given table is not modified. Errors:
+// ErrInvalidMembers, ErrInvariant; the given table is then returned.
 func Plan(members []Member, partitions []Partition, maxMoves int) ([]Partition, bool, error) {
-	v, err := newView(members)
+	p, err := newPlanner(members)
 	if err != nil {
 		return partitions, false, err
 	}
 	next := slices.Clone(partitions)
-	v.giveBack(next)
-	v.cancelMovesToGone(next)
-	v.count(next)
-	v.spread(next)
-	v.planMoves(next, maxMoves)
+	p.reassignToRestarted(next)
+	p.cancelMovesToUnavailable(next)
+	p.countLoads(next)
+	p.reassignEnded(next)
+	p.planMoves(next, maxMoves)
 	if err := checkInvariants(partitions, next); err != nil {
 		return partitions, false, err
 	}
 	return next, !slices.Equal(partitions, next), nil
 }
 
-// giveBack gives the partitions of an ended incarnation to the living one of the same node.
-func (v *view) giveBack(partitions []Partition) {
+// reassignToRestarted assigns the partitions of ended incarnations to the live incarnation of the same node. A
+// restarted node thus gets its own partitions back.
+func (p *planner) reassignToRestarted(partitions []Partition) {
 	for i := range partitions {
-		if v.stateOf(partitions[i]) != ownerEnded {
+		if p.ownerStateOf(partitions[i]) != ownerEnded {
 			continue
 		}
-		known := v.loadOf(partitions[i].Owner)
-		if known != nil && known.member.mayOwn() {
-			partitions[i].assign(known.member)
+		load := p.findLoad(partitions[i].Owner)
+		if load != nil && load.member.mayOwn() {
+			partitions[i].assign(load.member)
 		}
 	}
 }
 
-// cancelMovesToGone takes back the moves to successors that are gone; they are planned anew where needed.
-func (v *view) cancelMovesToGone(partitions []Partition) {
+// cancelMovesToUnavailable cancels the moves to successors that are unavailable; planMoves replans them if needed.
+func (p *planner) cancelMovesToUnavailable(partitions []Partition) {
 	for i := range partitions {
-		if partitions[i].Releasing && v.isGone(partitions[i].Successor) {
-			partitions[i].cancel()
+		if partitions[i].Releasing && p.isUnavailable(partitions[i].Successor) {
+			partitions[i].cancelRelease()
 		}
 	}
 }
 
-// spread gives the partitions of ended owners to the members with the fewest. They stay as they are while no
-// member may own one.
-func (v *view) spread(partitions []Partition) {
+// reassignEnded assigns the partitions of ended owners to the members with the fewest partitions. It leaves them
+// unchanged while no member may own one.
+func (p *planner) reassignEnded(partitions []Partition) {
 	for i := range partitions {
-		if v.stateOf(partitions[i]) != ownerEnded {
+		if p.ownerStateOf(partitions[i]) != ownerEnded {
 			continue
 		}
-		best := v.least()
+		best := p.leastLoaded()
 		if best == nil {
 			return
 		}
 		partitions[i].assign(best.member)
-		v.add(best.member.Node, 1)
+		p.addLoad(best.member.Node, 1)
 	}
 }
 
-// planMoves names successors for partitions of leaving members, then for those that are out of balance.
-func (v *view) planMoves(partitions []Partition, maxMoves int) {
+// planMoves requests releases, first of the partitions of leaving members, then of those whose move improves the
+// balance, until maxMoves partitions are releasing.
+func (p *planner) planMoves(partitions []Partition, maxMoves int) {
 	for moves := countReleasing(partitions); moves < maxMoves; moves++ {
-		index, successor := v.nextMove(partitions)
+		index, successor := p.nextMove(partitions)
 		if successor == nil {
 			return
 		}
-		partitions[index].plan(successor.member.Node)
-		v.add(partitions[index].Owner, -1)
-		v.add(successor.member.Node, 1)
+		partitions[index].requestRelease(successor.member.Node)
+		p.addLoad(partitions[index].Owner, -1)
+		p.addLoad(successor.member.Node, 1)
 	}
 }
 
+// countReleasing returns the number of partitions that are releasing.
 func countReleasing(partitions []Partition) int {
 	count := 0
 	for _, partition := range partitions {
@@ -91,50 +95,51 @@
 	return count
 }
 
-// nextMove returns a partition to move and its successor, or a nil successor where none is to be moved.
-func (v *view) nextMove(partitions []Partition) (int, *load) {
-	successor := v.least()
+// nextMove returns the index of the next partition to move and its successor, or a nil successor if there is none.
+func (p *planner) nextMove(partitions []Partition) (int, *nodeLoad) {
+	successor := p.leastLoaded()
 	if successor == nil {
 		return 0, nil
 	}
 	for i, partition := range partitions {
-		if v.isMovable(partition) && v.loadOf(partition.Owner).member.Leaving {
+		if p.isMovable(partition) && p.findLoad(partition.Owner).member.Leaving {
 			return i, successor
 		}
 	}
-	index := v.fullest(partitions)
-	if index < 0 || !v.outOfBalance(v.loadOf(partitions[index].Owner), successor) {
+	index := p.mostLoadedMovable(partitions)
+	if index < 0 || !p.improvesBalance(p.findLoad(partitions[index].Owner), successor) {
 		return 0, nil
 	}
 	return index, successor
 }
 
-// fullest returns the first movable partition of the member with the most, or -1 where none can be moved.
-func (v *view) fullest(partitions []Partition) int {
+// mostLoadedMovable returns the index of the first movable partition of the member with the highest load, or -1 if
+// no partition can be moved.
+func (p *planner) mostLoadedMovable(partitions []Partition) int {
 	index := -1
 	for i, partition := range partitions {
-		if !v.isMovable(partition) {
+		if !p.isMovable(partition) {
 			continue
 		}
-		if index < 0 || v.compare(v.loadOf(partition.Owner), v.loadOf(partitions[index].Owner)) > 0 {
+		if index < 0 || p.compareLoads(p.findLoad(partition.Owner), p.findLoad(partitions[index].Owner)) > 0 {
 			index = i
 		}
 	}
 	return index
 }
 
-// isMovable reports whether the owner can be asked to release the partition.
-func (v *view) isMovable(partition Partition) bool {
-	return !partition.Releasing && v.stateOf(partition) == ownerAlive
+// isMovable reports whether the owner can be requested to release the partition.
+func (p *planner) isMovable(partition Partition) bool {
+	return !partition.Releasing && p.ownerStateOf(partition) == ownerAlive
 }
 
-// outOfBalance reports whether moving a partition from one member to the other brings members, or else zones,
-// nearer to each other.
-func (v *view) outOfBalance(from, to *load) bool {
+// improvesBalance reports whether moving a partition from one member to the other reduces the imbalance between
+// the members, or reduces that between their zones without increasing that between the members.
+func (p *planner) improvesBalance(from, to *nodeLoad) bool {
 	difference := from.partitions - to.partitions
-	if difference >= memberImbalance {
+	if difference >= minMemberImbalance {
 		return true
 	}
-	zones := v.zones[from.member.Zone] - v.zones[to.member.Zone]
-	return difference == memberImbalance-1 && zones >= zoneImbalance
+	zones := p.zones[from.member.Zone] - p.zones[to.member.Zone]
+	return difference == minMemberImbalance-1 && zones >= minZoneImbalance
 }
--- a/coord/placement/planner.go
+++ b/coord/placement/planner.go
@@ -7,63 +7,64 @@
 	"github.com/pkg/errors"
 )
 
-// ownerState says what is known of the owner of a partition.
+// ownerState is the known state of the owner of a partition.
 type ownerState int
 
 const (
-	ownerUnknown ownerState = iota // its lease is neither valid nor certainly over
+	ownerUnknown ownerState = iota // the owner may or may not be running; it keeps the partition
 	ownerAlive
-	ownerEnded // or there is none
+	ownerEnded // also if the partition has no owner
 )
 
-// load is what one node holds, or is going to hold after the planned moves.
-type load struct {
-	member     Member // the living incarnation, else any
+// nodeLoad is the number of partitions that a node will own after the requested moves.
+type nodeLoad struct {
+	member     Member // the live incarnation; if there is none, the first one listed
 	partitions int
 }
 
-// view answers questions about the members.
-type view struct {
+// planner holds the members and their loads while a new table is computed. The loads are zero until countLoads
+// is called.
+type planner struct {
 	members []Member
-	loads   []*load        // by node name
-	zones   map[string]int // partitions of each zone's nodes
+	loads   []*nodeLoad    // one per node, sorted by node name
+	zones   map[string]int // number of partitions by zone
 }
 
-func newView(members []Member) (*view, error) {
-	v := &view{members: members, zones: make(map[string]int)}
+func newPlanner(members []Member) (*planner, error) {
+	p := &planner{members: members, zones: make(map[string]int)}
 	for _, member := range members {
-		known := v.loadOf(member.Node)
+		existing := p.findLoad(member.Node)
 		switch {
-		case known == nil:
-			v.loads = append(v.loads, &load{member: member})
-		case known.member.Alive && member.Alive:
+		case existing == nil:
+			p.loads = append(p.loads, &nodeLoad{member: member})
+		case existing.member.Alive && member.Alive:
 			return nil, errors.Wrapf(ErrInvalidMembers, "node %s", member.Node)
 		case member.Alive:
-			known.member = member
+			existing.member = member
 		}
 	}
-	slices.SortFunc(v.loads, func(a, b *load) int { return cmp.Compare(a.member.Node, b.member.Node) })
-	return v, nil
+	slices.SortFunc(p.loads, func(a, b *nodeLoad) int { return cmp.Compare(a.member.Node, b.member.Node) })
+	return p, nil
 }
 
-// loadOf returns the load of a node, or nil where it isn't listed.
-func (v *view) loadOf(node string) *load {
-	for _, known := range v.loads {
-		if known.member.Node == node {
-			return known
+// findLoad returns the load of a node, or nil if the node is not listed.
+func (p *planner) findLoad(node string) *nodeLoad {
+	for _, load := range p.loads {
+		if load.member.Node == node {
+			return load
 		}
 	}
 	return nil
 }
 
-// stateOf says what is known of the owner of a partition. A living incarnation proves that all others of its
+// ownerStateOf returns the state of the owner of a partition. A live incarnation proves that all others of its
 // node have ended.
-func (v *view) stateOf(partition Partition) ownerState {
+func (p *planner) ownerStateOf(partition Partition) ownerState {
 	if partition.Owner == "" {
 		return ownerEnded
 	}
 	listed, otherEnded := false, false
-	for _, member := range v.members {
+	for _, member := range p.members {
 		if member.Node != partition.Owner {
 			continue
 		}
@@ -80,59 +81,61 @@
 		}
 	}
 	if otherEnded && !listed {
-		return ownerEnded // a newer incarnation came and has ended too
+		return ownerEnded // the owner's incarnation was superseded by one that has ended too
 	}
 	return ownerUnknown
 }
 
-// isGone reports whether a node can't be the successor of a partition any more. One whose lease is unknown
-// still can.
-func (v *view) isGone(node string) bool {
-	known := v.loadOf(node)
-	if known == nil {
+// isUnavailable reports whether a node can no longer be the successor of a partition. A node whose state is unknown
+// can still be.
+func (p *planner) isUnavailable(node string) bool {
+	load := p.findLoad(node)
+	if load == nil {
 		return true
 	}
-	member := known.member
+	member := load.member
 	return (member.Ended && !member.Alive) || member.Leaving || !member.Eligible
 }
 
-// count adds up the loads of a table, without partitions whose owner has ended.
-func (v *view) count(partitions []Partition) {
+// countLoads adds the partitions of a table to the loads. It counts a releasing partition for its successor and
+// skips partitions whose owner has ended.
+func (p *planner) countLoads(partitions []Partition) {
 	for _, partition := range partitions {
-		if v.stateOf(partition) == ownerEnded {
+		if p.ownerStateOf(partition) == ownerEnded {
 			continue
 		}
 		if partition.Releasing {
-			v.add(partition.Successor, 1)
+			p.addLoad(partition.Successor, 1)
 		} else {
-			v.add(partition.Owner, 1)
+			p.addLoad(partition.Owner, 1)
 		}
 	}
 }
 
-// add changes the number of partitions of a node.
-func (v *view) add(node string, partitions int) {
-	if known := v.loadOf(node); known != nil {
-		known.partitions += partitions
-		v.zones[known.member.Zone] += partitions
+// addLoad changes the number of partitions of a node and its zone; the number may be negative.
+func (p *planner) addLoad(node string, partitions int) {
+	if load := p.findLoad(node); load != nil {
+		load.partitions += partitions
+		p.zones[load.member.Zone] += partitions
 	}
 }
 
-// least returns the load to which a partition is best given, or nil where no member may own one.
-func (v *view) least() *load {
-	var best *load
-	for _, candidate := range v.loads {
-		if candidate.member.mayOwn() && (best == nil || v.compare(candidate, best) < 0) {
+// leastLoaded returns the load of the best new owner for a partition, or nil if no member may own one. Of equal
+// loads it returns that of the first node by name.
+func (p *planner) leastLoaded() *nodeLoad {
+	var best *nodeLoad
+	for _, candidate := range p.loads {
+		if candidate.member.mayOwn() && (best == nil || p.compareLoads(candidate, best) < 0) {
 			best = candidate
 		}
 	}
 	return best
 }
 
-// compare orders loads by their partitions, then by those of their zones.
-func (v *view) compare(a, b *load) int {
+// compareLoads orders loads by the number of partitions of the node, then by that of its zone.
+func (p *planner) compareLoads(a, b *nodeLoad) int {
 	return cmp.Or(
 		cmp.Compare(a.partitions, b.partitions),
-		cmp.Compare(v.zones[a.member.Zone], v.zones[b.member.Zone]),
+		cmp.Compare(p.zones[a.member.Zone], p.zones[b.member.Zone]),
 	)
 }
--- a/coord/placement/random_test.go
+++ b/coord/placement/random_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// node is a simulated machine and what its leader knows of it.
+// node is a simulated machine and what the leader knows about it.
 type node struct {
 	name        string
 	zone        string
 	incarnation int
 	running     bool
-	known       bool // whether the leader knows if it runs
+	stateKnown  bool // whether the leader knows if the node is running; if not, it is neither alive nor ended
 	leaving     bool
 	eligible    bool
 }
@@ -26,42 +26,42 @@
 		Node:        n.name,
 		Incarnation: fmt.Sprintf("%s/%d", n.name, n.incarnation),
 		Zone:        n.zone,
-		Alive:       n.running && n.known,
-		Ended:       !n.running && n.known,
+		Alive:       n.running && n.stateKnown,
+		Ended:       !n.running && n.stateKnown,
 		Leaving:     n.leaving,
 		Eligible:    n.eligible,
 	}
 }
 
-// world is a table that is planned while nodes come and go.
-type world struct {
+// simulation plans a table repeatedly while nodes start, stop, leave and lose contact.
+type simulation struct {
 	nodes      []*node
 	partitions []Partition
 	maxMoves   int
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{
+func newSimulation(t *rapid.T) *simulation {
+	s := &simulation{
 		partitions: make([]Partition, rapid.IntRange(0, 20).Draw(t, "partitions")),
 		maxMoves:   rapid.IntRange(1, 5).Draw(t, "max moves"),
 	}
 	for i := range rapid.IntRange(1, 6).Draw(t, "nodes") {
 		zone := fmt.Sprintf("z%d", rapid.IntRange(0, 3).Draw(t, "zone"))
-		w.nodes = append(w.nodes, &node{name: fmt.Sprintf("n%d", i), zone: zone, running: true, known: true, eligible: true})
+		s.nodes = append(s.nodes, &node{name: fmt.Sprintf("n%d", i), zone: zone, running: true, stateKnown: true, eligible: true})
 	}
-	return w
+	return s
 }
 
-func (w *world) members() []Member {
+func (s *simulation) members() []Member {
 	var members []Member
-	for _, n := range w.nodes {
+	for _, n := range s.nodes {
 		members = append(members, n.member())
 	}
 	return members
 }
 
-func (w *world) memberOf(name string) (Member, bool) {
-	for _, member := range w.members() {
+func (s *simulation) findMember(name string) (Member, bool) {
+	for _, member := range s.members() {
 		if member.Node == name {
 			return member, true
 		}
@@ -69,74 +69,76 @@
 	return Member{}, false
 }
 
-// plan calls Plan and checks each change against the rules.
-func (w *world) plan(t *rapid.T) bool {
-	next, changed, err := Plan(w.members(), w.partitions, w.maxMoves)
+// plan calls Plan, checks each change of a partition and the limit on moves, and reports whether the table changed.
+func (s *simulation) plan(t *rapid.T) bool {
+	next, changed, err := Plan(s.members(), s.partitions, s.maxMoves)
 	must.NoError(t, err)
-	must.EqOp(t, len(w.partitions), len(next))
+	must.EqOp(t, len(s.partitions), len(next))
 	for i := range next {
-		w.checkChange(t, w.partitions[i], next[i])
+		s.checkChange(t, s.partitions[i], next[i])
 	}
-	if countReleasing(next) > countReleasing(w.partitions) {
-		must.LessEq(t, w.maxMoves, countReleasing(next))
+	if countReleasing(next) > countReleasing(s.partitions) {
+		must.LessEq(t, s.maxMoves, countReleasing(next))
 	}
-	w.partitions = next
+	s.partitions = next
 	return changed
 }
 
-func (w *world) checkChange(t *rapid.T, before, after Partition) {
+// checkChange checks that a changed owner comes with a new epoch and that the previous owner had ended.
+func (s *simulation) checkChange(t *rapid.T, before, after Partition) {
 	must.GreaterEq(t, before.Epoch, after.Epoch)
 	if before.Owner == after.Owner && before.Incarnation == after.Incarnation {
 		must.EqOp(t, before.Epoch, after.Epoch)
 		return
 	}
 	must.EqOp(t, before.Epoch+1, after.Epoch)
-	owner, listed := w.memberOf(before.Owner)
+	owner, listed := s.findMember(before.Owner)
 	if listed && owner.Incarnation == before.Incarnation {
-		must.True(t, owner.Ended) // nothing is taken from an owner that may be alive
+		must.True(t, owner.Ended) // an owner that may be alive must not lose its partition
 	}
-	w.checkOwner(t, after)
+	s.checkOwner(t, after)
 }
 
-func (w *world) checkOwner(t *rapid.T, partition Partition) {
-	owner, listed := w.memberOf(partition.Owner)
+// checkOwner checks that the owner of a partition is a listed member that may own it.
+func (s *simulation) checkOwner(t *rapid.T, partition Partition) {
+	owner, listed := s.findMember(partition.Owner)
 	must.True(t, listed)
 	must.EqOp(t, owner.Incarnation, partition.Incarnation)
 	must.True(t, owner.mayOwn())
 }
 
-// release lets the owner of a partition release it, under the current or an older epoch.
-func (w *world) release(t *rapid.T, index int, epoch uint64) {
-	before := w.partitions[index]
-	next, err := Release(w.members(), w.partitions, index, epoch)
+// release calls Release for a partition under an epoch, which is stale if it is not the current one.
+func (s *simulation) release(t *rapid.T, index int, epoch uint64) {
+	before := s.partitions[index]
+	next, err := Release(s.members(), s.partitions, index, epoch)
 	if epoch != before.Epoch || before.Owner == "" {
 		must.ErrorIs(t, err, ErrStaleEpoch)
-		must.Eq(t, w.partitions, next)
+		must.Eq(t, s.partitions, next)
 		return
 	}
 	must.NoError(t, err)
 	must.EqOp(t, before.Epoch+1, next[index].Epoch)
 	must.False(t, next[index].Releasing)
 	if next[index].Owner != "" {
-		w.checkOwner(t, next[index])
+		s.checkOwner(t, next[index])
 	}
-	w.partitions = next
+	s.partitions = next
 }
 
-// disturb changes one node.
-func (w *world) disturb(t *rapid.T) {
-	n := rapid.SampledFrom(w.nodes).Draw(t, "node")
-	switch rapid.SampledFrom([]string{"stop", "start", "lose sight", "see", "leave", "stay", "eligible"}).Draw(t, "event") {
+// changeNode changes the state of a random node.
+func (s *simulation) changeNode(t *rapid.T) {
+	n := rapid.SampledFrom(s.nodes).Draw(t, "node")
+	switch rapid.SampledFrom([]string{"stop", "start", "lose contact", "regain contact", "leave", "stay", "eligible"}).Draw(t, "event") {
 	case "stop":
 		n.running = false
 	case "start":
 		n.running = true
-		n.known = true
+		n.stateKnown = true
 		n.incarnation++
-	case "lose sight":
-		n.known = false
-	case "see":
-		n.known = true
+	case "lose contact":
+		n.stateKnown = false
+	case "regain contact":
+		n.stateKnown = true
 	case "leave":
 		n.leaving = true
 	case "stay":
@@ -146,11 +148,13 @@
 	}
 }
 
-func TestRandomEventsKeepTheRules(t *testing.T) {
+// Whatever the order of node failures, plans and releases, a partition must not be taken from an owner that may be
+// alive, and planning must converge to a balanced table once all nodes are running.
+func TestRandomEventsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"disturb": w.disturb,
+			"disturb": w.changeNode,
 			"plan":    func(t *rapid.T) { w.plan(t) },
 			"release": func(t *rapid.T) {
 				if len(w.partitions) == 0 {
@@ -164,40 +168,42 @@
 				w.release(t, index, epoch)
 			},
 		})
-		w.settle(t)
+		w.checkConvergence(t)
 	})
 }
 
-// settle ends all trouble and checks that planning comes to an end in balance.
-func (w *world) settle(t *rapid.T) {
-	leaving := rapid.IntRange(-1, len(w.nodes)-1).Draw(t, "leaving")
-	for i, n := range w.nodes {
-		n.running, n.known, n.eligible = true, true, true
-		n.leaving = i == leaving && len(w.nodes) > 1
+// checkConvergence restarts all nodes, lets at most one leave, and checks that repeated planning and releasing ends in
+// a balanced table.
+func (s *simulation) checkConvergence(t *rapid.T) {
+	leaving := rapid.IntRange(-1, len(s.nodes)-1).Draw(t, "leaving")
+	for i, n := range s.nodes {
+		n.running, n.stateKnown, n.eligible = true, true, true
+		n.leaving = i == leaving && len(s.nodes) > 1
 		n.incarnation++
 	}
-	rounds := 4*len(w.partitions) + 4
-	for w.plan(t) {
+	rounds := 4*len(s.partitions) + 4
+	for s.plan(t) {
 		rounds--
 		must.Positive(t, rounds)
-		for i, partition := range w.partitions {
+		for i, partition := range s.partitions {
 			if partition.Releasing {
-				w.release(t, i, partition.Epoch)
+				s.release(t, i, partition.Epoch)
 			}
 		}
 	}
-	w.checkBalance(t)
+	s.checkBalance(t)
 }
 
-func (w *world) checkBalance(t *rapid.T) {
+// checkBalance checks that leaving nodes own nothing and that the others differ by at most one partition.
+func (s *simulation) checkBalance(t *rapid.T) {
 	owned := make(map[string]int)
-	for _, partition := range w.partitions {
-		w.checkOwner(t, partition)
+	for _, partition := range s.partitions {
+		s.checkOwner(t, partition)
 		must.False(t, partition.Releasing)
 		owned[partition.Owner]++
 	}
-	fewest, most := len(w.partitions), 0
-	for _, n := range w.nodes {
+	fewest, most := len(s.partitions), 0
+	for _, n := range s.nodes {
 		if n.leaving {
 			must.Zero(t, owned[n.name])
 			continue
@@ -210,9 +216,9 @@
 
 func TestPlanDoesNotChangeItsInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		w.plan(t)
-		w.disturb(t)
+		w.changeNode(t)
 		before := slices.Clone(w.partitions)
 		_, _, err := Plan(w.members(), w.partitions, w.maxMoves)
 		must.NoError(t, err)
