--- a/cmd/foldlb/fleetview.go
+++ b/cmd/foldlb/fleetview.go
@@ -113,7 +113,7 @@
 	return v, nil
 }
 
-// currentState words what is held of a member: what it says of itself, unless the others know better.
+// stateOf words what is held of a member: what it says of itself, unless the others know better.
 func stateOf(m membership.Member) string {
 	switch {
 	case m.State == membership.Left:
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -73,7 +73,7 @@
 	return retirement != nil && retirement.Completed
 }
 
-// isUnavailable reports whether a store was given up after it had been away for long and its copies had been restored
+// isGone reports whether a store was given up after it had been away for long and its copies had been restored
 // elsewhere. It stays in the table without an address, so that its disk and incarnation are known when it comes
 // back.
 func isGone(store *rpc.StoreMember) bool {
--- a/internal/ingest/world_test.go
+++ b/internal/ingest/world_test.go
@@ -181,13 +181,13 @@
 	mapVersion uint64
 }
 
-// newSimulation has four stores, the first in the dispatcher's zone.
+// newWorld has four stores, the first in the dispatcher's zone.
 func newWorld(t *testing.T) *world {
 	t.Helper()
 	return newWorldWith(t, func(*settings.Settings) {})
 }
 
-// newWorldWith is newSimulation with other settings of the dispatcher.
+// newWorldWith is newWorld with other settings of the dispatcher.
 func newWorldWith(t *testing.T, change func(*settings.Settings)) *world {
 	t.Helper()
 	w := emptyWorldWith(t, change)
--- a/internal/workerconn/pool.go
+++ b/internal/workerconn/pool.go
@@ -215,7 +215,7 @@
 	p.unreserve()
 }
 
-// reassignToRestarted makes a taken connection idle, or closes it where it carries nothing further.
+// giveBack makes a taken connection idle, or closes it where it carries nothing further.
 func (p *pool) giveBack(c *conn, spent bool) {
 	if spent || c.SetDeadline(time.Time{}) != nil {
 		p.discard(c)
