--- a/coord/watch/client.go
+++ b/coord/watch/client.go
@@ -16,44 +16,45 @@
 )
 
 const (
-	dialTimeout    = 250 * time.Millisecond // a machine without power loses the opening packet, which TCP repeats after a second
-	userTimeout    = DefaultSilenceTimeout
-	readBufferSize = 4 << 10
+	// dialTimeout is well below the second after which TCP retransmits a SYN, so that a host without power is
+	// given up before a retransmission.
+	dialTimeout     = 250 * time.Millisecond
+	userTimeout     = DefaultSilenceTimeout
+	readBufferBytes = 4 << 10
 )
 
-// SilenceTimeoutError reports that a stream carried no frame for too long. The remedy is to connect anew, at
-// another process if there is one.
+// SilenceTimeoutError reports that a stream carried no frame for the duration Timeout. The caller should
+// reconnect, to another process if there is one.
 type SilenceTimeoutError struct {
 	Timeout time.Duration
 }
 
 func (e *SilenceTimeoutError) Error() string {
-	return fmt.Sprintf("no frame for %v: connect anew, at another control process if there is one", e.Timeout)
+	return fmt.Sprintf("no frame for %v: reconnect, to another control process if there is one", e.Timeout)
 }
 
-// NotStreamingError reports a process that does not stream. Leader is the host:port to ask, empty where
-// the process knows none.
+// NotStreamingError reports that a process has refused to stream.
 type NotStreamingError struct {
-	Status int
-	Leader string
+	Status int    // HTTP status code
+	Leader string // host:port of the streaming process; empty if the refusal names none
 }
 
 func (e *NotStreamingError) Error() string {
 	if e.Leader == "" {
-		return fmt.Sprintf("no stream here (status %d): ask another control process", e.Status)
+		return fmt.Sprintf("process does not stream (status %d): try another control process", e.Status)
 	}
-	return fmt.Sprintf("no stream here (status %d): ask the leader at %s", e.Status, e.Leader)
+	return fmt.Sprintf("process does not stream (status %d): connect to the leader at %s", e.Status, e.Leader)
 }
 
-// Client follows a stream. The zero value is ready for use.
+// Client receives a stream. The zero value is ready for use.
 type Client struct {
-	HTTP           *http.Client  // nil for one whose dials are bounded; it must not have an overall timeout
+	HTTP           *http.Client  // nil for NewHTTPClient; it must not have an overall timeout
 	SilenceTimeout time.Duration // 0 for DefaultSilenceTimeout
-	MaxFrameBytes  int           // in bytes; 0 for DefaultMaxFrameBytes
+	MaxFrameBytes  int           // 0 for DefaultMaxFrameBytes
 }
 
-// NewHTTPClient returns an HTTP client for streams: dials are bounded, redirects are not followed, and a
-// connection whose peer falls silent ends.
+// NewHTTPClient returns an HTTP client for streams. It has a dial timeout, does not follow redirects, and closes a
+// connection whose peer does not acknowledge data for DefaultSilenceTimeout.
 func NewHTTPClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -64,13 +65,13 @@
 		return connection, err
 	}
 	return &http.Client{
-		Transport:     &http.Transport{DialContext: dial, DisableCompression: true, ReadBufferSize: readBufferSize},
+		Transport:     &http.Transport{DialContext: dial, DisableCompression: true, ReadBufferSize: readBufferBytes},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// SetUserTimeout sets the time after which a TCP connection ends whose peer acknowledges nothing. Other
-// connections are left as they are.
+// SetUserTimeout sets TCP_USER_TIMEOUT of a TCP connection: the time after which the connection is closed if the
+// peer does not acknowledge sent data. It has no effect on other connections, and ignores errors.
 func SetUserTimeout(connection net.Conn, timeout time.Duration) {
 	tcp, ok := connection.(*net.TCPConn)
 	if !ok {
@@ -86,28 +87,29 @@
 	})
 }
 
-// Follow reads the stream at an address and hands each frame to onFrame, keep-alives (empty) too, until the
-// context ends, the stream breaks or onFrame returns an error. It never returns nil. Errors: SilenceTimeoutError,
-// NotStreamingError, FrameTooLargeError, that of onFrame, that of the context, and those of the network.
+// Follow reads the stream at a URL and passes each frame to onFrame, including keep-alives, which are empty. It
+// returns when the context ends, the stream breaks or onFrame returns an error. The returned error is never nil: a
+// SilenceTimeoutError, NotStreamingError or FrameTooLargeError, the error of onFrame or of the context, or a network
+// error.
 func (c *Client) Follow(ctx context.Context, address string, onFrame func(frame []byte) error) error {
-	silence := c.SilenceTimeout
-	if silence == 0 {
-		silence = DefaultSilenceTimeout
+	timeout := c.SilenceTimeout
+	if timeout == 0 {
+		timeout = DefaultSilenceTimeout
 	}
-	following, cancel := context.WithCancel(ctx)
+	streamCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var silent atomic.Bool
-	watchdog := time.AfterFunc(silence, func() {
-		silent.Store(true)
+	var timedOut atomic.Bool
+	watchdog := time.AfterFunc(timeout, func() {
+		timedOut.Store(true)
 		cancel()
 	})
 	defer watchdog.Stop()
-	err := c.follow(following, address, func(frame []byte) error {
-		watchdog.Reset(silence)
+	err := c.follow(streamCtx, address, func(frame []byte) error {
+		watchdog.Reset(timeout)
 		return onFrame(frame)
 	})
-	if silent.Load() && ctx.Err() == nil {
-		return &SilenceTimeoutError{Timeout: silence}
+	if timedOut.Load() && ctx.Err() == nil {
+		return &SilenceTimeoutError{Timeout: timeout}
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -115,21 +117,22 @@
 	return err
 }
 
+// follow is Follow without the silence timeout.
 func (c *Client) follow(ctx context.Context, address string, onFrame func([]byte) error) error {
 	response, err := c.open(ctx, address)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	bound := c.MaxFrameBytes
-	if bound == 0 {
-		bound = DefaultMaxFrameBytes
+	maxFrameBytes := c.MaxFrameBytes
+	if maxFrameBytes == 0 {
+		maxFrameBytes = DefaultMaxFrameBytes
 	}
-	reader := bufio.NewReaderSize(response.Body, readBufferSize)
+	reader := bufio.NewReaderSize(response.Body, readBufferBytes)
 	for {
-		frame, err := readFrame(reader, bound)
+		frame, err := readFrame(reader, maxFrameBytes)
 		if err != nil {
-			return errors.Wrap(err, "the stream ended: connect anew")
+			return errors.Wrap(err, "read the stream: reconnect")
 		}
 		if err := onFrame(frame); err != nil {
 			return err
@@ -137,6 +140,7 @@
 	}
 }
 
+// open requests the stream. It returns a NotStreamingError for any status but 200.
 func (c *Client) open(ctx context.Context, address string) (*http.Response, error) {
 	client := c.HTTP
 	if client == nil {
@@ -145,22 +149,23 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "correct the address of the stream")
+		return nil, errors.Wrap(err, "invalid address of the stream")
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return nil, errors.Wrap(err, "reach the stream: try another control process")
+		return nil, errors.Wrap(err, "connect to the stream: try another control process")
 	}
 	if response.StatusCode == http.StatusOK {
 		return response, nil
 	}
 	defer response.Body.Close()
-	_, _ = io.CopyN(io.Discard, response.Body, readBufferSize)
-	return nil, &NotStreamingError{Status: response.StatusCode, Leader: leaderOf(response)}
+	_, _ = io.CopyN(io.Discard, response.Body, readBufferBytes)
+	return nil, &NotStreamingError{Status: response.StatusCode, Leader: leaderAddress(response)}
 }
 
-// leaderOf reads the address of the streaming process from a refusal.
-func leaderOf(response *http.Response) string {
+// leaderAddress returns the host:port of the streaming process that a refusal names in LeaderHeader or Location, or
+// an empty string if it names none.
+func leaderAddress(response *http.Response) string {
 	if leader := response.Header.Get(LeaderHeader); leader != "" {
 		return leader
 	}
--- a/coord/watch/delta.go
+++ b/coord/watch/delta.go
@@ -1,66 +1,69 @@
 package watch
 
-// delta is what one publication changed in a part.
+// delta is the change of a part by one publication.
 type delta struct {
-	revision uint64 // of that publication
-	version  string // that it leads to; empty where it has none
-	data     []byte
+	revision uint64 // of the publication
+	version  string // of the new value; empty if it has none
+	data     []byte // encoded change
 }
 
-// deltaChain holds the newest deltas of a part. Together they are no longer than its whole value, since that is sent instead.
+// deltaChain holds the newest deltas of a part, in order. Their total length is at most that of the full value,
+// because beyond that it is shorter to send the full value.
 type deltaChain struct {
-	base        uint64 // revision of the value that the first delta builds on
-	baseVersion string // of that value
-	deltas      []delta
-	bytes       int
+	baseRevision uint64 // revision of the value to which the first delta applies
+	baseVersion  string // version of that value
+	deltas       []delta
+	bytes        int // total length of the deltas
 }
 
-// extend adds the delta of a new value, given the value before it. A value without one ends the chain.
+// extend adds the delta of a new value, given the previous value. A new value without a delta empties the chain.
 func (c *deltaChain) extend(before *value, revision uint64, part Part) {
 	if len(part.Delta) == 0 || before.revision == 0 {
 		*c = deltaChain{}
 		return
 	}
 	if len(c.deltas) == 0 {
-		c.base, c.baseVersion = before.revision, before.version
+		c.baseRevision, c.baseVersion = before.revision, before.version
 	}
 	c.deltas = append(c.deltas, delta{revision: revision, version: part.Version, data: part.Delta})
 	c.bytes += len(part.Delta)
 	for c.bytes > len(part.Data) {
-		c.dropFirst()
+		c.dropOldest()
 	}
 }
 
-func (c *deltaChain) dropFirst() {
-	c.base, c.baseVersion = c.deltas[0].revision, c.deltas[0].version
+// dropOldest removes the first delta, so that the chain starts at the value it leads to.
+func (c *deltaChain) dropOldest() {
+	c.baseRevision, c.baseVersion = c.deltas[0].revision, c.deltas[0].version
 	c.bytes -= len(c.deltas[0].data)
 	c.deltas[0] = delta{}
 	c.deltas = c.deltas[1:]
 }
 
-// reach reports whether the deltas lead from what a subscriber holds to the newest value.
-func (c *deltaChain) reach(revision uint64) bool {
-	return len(c.deltas) > 0 && revision >= c.base
+// covers reports whether the deltas lead from the value at a revision to the newest value.
+func (c *deltaChain) covers(revision uint64) bool {
+	return len(c.deltas) > 0 && revision >= c.baseRevision
 }
 
-// revisionOf returns the revision of a version that the deltas lead on from, 0 for any other.
+// revisionOf returns the revision of a version from which or to which a delta of the chain leads, or 0 for any
+// other version.
 func (c *deltaChain) revisionOf(version string) uint64 {
 	if len(c.deltas) > 0 && version == c.baseVersion {
-		return c.base
+		return c.baseRevision
 	}
-	for _, one := range c.deltas {
-		if one.version == version {
-			return one.revision
+	for _, d := range c.deltas {
+		if d.version == version {
+			return d.revision
 		}
 	}
 	return 0
 }
 
-// appendSince appends the deltas published after a revision.
+// appendSince appends the deltas published after a revision to buffer.
 func (c *deltaChain) appendSince(revision uint64, buffer [][]byte) [][]byte {
-	for _, one := range c.deltas {
-		if one.revision > revision {
-			buffer = append(buffer, one.data)
+	for _, d := range c.deltas {
+		if d.revision > revision {
+			buffer = append(buffer, d.data)
 		}
 	}
 	return buffer
--- a/coord/watch/doc.go
+++ b/coord/watch/doc.go
@@ -1,11 +1,11 @@
-// Package watch carries versioned updates over long-lived HTTP responses.
+// Package watch streams versioned updates over long-lived HTTP responses.
 //
-// A Hub holds the newest value of a fixed number of parts. Each subscriber receives length-prefixed frames
-// in one response without end: the first frame holds every part, a later one the header part and those parts
-// that changed since the frame before. A subscriber that reads slowly skips versions in between, and never holds up the
-// publisher or another subscriber. An empty frame tells that the publisher is alive.
+// A Hub holds the newest value of a fixed number of parts. Each subscriber receives length-prefixed frames in
+// one unending response: the first frame holds every part, later frames hold the header part and the parts that
+// changed since the previous frame. A slow subscriber skips intermediate versions; it delays neither the
+// publisher nor other subscribers. An empty frame is a keep-alive.
 //
-// The package gives no meaning to the bytes of a part. A frame is the concatenation of its parts, which suits
+// The package does not interpret the bytes of a part. A frame is the concatenation of its parts, which suits
 // encodings that can be concatenated, such as the fields of one protobuf message.
 package watch
 
@@ -14,10 +14,10 @@
 const (
 	// KeepAliveInterval is the longest time between two frames of a healthy stream.
 	KeepAliveInterval = time.Second
-	// DefaultSilenceTimeout is the time without a frame after which a client takes the stream for dead.
+	// DefaultSilenceTimeout is the time without a frame after which a client regards a stream as broken.
 	DefaultSilenceTimeout = 3 * time.Second
-	// DefaultMaxFrameBytes is the default bound of one frame, in bytes.
+	// DefaultMaxFrameBytes is the maximum frame length that a client accepts by default.
 	DefaultMaxFrameBytes = 32 << 20
-	// LeaderHeader names, in a refusal, the host:port of the process that streams.
+	// LeaderHeader is the response header that names the host:port of the streaming process in a refusal.
 	LeaderHeader = "X-Leader"
 )
--- a/coord/watch/hub.go
+++ b/coord/watch/hub.go
@@ -8,25 +8,27 @@
 	"github.com/pkg/errors"
 )
 
-// Part is a new value of one part of the stream.
+// Part is a new value of one part of the stream. The hub retains Data and Delta, so the caller must not modify them
+// after Publish.
 type Part struct {
-	Index int    // which part, from 0
-	Data  []byte // its encoding; the hub keeps it, so it must not be changed afterwards
-	Delta []byte // encodes what is new against the value published before; empty where only Data does
-	// Version names the value: two values of a part with one version are the same, whichever hub published them. A subscriber that
-	// holds the version is not sent it again. Empty where there is no such name.
+	Index int    // number of the part, from 0
+	Data  []byte // encoded value
+	Delta []byte // encoded change from the previously published value; empty if there is none
+	// Version identifies the value: equal versions of a part mean equal values, on all hubs. The hub does not send a
+	// value to a subscriber that already holds its version. Empty if the value has no version.
 	Version string
 }
 
-// value is one published value. Revision counts all publications of the hub; 0 means never published.
+// value is the newest published value of a part.
 type value struct {
-	revision uint64
-	version  string
+	revision uint64 // of the hub when the value was published; 0 if none was
+	version  string // Part.Version
 	data     []byte
 	deltas   deltaChain
 }
 
-// revisionOf returns the revision under which a version of the part was published, 0 where the hub can't lead on from it.
+// revisionOf returns the revision at which a version of the part was published, or 0 if the hub has neither that
+// value nor deltas from it.
 func (v *value) revisionOf(version string) uint64 {
 	switch {
 	case version == "":
@@ -38,22 +40,22 @@
 	}
 }
 
-// Hub holds the newest parts and streams them to its subscribers. It is an http.Handler. Create it with
-// NewHub. All methods may be called from any goroutine. Part 0 is the header of the stream: it is sent with
-// every frame that carries another part, changed or not.
+// Hub holds the newest parts and streams them to its subscribers. It implements http.Handler and is safe for
+// concurrent use. Use NewHub to create one. Part 0 is the header of the stream: every frame that carries another
+// part starts with it, whether it has changed or not.
 type Hub struct {
 	maxSubscribers int
-	pacer          *pacer // nil for no bound
+	limiter        *limiter // nil for no rate limit
 
 	mutex       sync.Mutex
-	parts       []value
-	revision    uint64
-	changed     chan struct{} // closed at each publication
-	stopped     chan struct{} // closed by Disconnect
+	parts       []value       // by Part.Index
+	revision    uint64        // number of publications that changed something
+	changed     chan struct{} // closed and replaced at each publication
+	stopped     chan struct{} // closed and replaced by DisconnectAll
 	subscribers int
 }
 
-// NewHub returns a hub of so many parts that takes at most maxSubscribers streams at a time.
+// NewHub returns a hub with the given number of parts that serves at most maxSubscribers streams at a time.
 func NewHub(parts, maxSubscribers int) *Hub {
 	return &Hub{
 		maxSubscribers: maxSubscribers,
@@ -63,17 +65,18 @@
 	}
 }
 
-// Pace bounds the rate, in bytes a second, at which long frames are sent to all subscribers together; 0 is no bound. It is called before
-// the hub serves.
+// LimitRate limits the rate, in bytes per second, at which frames are sent to all subscribers together; 0 means no
+// limit. Long frames wait until the rate allows them; short ones count against the rate but are sent at once.
+// LimitRate must be called before the hub serves streams.
 func (h *Hub) LimitRate(bytesPerSecond float64) {
-	h.pacer = nil
+	h.limiter = nil
 	if bytesPerSecond > 0 {
-		h.pacer = newPacer(bytesPerSecond)
+		h.limiter = newLimiter(bytesPerSecond)
 	}
 }
 
-// Publish replaces parts in one step: no subscriber sees some of them without the others. A part whose
-// bytes are those already published is no change. It reports whether anything changed.
+// Publish replaces the given parts atomically: no frame holds some of them without the others. A part whose data
+// equals the published data is not a change. Publish reports whether any part changed.
 func (h *Hub) Publish(parts ...Part) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -97,7 +100,7 @@
 	return true
 }
 
-// Disconnect ends all streams. Later subscribers are served again.
+// DisconnectAll ends all current streams. Later subscribers are served.
 func (h *Hub) DisconnectAll() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -105,38 +108,39 @@
 	h.stopped = make(chan struct{})
 }
 
-// Subscribers is the number of streams being served.
+// SubscriberCount returns the number of streams being served.
 func (h *Hub) SubscriberCount() int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.subscribers
 }
 
-// ServeHTTP streams frames until the client goes, a frame is not taken in time, or Disconnect is called. It
-// answers 503 when the hub has all the subscribers it takes.
+// ServeHTTP streams frames until the client disconnects, a write times out, or DisconnectAll is called. It responds
+// with status 503 if the hub already serves the maximum number of subscribers.
 func (h *Hub) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	stopped, ok := h.enter()
+	stopped, ok := h.addSubscriber()
 	if !ok {
 		writer.Header().Set("Retry-After", "1")
 		http.Error(writer, "all streams are taken: try another control process or come back later", http.StatusServiceUnavailable)
 		return
 	}
-	defer h.leave()
+	defer h.removeSubscriber()
 	writer.Header().Set("Content-Type", "application/octet-stream")
 	writer.WriteHeader(http.StatusOK)
-	stream := &subscription{
-		hub:     h,
-		wants:   wantsOf(request),
-		writer:  writer,
-		control: http.NewResponseController(writer),
-		gone:    request.Context().Done(),
-		stopped: stopped,
+	stream := &subscriberStream{
+		hub:         h,
+		preferences: parsePreferences(request),
+		writer:      writer,
+		controller:  http.NewResponseController(writer),
+		clientGone:  request.Context().Done(),
+		stopped:     stopped,
 	}
-	_ = stream.run() // the client's end of the connection tells it all there is
+	_ = stream.run() // the response has started, so the client learns of the error only by the end of the stream
 }
 
-// enter takes the place of a subscriber. The channel is closed when the stream is to end.
-func (h *Hub) enter() (<-chan struct{}, bool) {
+// addSubscriber counts a new stream, or returns false if the hub serves the maximum number. The returned channel is
+// closed when the stream must end.
+func (h *Hub) addSubscriber() (<-chan struct{}, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.subscribers >= h.maxSubscribers {
@@ -146,19 +150,21 @@
 	return h.stopped, true
 }
 
-func (h *Hub) leave() {
+// removeSubscriber counts the end of a stream.
+func (h *Hub) removeSubscriber() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.subscribers--
 	if h.subscribers < 0 {
-		panic(errors.New("watch: more subscribers left than came: report this as a defect"))
+		panic(errors.New("watch: more streams ended than started: report this as a bug"))
 	}
 }
 
-// since returns the parts published after a revision, the header before them, the newest revision, and a
-// channel that is closed at the next publication. Where the subscriber takes deltas and holds what they build on, they
-// stand for their part. Revision 0 is that of a new subscriber, which may hold versions of another hub.
-func (h *Hub) since(revision uint64, wants wants, buffer [][]byte) ([][]byte, uint64, <-chan struct{}) {
+// changesSince appends the parts published after a revision to buffer, preceded by the header. It also returns the
+// newest revision and a channel that is closed at the next publication. If the subscriber accepts deltas and holds the
+// value to which they apply, the deltas replace the full value of their part. Revision 0 means a new subscriber, which
+// may hold versions that it has received from another hub.
+func (h *Hub) changesSince(revision uint64, preferences preferences, buffer [][]byte) ([][]byte, uint64, <-chan struct{}) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.revision > revision {
@@ -166,24 +172,25 @@
 	}
 	for index := range h.parts {
 		part := &h.parts[index]
-		if index == 0 || wants.without[index] {
+		if index == 0 || preferences.excluded[index] {
 			continue
 		}
 		held := revision
 		if held == 0 {
-			held = part.revisionOf(wants.held[index])
+			held = part.revisionOf(preferences.held[index])
 		}
-		buffer = part.appendSince(held, wants.deltas, buffer)
+		buffer = part.appendSince(held, preferences.deltas, buffer)
 	}
 	return buffer, h.revision, h.changed
 }
 
-// appendSince appends what leads from the value of a revision to the newest one: nothing, deltas if they are taken, or the whole.
+// appendSince appends to buffer what a subscriber needs to get from the value at a revision to the newest one:
+// nothing, deltas if it accepts them, or the full value.
 func (v *value) appendSince(revision uint64, deltas bool, buffer [][]byte) [][]byte {
 	switch {
 	case v.revision <= revision:
 		return buffer
-	case deltas && v.deltas.reach(revision):
+	case deltas && v.deltas.covers(revision):
 		return v.deltas.appendSince(revision, buffer)
 	default:
 		return append(buffer, v.data)
--- a/coord/watch/watch_test.go
+++ b/coord/watch/watch_test.go
@@ -19,8 +19,9 @@
 
 const testParts = 4
 
-// versionsOf decodes a frame made of parts encoded by encodeTest: part index and version.
-func versionsOf(t *testing.T, frame []byte, into map[int]uint64) {
+// decodeFrame decodes a frame of parts encoded by encodePart and stores the version of each part by its index. The
+// versions of a part must not decrease.
+func decodeFrame(t *testing.T, frame []byte, into map[int]uint64) {
 	t.Helper()
 	for len(frame) > 0 {
 		index := int(frame[0])
@@ -32,50 +33,53 @@
 	}
 }
 
-func encodeTest(index int, version uint64) Part {
+// encodePart encodes a part as its index, one byte, followed by the version as a varint.
+func encodePart(index int, version uint64) Part {
 	return Part{Index: index, Data: binary.AppendUvarint([]byte{byte(index)}, version)}
 }
 
-// errEnough ends a stream from its callback.
-var errEnough = errors.New("enough")
+// errDone is returned by the callbacks of Follow to end a stream.
+var errDone = errors.New("done")
 
-func TestFirstFrameIsWholeAndLaterOnesCarryChanges(t *testing.T) {
+func TestFirstFrameIsCompleteAndLaterFramesCarryChanges(t *testing.T) {
 	hub := NewHub(testParts, 2)
 	server := httptest.NewServer(hub)
 	defer server.Close()
 	for index := range testParts {
-		must.True(t, hub.Publish(encodeTest(index, 1)))
+		must.True(t, hub.Publish(encodePart(index, 1)))
 	}
-	must.False(t, hub.Publish(encodeTest(2, 1)))
+	must.False(t, hub.Publish(encodePart(2, 1)))
 	var frames [][]byte
 	err := (&Client{}).Follow(context.Background(), server.URL, func(frame []byte) error {
 		frames = append(frames, frame)
 		if len(frames) == 1 {
-			hub.Publish(encodeTest(1, 7), encodeTest(3, 8))
+			hub.Publish(encodePart(1, 7), encodePart(3, 8))
 			return nil
 		}
-		return errEnough
+		return errDone
 	})
-	must.ErrorIs(t, err, errEnough)
+	must.ErrorIs(t, err, errDone)
 	first := map[int]uint64{}
-	versionsOf(t, frames[0], first)
+	decodeFrame(t, frames[0], first)
 	must.Eq(t, map[int]uint64{0: 1, 1: 1, 2: 1, 3: 1}, first)
 	second := map[int]uint64{}
-	versionsOf(t, frames[1], second)
+	decodeFrame(t, frames[1], second)
 	must.Eq(t, map[int]uint64{0: 1, 1: 7, 3: 8}, second)
 }
 
-func TestSubscribersSeeTheNewestOfAllParts(t *testing.T) {
+// Subscribers that read while values are published may skip versions, but must receive the newest version of each
+// part in the end, and no older version after a newer one.
+func TestSubscribersReceiveTheNewestValueOfEachPart(t *testing.T) {
 	hub := NewHub(testParts, 8)
 	server := httptest.NewServer(hub)
 	defer server.Close()
 	const last = 2000
 	publish := func() {
 		for version := uint64(1); version <= last; version++ {
-			hub.Publish(encodeTest(1+rand.IntN(testParts-1), version))
+			hub.Publish(encodePart(1+rand.IntN(testParts-1), version))
 		}
 		for index := range testParts {
-			hub.Publish(encodeTest(index, last+1))
+			hub.Publish(encodePart(index, last+1))
 		}
 	}
 	outcomes := make(chan error, 4)
@@ -83,23 +87,23 @@
 		seen := map[int]uint64{}
 		go func() {
 			outcomes <- (&Client{}).Follow(context.Background(), server.URL, func(frame []byte) error {
-				versionsOf(t, frame, seen)
+				decodeFrame(t, frame, seen)
 				for index := range testParts {
 					if seen[index] != last+1 {
 						return nil
 					}
 				}
-				return errEnough
+				return errDone
 			})
 		}()
 	}
 	go publish()
 	for range cap(outcomes) {
-		must.ErrorIs(t, <-outcomes, errEnough)
+		must.ErrorIs(t, <-outcomes, errDone)
 	}
 }
 
-func TestSinceReturnsWhatChanged(t *testing.T) {
+func TestChangesSinceReturnsChangedParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hub := NewHub(testParts, 1)
 		published := make([]uint64, testParts)
@@ -107,10 +111,10 @@
 		revision := uint64(0)
 		for step := range uint64(rapid.IntRange(1, 50).Draw(t, "steps")) {
 			index := rapid.IntRange(0, testParts-1).Draw(t, "part")
-			hub.Publish(encodeTest(index, step))
+			hub.Publish(encodePart(index, step))
 			published[index] = step
 			if rapid.Bool().Draw(t, "reads") {
-				parts, next, _ := hub.since(revision, wants{}, nil)
+				parts, next, _ := hub.changesSince(revision, preferences{}, nil)
 				for _, part := range parts {
 					if len(part) > 0 {
 						seen[part[0]], _ = binary.Uvarint(part[1:])
@@ -119,26 +123,26 @@
 				must.Eq(t, published, seen)
 				must.GreaterEq(t, revision, next)
 				revision = next
-				again, _, _ := hub.since(revision, wants{}, nil)
+				again, _, _ := hub.changesSince(revision, preferences{}, nil)
 				must.Len(t, 0, again)
 			}
 		}
 	})
 }
 
-func TestSubscribersAreBounded(t *testing.T) {
+func TestSubscriberLimit(t *testing.T) {
 	hub := NewHub(1, 1)
 	server := httptest.NewServer(hub)
 	defer server.Close()
 	err := (&Client{}).Follow(context.Background(), server.URL, func([]byte) error {
-		refused := (&Client{}).Follow(context.Background(), server.URL, func([]byte) error { return errEnough })
+		refused := (&Client{}).Follow(context.Background(), server.URL, func([]byte) error { return errDone })
 		fault := &NotStreamingError{}
 		must.True(t, errors.As(refused, &fault))
 		must.EqOp(t, http.StatusServiceUnavailable, fault.Status)
 		must.EqOp(t, 1, hub.SubscriberCount())
-		return errEnough
+		return errDone
 	})
-	must.ErrorIs(t, err, errEnough)
+	must.ErrorIs(t, err, errDone)
 }
 
 func TestDisconnectEndsStreams(t *testing.T) {
@@ -150,7 +154,7 @@
 		return nil
 	})
 	must.Error(t, err)
-	must.False(t, errors.Is(err, errEnough))
+	must.False(t, errors.Is(err, errDone))
 }
 
 func TestRefusalNamesTheLeader(t *testing.T) {
@@ -171,7 +175,7 @@
 	}
 }
 
-func TestSilenceIsReported(t *testing.T) {
+func TestSilenceTimeoutIsReported(t *testing.T) {
 	ended := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		writer.WriteHeader(http.StatusOK)
@@ -186,7 +190,7 @@
 	must.True(t, errors.As(err, &fault))
 }
 
-func TestEndOfTheContextIsReported(t *testing.T) {
+func TestContextCancellationIsReported(t *testing.T) {
 	hub := NewHub(1, 1)
 	server := httptest.NewServer(hub)
 	defer server.Close()
@@ -195,7 +199,7 @@
 	must.ErrorIs(t, err, context.Canceled)
 }
 
-func TestFramesAreReadBack(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream []byte
 		frames := rapid.SliceOf(rapid.SliceOfN(rapid.Byte(), 0, 300)).Draw(t, "frames")
@@ -211,7 +215,7 @@
 	})
 }
 
-func TestFrameAboveTheBoundIsRefused(t *testing.T) {
+func TestFrameAboveTheLimitIsRejected(t *testing.T) {
 	reader := bufio.NewReader(bytes.NewReader(appendHeader(nil, 301)))
 	_, err := readFrame(reader, 300)
 	fault := &FrameTooLargeError{}
@@ -219,26 +223,26 @@
 	must.StrContains(t, fault.Error(), fmt.Sprint(300))
 }
 
-func TestSubscriberIsSparedThePartsItDoesWithout(t *testing.T) {
+func TestExcludedPartsAreNotSent(t *testing.T) {
 	hub := NewHub(3, 1)
 	hub.Publish(Part{Index: 0, Data: []byte("h")}, Part{Index: 1, Data: []byte("one")}, Part{Index: 2, Data: []byte("two")})
 	subscription := Subscription{ExcludedParts: []int{2, 0}}
-	request := httptest.NewRequest(http.MethodGet, "/"+subscription.Query()+"&"+withoutParameter+"=x", nil)
-	parts, _, _ := hub.since(0, wantsOf(request), nil)
+	request := httptest.NewRequest(http.MethodGet, "/"+subscription.Query()+"&"+excludedParameter+"=x", nil)
+	parts, _, _ := hub.changesSince(0, parsePreferences(request), nil)
 	must.Eq(t, [][]byte{[]byte("h"), []byte("one")}, parts)
 }
 
-func TestQueryNamesWhatASubscriberWants(t *testing.T) {
+func TestSubscriptionQueryRoundTrip(t *testing.T) {
 	must.Eq(t, "", Subscription{}.Query())
-	wanted := Subscription{ExcludedParts: []int{3}, AcceptDeltas: true, Urgent: true, HeldVersions: map[int]string{1: "7", 2: "4:1"}}
-	request := httptest.NewRequest(http.MethodGet, "/"+wanted.Query(), nil)
-	must.Eq(t, wants{without: map[int]bool{3: true}, deltas: true, urgent: true, held: map[int]string{1: "7", 2: "4:1"}}, wantsOf(request))
-	unreadable := wantsOf(httptest.NewRequest(http.MethodGet, "/?deltas=perhaps&held=x:1", nil))
-	must.False(t, unreadable.deltas)
-	must.MapEmpty(t, unreadable.held)
+	subscription := Subscription{ExcludedParts: []int{3}, AcceptDeltas: true, Urgent: true, HeldVersions: map[int]string{1: "7", 2: "4:1"}}
+	request := httptest.NewRequest(http.MethodGet, "/"+subscription.Query(), nil)
+	must.Eq(t, preferences{excluded: map[int]bool{3: true}, deltas: true, urgent: true, held: map[int]string{1: "7", 2: "4:1"}}, parsePreferences(request))
+	invalid := parsePreferences(httptest.NewRequest(http.MethodGet, "/?deltas=perhaps&held=x:1", nil))
+	must.False(t, invalid.deltas)
+	must.MapEmpty(t, invalid.held)
 }
 
-// TCP repeats a lost opening packet after a second; a dial must have been given up long before.
-func TestDialEndsBeforeTheOpeningPacketIsRepeated(t *testing.T) {
+// TCP retransmits a lost SYN after one second; a dial must time out well before that.
+func TestDialTimesOutBeforeSYNRetransmission(t *testing.T) {
 	must.LessEq(t, time.Second/4, dialTimeout)
 }
