--- a/coord/placement/planner.go
+++ b/coord/placement/planner.go
@@ -16,7 +16,7 @@
 	ownerEnded // also if the partition has no owner
 )
 
-// nodeLoad is the number of partitions that a node will own after the requested moves.
+// nodeLoad is a node and the number of partitions that it will own after the requested moves.
 type nodeLoad struct {
 	member     Member // the live incarnation; if there is none, the first one listed
 	partitions int
@@ -30,6 +30,8 @@
 	zones   map[string]int // number of partitions by zone
 }
 
+// newPlanner returns a planner with zero loads. It returns ErrInvalidMembers if more than one incarnation of a node is
+// alive.
 func newPlanner(members []Member) (*planner, error) {
 	p := &planner{members: members, zones: make(map[string]int)}
 	for _, member := range members {
--- a/coord/placement/random_test.go
+++ b/coord/placement/random_test.go
@@ -152,23 +152,23 @@
 // alive, and planning must converge to a balanced table once all nodes are running.
 func TestRandomEventsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation(t)
+		s := newSimulation(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"disturb": w.changeNode,
-			"plan":    func(t *rapid.T) { w.plan(t) },
+			"change node": s.changeNode,
+			"plan":        func(t *rapid.T) { s.plan(t) },
 			"release": func(t *rapid.T) {
-				if len(w.partitions) == 0 {
+				if len(s.partitions) == 0 {
 					t.Skip("no partitions")
 				}
-				index := rapid.IntRange(0, len(w.partitions)-1).Draw(t, "partition")
-				epoch := w.partitions[index].Epoch
+				index := rapid.IntRange(0, len(s.partitions)-1).Draw(t, "partition")
+				epoch := s.partitions[index].Epoch
 				if epoch > 0 && rapid.Bool().Draw(t, "late") {
 					epoch--
 				}
-				w.release(t, index, epoch)
+				s.release(t, index, epoch)
 			},
 		})
-		w.checkConvergence(t)
+		s.checkConvergence(t)
 	})
 }
 
@@ -216,15 +216,15 @@
 
 func TestPlanDoesNotChangeItsInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation(t)
-		w.plan(t)
-		w.changeNode(t)
-		before := slices.Clone(w.partitions)
-		_, _, err := Plan(w.members(), w.partitions, w.maxMoves)
+		s := newSimulation(t)
+		s.plan(t)
+		s.changeNode(t)
+		before := slices.Clone(s.partitions)
+		_, _, err := Plan(s.members(), s.partitions, s.maxMoves)
 		must.NoError(t, err)
-		must.Eq(t, before, w.partitions)
-		_, err = Release(w.members(), w.partitions, len(before), 0)
+		must.Eq(t, before, s.partitions)
+		_, err = Release(s.members(), s.partitions, len(before), 0)
 		must.True(t, errors.Is(err, ErrUnknownPartition))
-		must.Eq(t, before, w.partitions)
+		must.Eq(t, before, s.partitions)
 	})
 }
