--- a/internal/storenode/figures.go
+++ b/internal/storenode/figures.go
@@ -55,7 +55,7 @@
 			return
 		}
 		owned++
-		if e.Copies(n.holders.domains, n.ownDomain()) < n.holders.wanted {
+		if e.CountCopies(n.holders.domains, n.ownDomain()) < n.holders.wanted {
 			scarce++
 		}
 	})
