--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,5 +1,5 @@
-// Package choice decides where a dispatcher sends its jobs, by inverse response time ratios.
-// Its interface (settings, events and actions) is in api.go, what it remembers in state.go;
+// Package choice selects workers for a dispatcher's requests, in proportion to the inverse of their expected
+// responses. Settings, events and actions are in api.go; state.go describes the state and the rules on it;
 // docs/design.md gives the reasons.
 package choice
 
@@ -11,84 +11,97 @@
 	"slices"
 )
 
+// Names ending in S are in seconds. A window is the number of events that a decaying average covers.
 const (
-	memory                = 12.0      // answers that a profile averages over
-	hintMemory            = 500.0     // hints that a class's mean is of
-	borrowed              = 2.0       // answers' weight of the median that a sparse profile is filled up with
-	sampleSize            = 3         // workers ranked where jobs in flight are fewer than workers
-	refreshEvery          = 0.2       // seconds between looks at the whole fleet
-	freshFor              = 1.5       // seconds that a load report tells free slots
-	crossCharge           = 30.0      // a crossing's price lengthens R by e to this power
-	reportLag             = 0.6       // seconds a report is taken to be old when it comes in
-	fullPart              = 0.15      // part of a mean response that 'full' bars a worker for its size
-	errBar, errBarMost    = 1.0, 16.0 // seconds an erring worker is barred: first and most
-	unsafeBar             = 3.0       // times as long for jobs that a failure loses
-	badMemory, badMost    = 12.0, 0.3 // attempts that the part of failed ones is of; part that bars in full
-	probeShare            = 0.5       // probes for each request
-	surely, sureOver      = 1.5, 1.3  // scatters less that what is carried counts; times the rest
-	coldMargin            = 0.6       // part of the overload factor that all dispatchers together may use
-	coldSaved             = 0.3       // seconds of its budget that a cold worker saves up at the most
-	coldJob               = 0.3       // largest job for a cold worker, as a part of what tips it
-	waitMemory            = 4.0       // seconds after which what a job waited at a worker is less sure
-	rateMemory            = 8.0       // seconds over which rates are averaged
-	carriedKeep           = 0.995     // of the most that a kind was seen to carry, at each refresh
-	moveAfter             = 0.25      // part of the aim after which a job not started is tried elsewhere
-	moveShare             = 0.3       // moves for each request at most, less where waste is dear
-	moveMore              = 2.0       // or so many times the part of moves that found a worker free
-	movePrice             = 0.0075    // at the square of waste's price; of what is moved a tenth has begun
-	lateMemory            = 16.0      // starts or answers that the part of late ones is of
-	lateBorne             = 0.2       // part of late ones up to which nothing is turned away
-	shedGain, shedMost    = 2.0, 0.85 // part turned away, times the late part above lateBorne
-	noRoomOf              = 64.0      // outcomes that the part of connections refused at once is of
-	noRoomMost            = 0.03      // part from which idle connections are closed
-	dearMost              = 4.0       // times as many of the dearest jobs, and as few of the cheapest
-	backMemory, backMost  = 64.0, 0.9 // tries that the part of those that came back is of; and its bound
-	tickEvery             = 0.1
-	listMost              = 1.6      // seconds between failed calls: back, its news count after 6 s
-	retryShare, retryMost = 1.2, 1.5 // tries after 'full' a request, by the square of what its aim bears
-	scanMost              = 96       // workers of a large fleet looked at where a sample finds none
-	retryPause            = 0.02     // seconds before a further try where no worker is known to be free
-	tickToken, listToken  = 1, 2
+	// Expected response times.
+	profileWindow = 12.0  // answers of a class by a worker
+	hintWindow    = 500.0 // requests with a hint
+	priorAnswers  = 2.0   // weight, in answers, of the machine kind's median in each profile
+
+	// Shares, load reports and the price of crossing zones.
+	sampleWorkers     = 3    // workers compared while fewer jobs than workers are in flight
+	refreshIntervalS  = 0.2  // between updates of medians and shares over all workers
+	reportFreshS      = 1.5  // validity of a load report; probes come after half of it
+	crossZoneExponent = 30.0 // responses in other zones count exp(crossZoneExponent * price) times
+	reportAgeS        = 0.6  // assumed age of a load report when it arrives
+
+	// Exclusion of workers that answered 'busy' or failed.
+	fullHoldShare                    = 0.15      // of a response: how long 'busy' excludes jobs of its size
+	ejectionMinS, ejectionMaxS       = 1.0, 16.0 // first and longest ejection
+	unsafeEjectionFactor             = 3.0       // times as long for at-most-once jobs, as failures lose them
+	failureWindow, fullEjectionShare = 12.0, 0.3 // attempts; share of broken connections that ejects in full
+	probesPerRequest                 = 0.5
+
+	// Load and cold workers, see kind and worker.
+	loadStdDevs, loadScale = 1.5, 1.3 // standard deviations subtracted from the load; factor on the rest
+	coldFleetShare         = 0.6      // of the overload factor, for all dispatchers together
+	coldSavingsS           = 0.3      // most of its budget that a cold worker accumulates beyond the next job
+	coldJobShare           = 0.3      // largest job for a cold worker, of the work that overloads it
+	waitDecayS             = 4.0      // decay of a worker's last wait to the mean wait
+	rateDecayS             = 8.0      // decay of rates
+	peakLoadDecay          = 0.995    // for each refresh
+
+	// Moves of jobs that have not started to other workers.
+	moveAfterAimShare = 0.25   // of the aim, after which a job that has not started is moved
+	movesPerRequest   = 0.3    // credit for each request, less if waste is expensive
+	movesPerHitShare  = 2.0    // if more: credit by the share of moves that found a free worker
+	moveWasteFactor   = 0.0075 // limit of the credit times the squared price of waste; a tenth had started
+
+	// Load shedding, see Dispatcher.
+	lateWindow                     = 16.0      // starts or answers
+	toleratedLateShare             = 0.2       // up to which nothing is refused
+	shedPerLateShare, shedShareMax = 2.0, 0.85 // refused share by the late share above the tolerated; limit
+	connWindow                     = 64.0      // outcomes, for the share of connections refused at once
+	refusedConnShareMax            = 0.03      // above which idle connections are closed
+	costRatioMax                   = 4.0       // times as many of the costliest jobs, as few of the cheapest
+	returnWindow, returnShareMax   = 64.0, 0.9 // tries; limit of the share of refused tries that return
+
+	probeIntervalS                          = 0.1
+	listRetryMaxS                           = 1.6      // changes count as known 6 s after discovery recovers
+	retriesPerRequest, retriesPerRequestMax = 1.2, 1.5 // after 'busy', times the squared slack of the aim
+	scanWorkersMax                          = 96       // workers examined if a sample finds none
+	retryDelayS                             = 0.02     // before a new attempt if no worker seems free
+	probeTimer, listTimer                   = 1, 2     // timer tokens
 )
 
-// New starts a dispatcher at the given time. It returns an error where the settings cannot be honoured.
-func New(now float64, s Settings, act Actions) (*Dispatcher, error) {
-	if act == nil || len(s.Classes) == 0 || s.MaxAttempts < 1 || s.Dispatchers < 1 {
-		return nil, errors.New("choice: actions, a class, an attempt and a dispatcher are needed")
+// New starts a dispatcher. It returns an error if act is nil or the settings can't be satisfied.
+func New(now float64, cfg Settings, actions Actions) (*Dispatcher, error) {
+	if actions == nil || len(cfg.Classes) == 0 || cfg.MaxAttempts < 1 || cfg.Dispatchers < 1 {
+		return nil, errors.New("choice: actions, a class, an attempt and a dispatcher are required")
 	}
-	pcg := rand.NewPCG(s.Seed, uint64(s.Self)+1)
-	d := &Dispatcher{s: s, act: act, pcg: pcg, rng: rand.New(pcg),
-		byID: map[string]*worker{}, kinds: map[string]*kind{}, reqs: map[string]*request{},
-		waiting: map[uint64]*request{}, moves: map[uint64]*attempt{}, retries: 2, token: listToken,
-		refreshAt: now}
+	pcg := rand.NewPCG(cfg.Seed, uint64(cfg.Self)+1)
+	d := &Dispatcher{cfg: cfg, actions: actions, pcg: pcg, rng: rand.New(pcg),
+		byID: map[string]*worker{}, kinds: map[string]*kind{}, requests: map[string]*request{},
+		delayed: map[uint64]*request{}, attemptTimers: map[uint64]*attempt{}, retryCredit: 2,
+		timerToken: listTimer, nextRefreshAt: now}
 	d.nextProbe = d.rng.IntN(1 << 20)
-	for _, c := range s.Classes {
+	for _, c := range cfg.Classes {
 		d.classes = append(d.classes, class{Class: c, median: 1})
 	}
-	for _, t := range s.Tenants {
+	for _, t := range cfg.Tenants {
 		d.tenants = append(d.tenants, tenant{Tenant: t})
 	}
-	d.listPause = min(s.AskWithin/16, listMost)
-	if s.ListOnRequest { // all dispatchers may start at once: spread their first calls
-		act.Timer(d.rng.Float64()*s.AskWithin/4, listToken)
+	d.listRetryDelay = min(cfg.AskWithin/16, listRetryMaxS)
+	if cfg.ListOnRequest { // random delay, as all dispatchers may start at once
+		actions.Timer(d.rng.Float64()*cfg.AskWithin/4, listTimer)
 	}
-	if s.CanProbe && s.FreeSlots >= 0 { // a probe costs its worker work, and without a report tells nothing
-		act.Timer(tickEvery*d.rng.Float64(), tickToken)
+	if cfg.CanProbe && cfg.FreeSlots >= 0 { // a probe costs the worker time and is useless without a report
+		actions.Timer(probeIntervalS*d.rng.Float64(), probeTimer)
 	}
 	return d, nil
 }
 
-// List takes discovery's news of the workers.
+// List applies an answer or update of discovery.
 func (d *Dispatcher) List(now float64, form ListForm, list []Worker) {
 	if form == ListRefused {
-		// Danger: many dispatchers asking again at once keep discovery jammed.
-		d.subscribed, d.asked = false, false
-		d.act.Timer(d.listPause*(0.5+d.rng.Float64()), listToken)
-		d.listPause = min(d.listPause*2, d.s.AskWithin/2, listMost)
+		// Many dispatchers that retry at the same time would keep discovery overloaded.
+		d.subscribed, d.subscribeSent = false, false
+		d.actions.Timer(d.listRetryDelay*(0.5+d.rng.Float64()), listTimer)
+		d.listRetryDelay = min(d.listRetryDelay*2, d.cfg.AskWithin/2, listRetryMaxS)
 		return
 	}
-	if form != ListRemembered && d.asked {
-		d.subscribed, d.listPause = true, min(d.s.AskWithin/16, listMost)
+	if form != ListRemembered && d.subscribeSent {
+		d.subscribed, d.listRetryDelay = true, min(d.cfg.AskWithin/16, listRetryMaxS)
 	}
 	if form != ListChanges {
 		for _, w := range d.workers {
@@ -98,19 +111,20 @@
 	for _, e := range list {
 		w := d.byID[e.ID]
 		if w == nil {
-			w = d.newWorker(d.kindOf(e.Kind))
-			w.resetBudget(now, d.rng.Float64())
+			w = d.newWorker(d.kindNamed(e.Kind))
+			w.resetColdBudget(now, d.rng.Float64())
 			d.byID[e.ID] = w
 			d.workers = append(d.workers, w)
 		}
 		if e.Started > w.Started {
-			w.barTill, w.unsafeTil, w.barSpan, w.bad, w.fullTill, w.freeAt, w.waitAt = 0, 0, 0, 0, 0, 0, 0
-			w.resetBudget(now, d.rng.Float64())
+			w.ejectedUntil, w.unsafeUntil, w.ejectionDuration, w.failureShare, w.fullUntil, w.freeSlotsAt,
+				w.waitAt = 0, 0, 0, 0, 0, 0, 0
+			w.resetColdBudget(now, d.rng.Float64())
 		}
-		w.Worker, w.home, w.listed = e, e.Zone == d.s.Zone, e.State != Terminated
+		w.Worker, w.sameZone, w.listed = e, e.Zone == d.cfg.Zone, e.State != Terminated
 	}
 	d.workers = slices.DeleteFunc(d.workers, func(w *worker) bool {
-		if w.listed || len(w.out) > 0 {
+		if w.listed || len(w.outstanding) > 0 {
 			return false
 		}
 		delete(d.byID, w.ID)
@@ -120,93 +134,91 @@
 	d.refresh(now)
 }
 
-// Fleet takes how many dispatchers may be acting from now on. Danger: those that join take over a part of
-// what this one carries, and its memory of that fades slowly: all together would overdrive a cold worker
-// for that long. Where some have gone, what is carried rises by itself.
+// Fleet sets how many dispatchers may be active from now on. Those that join take over a part of this one's
+// load, whose average decays slowly: cold budgets by the old average would add up to more than a cold worker
+// bears. After some have left, the load rises by itself.
 func (d *Dispatcher) Fleet(dispatchers int) {
-	if part := float64(d.s.Dispatchers) / float64(dispatchers); part < 1 {
+	if share := float64(d.cfg.Dispatchers) / float64(dispatchers); share < 1 {
 		for _, k := range d.kindList {
-			k.carried, k.work.sum, k.squares.sum = k.carried*part, k.work.sum*part, k.squares.sum*part
+			k.peakLoad, k.workRate.sum, k.workSquareRate.sum =
+				k.peakLoad*share, k.workRate.sum*share, k.workSquareRate.sum*share
 		}
 	}
-	d.s.Dispatchers = max(1, dispatchers)
+	d.cfg.Dispatchers = max(1, dispatchers)
 }
 
-// warmth is the part of its capacity that a worker has at the least.
-func (d *Dispatcher) warmth(now float64, w *worker) float64 {
-	if w.Started == 0 || d.s.WarmWithin <= 0 || now >= w.Started+d.s.WarmWithin {
+// capacityShare is the least part of its full capacity that a worker has while it warms up.
+func (d *Dispatcher) capacityShare(now float64, w *worker) float64 {
+	if w.Started == 0 || d.cfg.WarmWithin <= 0 || now >= w.Started+d.cfg.WarmWithin {
 		return 1
 	}
-	return d.s.ColdShare + (1-d.s.ColdShare)*max(0, now-w.Started)/d.s.WarmWithin
+	return d.cfg.ColdShare + (1-d.cfg.ColdShare)*max(0, now-w.Started)/d.cfg.WarmWithin
 }
 
-// refresh looks over the whole fleet: medians, shares, and workers that have gone silent.
+// refresh updates loads, medians and shares over all workers, and counts requests that wait too long.
 func (d *Dispatcher) refresh(now float64) {
-	since := min(refreshEvery, now-d.refreshedAt)
-	d.refreshedAt, d.refreshAt = now, now+refreshEvery
+	elapsed := min(refreshIntervalS, now-d.refreshedAt)
+	d.refreshedAt, d.nextRefreshAt = now, now+refreshIntervalS
 	for _, k := range d.kindList {
-		k.units = 0
+		k.capacity = 0
 	}
 	for _, w := range d.workers {
 		if w.listed {
-			w.kind.units += d.warmth(now, w)
+			w.kind.capacity += d.capacityShare(now, w)
 		}
 	}
 	for _, k := range d.kindList {
-		// Danger: what is carried now is no measure where the budget itself keeps it low, as when a release
-		// has made a whole kind cold: the budget would only ever shrink.
-		k.unitTime.add(now, k.units*since)
-		// Danger: of many dispatchers each carries little, what it saw is chance for a good part, and the
-		// most that each saw adds up to far more than all carried. So it counts less by its own scatter.
-		seen := k.work.perS(now)
-		seen = min(seen, sureOver*(seen-surely*math.Sqrt(k.squares.perS(now)/(2*rateMemory))))
-		k.carried = max(k.carried*carriedKeep, seen/max(k.unitTime.perS(now), 1e-9))
-	}
-	for _, r := range d.reqs {
-		// Danger: a job in a long queue tells so only as it starts, when the queue has grown for as long.
-		if d.s.TellsStart && !r.over {
-			d.judge(now, r, false)
+		k.capacityTime.add(now, k.capacity*elapsed)
+		load := k.workRate.perS(now) // counted less by its standard deviation, see kind
+		load = min(load, loadScale*(load-loadStdDevs*math.Sqrt(k.workSquareRate.perS(now)/(2*rateDecayS))))
+		k.peakLoad = max(k.peakLoad*peakLoadDecay, load/max(k.capacityTime.perS(now), 1e-9))
+	}
+	for _, r := range d.requests {
+		// A job in a long queue starts late, and until then the queue would grow unnoticed.
+		if d.cfg.TellsStart && !r.finished {
+			d.countLate(now, r, false)
 		}
 	}
 	for i := range d.classes {
 		c := &d.classes[i]
 		d.listCandidates(i)
-		if m := d.medianOf(i, nil); m > 0 {
+		if m := d.medianResponse(i, nil); m > 0 {
 			c.median = m
 		}
-		c.fastest = c.median
+		c.fastestMedian = c.median
 		for _, k := range d.kindList {
-			k.medians[i] = d.medianOf(i, k)
+			k.medians[i] = d.medianResponse(i, k)
 			if k.medians[i] == 0 {
 				k.medians[i] = c.median
 			}
-			c.fastest = min(c.fastest, k.medians[i])
+			c.fastestMedian = min(c.fastestMedian, k.medians[i])
 		}
-		c.sum, c.most = 0, 0
-		for _, w := range c.all {
-			d.rerate(now, i, w)
-			c.sum += w.inv[i]
-			c.most = max(c.most, w.inv[i])
+		c.inverseSum, c.inverseMax = 0, 0
+		for _, w := range c.candidates {
+			d.updateInverse(now, i, w)
+			c.inverseSum += w.inverse[i]
+			c.inverseMax = max(c.inverseMax, w.inverse[i])
 		}
 	}
 }
 
-// listCandidates lists the workers that a class's jobs may go to.
+// listCandidates finds the workers that may run jobs of class i.
 func (d *Dispatcher) listCandidates(i int) {
 	c := &d.classes[i]
-	c.all = c.all[:0]
+	c.candidates = c.candidates[:0]
 	for _, w := range d.workers {
 		if w.listed && w.State == InService && c.runsOn(w) {
-			c.all = append(c.all, w)
+			c.candidates = append(c.candidates, w)
 		}
 	}
 }
 
-func (d *Dispatcher) medianOf(i int, k *kind) float64 {
+// medianResponse is the median response of class i at kind k, at all kinds if k is nil; 0 without answers.
+func (d *Dispatcher) medianResponse(i int, k *kind) float64 {
 	d.scratch = d.scratch[:0]
-	for _, w := range d.classes[i].all {
+	for _, w := range d.classes[i].candidates {
 		if p := w.profiles[i]; p.cost > 0 && (k == nil || w.kind == k) {
-			d.scratch = append(d.scratch, p.took/p.cost)
+			d.scratch = append(d.scratch, p.response/p.cost)
 		}
 	}
 	if len(d.scratch) == 0 {
@@ -216,215 +228,210 @@
 	return d.scratch[len(d.scratch)/2]
 }
 
-// response is R: how long the class's jobs run there, with a sparse profile filled up by what the kind takes,
-// times the worker's own pace; and how long jobs of any class wait there, where starts are told.
+// response is the expected response of a mean job of class i, in seconds: the expected wait, and the run time
+// by the worker's profile, filled up as described at profile.
 func (d *Dispatcher) response(now float64, i int, w *worker) float64 {
-	// Danger: a dispatcher that sees little traffic has no profile of most pairs of worker and class, and
-	// would take the slowest worker for a usual one. How the worker fared with other classes tells.
-	took, cost := borrowed, borrowed
+	responses, costs := priorAnswers, priorAnswers
 	for j, p := range w.profiles {
 		if j != i {
-			took, cost = took+p.took/max(w.kind.medians[j], 1e-4), cost+p.cost
+			responses, costs = responses+p.response/max(w.kind.medians[j], 1e-4), costs+p.cost
 		}
 	}
 	p := w.profiles[i]
-	runs := (p.took + borrowed*w.kind.medians[i]*max(1, took/cost)) / (p.cost + borrowed)
-	return runs + d.queue(now, w)
+	runTime := (p.response + priorAnswers*w.kind.medians[i]*max(1, responses/costs)) / (p.cost + priorAnswers)
+	return runTime + d.expectedWait(now, w)
 }
 
-// queue is how long jobs are thought to wait at the worker: what the last one waited, less sure with time.
-// Danger: one of many dispatchers meets a worker every few seconds. Averaged over a dozen answers of a
-// class, a queue would count for minutes after it has gone, and one that is there now would not show.
-func (d *Dispatcher) queue(now float64, w *worker) float64 {
-	return d.wait + (w.wait-d.wait)*math.Exp((w.waitAt-now)/waitMemory)
+// expectedWait is the last wait seen at the worker, which decays to the mean wait of all.
+func (d *Dispatcher) expectedWait(now float64, w *worker) float64 {
+	return d.wait + (w.wait-d.wait)*math.Exp((w.waitAt-now)/waitDecayS)
 }
 
-// waited enters how long a job waited at its worker, and has its shares follow.
-func (d *Dispatcher) waited(now float64, w *worker, wait float64) {
+// recordWait records how long a job waited at its worker, and updates the worker's shares.
+func (d *Dispatcher) recordWait(now float64, w *worker, wait float64) {
 	w.wait, w.waitAt = wait, now
-	if wait > retryPause { // what stands there on average is worked off by then
-		w.fullTill, w.fullSlots = now+min(wait, waitMemory)/2, 0
+	if wait > retryDelayS { // by half of the wait the average queue is worked off
+		w.fullUntil, w.fullFromSlots = now+min(wait, waitDecayS)/2, 0
 	}
-	d.wait += (wait - d.wait) / (4 * memory)
+	d.wait += (wait - d.wait) / (4 * profileWindow)
 	for i := range d.classes {
-		d.reshare(now, i, w)
+		d.updateShare(now, i, w)
 	}
 }
 
-// reshare has a worker's share of a class follow news of it at once.
-func (d *Dispatcher) reshare(now float64, i int, w *worker) {
+// updateShare updates a worker's share of class i between refreshes.
+func (d *Dispatcher) updateShare(now float64, i int, w *worker) {
 	c := &d.classes[i]
 	if !w.listed || w.State != InService || !c.runsOn(w) {
 		return
 	}
-	c.sum -= w.inv[i]
-	d.rerate(now, i, w)
-	c.sum += w.inv[i]
-	c.most = max(c.most, w.inv[i])
+	c.inverseSum -= w.inverse[i]
+	d.updateInverse(now, i, w)
+	c.inverseSum += w.inverse[i]
+	c.inverseMax = max(c.inverseMax, w.inverse[i])
 }
 
-func (d *Dispatcher) rerate(now float64, i int, w *worker) {
+// updateInverse sets the inverse of the worker's expected response for class i, as its share follows from it.
+func (d *Dispatcher) updateInverse(now float64, i int, w *worker) {
 	r := d.response(now, i, w)
-	if len(w.out) > 0 {
-		// Danger: a worker that swallows jobs answers none, so its fast profile would draw ever more.
-		r = max(r, now-max(w.out[0].sent, w.lifeAt))
+	if len(w.outstanding) > 0 {
+		// A worker that never answers keeps its fast profile, and would get more and more jobs.
+		r = max(r, now-max(w.outstanding[0].sentAt, w.lastAliveAt))
 	}
-	if !w.home {
-		r *= math.Exp(crossCharge * d.s.Prices.CrossZone)
+	if !w.sameZone {
+		r *= math.Exp(crossZoneExponent * d.cfg.Prices.CrossZone)
 	}
-	w.inv[i] = 1 / max(r, 1e-4)
+	w.inverse[i] = 1 / max(r, 1e-4)
 }
 
-// Request takes a job and places it.
+// Request admits a request and places it, or refuses it; Dispatcher describes load shedding.
 func (d *Dispatcher) Request(now float64, q Request) {
-	if q.Class < 0 || q.Class >= len(d.classes) || d.reqs[q.ID] != nil {
+	if q.Class < 0 || q.Class >= len(d.classes) || d.requests[q.ID] != nil {
 		return
 	}
-	r := &request{Request: q, arrived: now}
+	r := &request{Request: q, arrivedAt: now}
 	r.Slots = max(r.Slots, 1)
 	c := &d.classes[q.Class]
 	if q.HasHint {
-		c.hints = min(c.hints+1, hintMemory)
-		c.hint += (q.Hint - c.hint) / c.hints
+		c.hintCount = min(c.hintCount+1, hintWindow)
+		c.meanHint += (q.Hint - c.meanHint) / c.hintCount
 	}
 	if q.Tenant >= 0 && q.Tenant < len(d.tenants) {
 		t := &d.tenants[q.Tenant]
-		r.excess = t.Quota > 0 && t.seen.perS(now)*float64(d.s.Dispatchers) > t.Quota
+		r.overShare = t.Quota > 0 && t.requestRate.perS(now)*float64(d.cfg.Dispatchers) > t.Quota
 	}
-	// Danger: a fleet that is asked for more than it can do answers everything late. Part of the jobs is
-	// turned away at once, before anything may have run, first what is dear for its worth or over-share.
-	// Never all: with nothing let in, no start would tell that the fleet is in time again.
 	worth := c.Worth
 	if c.Deadline-(q.Deadline-now) > c.Aim+c.Stretch*c.median {
-		worth *= c.LateWorth // it has come back, and can't be in time any more
-	}
-	dear := 1 / max(worth, 1e-9)
-	if !d.s.WorthByWork {
-		dear *= c.median
-	}
-	d.dear += (dear - d.dear) / lateMemory
-	// Lateness is borne for what late answers are worth: all of it where they keep a quarter or more, none
-	// where they are worth nothing: their queue only takes places from those that could be in time.
-	late := max(0, d.late-lateBorne*min(1, 4*c.LateWorth))
-	shed := min(shedMost, shedGain*late*min(dearMost, max(1/dearMost, dear/d.dear)))
-	if r.excess { // its worth is that part of the usual
-		shed *= min(dearMost, 1/max(d.s.OverShareWorth, 1e-3))
-	}
-	// Danger: where callers come back at once, a part that is turned away at each try is far less for good.
-	// It is raised until what is meant to stay away does, by the part of those turned away that came back.
-	back := min(backMost, d.back/max(d.turned, 1/backMemory))
+		worth *= c.LateWorth // a retry of the client, too late for the aim
+	}
+	cost := 1 / max(worth, 1e-9)
+	if !d.cfg.WorthByWork {
+		cost *= c.median
+	}
+	d.meanCost += (cost - d.meanCost) / lateWindow
+	// Lateness is tolerated in full if late answers keep a quarter of their worth or more, and not at all if
+	// they keep none: late requests would only take slots from those that could be in time.
+	late := max(0, d.lateShare-toleratedLateShare*min(1, 4*c.LateWorth))
+	shed := min(shedShareMax, shedPerLateShare*late*min(costRatioMax, max(1/costRatioMax, cost/d.meanCost)))
+	if r.overShare { // its worth is multiplied by OverShareWorth
+		shed *= min(costRatioMax, 1/max(d.cfg.OverShareWorth, 1e-3))
+	}
+	// If callers retry at once, a share refused at each try drops far fewer requests for good. It is raised
+	// by the share of refused tries that return, until the share shed stays away.
+	returning := min(returnShareMax, d.returnShare/max(d.shedShare, 1/returnWindow))
 	shed = min(1, shed)
-	turned := d.rng.Float64() < min(shed/(1-back+shed*back), 0.95)
-	d.back, d.turned = part(d.back, q.Repeat, backMemory), part(d.turned, turned, backMemory)
-	if turned {
-		d.act.Refuse(r.ID, d.s.MaxRetryAfter)
+	refuse := d.rng.Float64() < min(shed/(1-returning+shed*returning), 0.95)
+	d.returnShare, d.shedShare =
+		decayedShare(d.returnShare, q.Repeat, returnWindow), decayedShare(d.shedShare, refuse, returnWindow)
+	if refuse {
+		d.actions.Refuse(r.ID, d.cfg.MaxRetryAfter)
 		return
 	}
 	if q.Tenant >= 0 && q.Tenant < len(d.tenants) {
-		d.tenants[q.Tenant].seen.add(now, 1) // tries turned away must not make everybody look over-share
-	}
-	d.probes = min(d.probes+probeShare, 20)
-	waste := max(d.s.Prices.Waste, 1e-3)
-	most := max(moveShare, moveMore*d.found)
-	d.paidMoves = min(d.paidMoves+min(most, movePrice*(1-c.LateWorth)/(waste*waste)), 10)
-	bears := max(0, c.Aim/max(c.fastest, 1e-3)+c.Stretch-2)
-	d.retries = min(d.retries+min(retryMost, retryShare*bears*bears), 20)
-	d.reqs[q.ID] = r
+		d.tenants[q.Tenant].requestRate.add(now, 1) // shed tries would put all tenants over quota
+	}
+	d.probeCredit = min(d.probeCredit+probesPerRequest, 20)
+	waste := max(d.cfg.Prices.Waste, 1e-3)
+	perRequest := max(movesPerRequest, movesPerHitShare*d.moveHitShare)
+	d.moveCredit = min(d.moveCredit+min(perRequest, moveWasteFactor*(1-c.LateWorth)/(waste*waste)), 10)
+	slack := max(0, c.Aim/max(c.fastestMedian, 1e-3)+c.Stretch-2)
+	d.retryCredit = min(d.retryCredit+min(retriesPerRequestMax, retriesPerRequest*slack*slack), 20)
+	d.requests[q.ID] = r
 	d.place(now, r)
 }
 
-// place sends the request's next attempt, holds it for a moment, or ends it.
+// place sends the request's next attempt, delays it by retryDelayS, or ends the request.
 func (d *Dispatcher) place(now float64, r *request) {
-	if now >= d.refreshAt {
+	if now >= d.nextRefreshAt {
 		d.refresh(now)
 	}
-	b, c := r.bound(), &d.classes[r.Class]
-	if len(r.attempts) >= d.s.MaxAttempts || now >= r.Deadline ||
-		b != nil && (c.Effect == AtMostOnce || c.Effect == Deduplicated && now > b.sent+c.Window) {
-		d.giveUp(r) // danger: what may have run is repeated only as its class allows
+	first, c := r.firstMaybeRun(), &d.classes[r.Class]
+	if len(r.attempts) >= d.cfg.MaxAttempts || now >= r.Deadline ||
+		first != nil && (c.Effect == AtMostOnce || c.Effect == Deduplicated && now > first.sentAt+c.Window) {
+		d.giveUp(r) // what may have run is repeated only as its class allows
 		return
 	}
-	w, available := d.pick(now, r)
-	if (w != nil && !available && len(r.attempts) > 0 || w == nil && len(c.all) > 0) &&
-		!r.excess && now-r.arrived < c.Aim/2 && now+2*retryPause < r.Deadline {
-		// Danger: tries spent at once on workers known to be full only multiply the load.
-		d.token++
-		r.token = d.token
-		d.waiting[r.token] = r
-		d.act.Timer(retryPause, r.token)
+	w, available := d.pickWorker(now, r)
+	if (w != nil && !available && len(r.attempts) > 0 || w == nil && len(c.candidates) > 0) &&
+		!r.overShare && now-r.arrivedAt < c.Aim/2 && now+2*retryDelayS < r.Deadline {
+		// Immediate retries at workers known to be full only multiply the load.
+		d.timerToken++
+		r.timerToken = d.timerToken
+		d.delayed[r.timerToken] = r
+		d.actions.Timer(retryDelayS, r.timerToken)
 		return
 	}
-	if w == nil || !available && r.excess || len(r.attempts) > 0 && b == nil && d.retries < 1 {
+	if w == nil || !available && r.overShare || len(r.attempts) > 0 && first == nil && d.retryCredit < 1 {
 		d.giveUp(r)
 		return
 	}
-	if len(r.attempts) > 0 && b == nil {
-		// Danger: when the fleet is full, every further try takes connections and time from the first ones.
-		d.retries--
+	if len(r.attempts) > 0 && first == nil {
+		// When all workers are full, each retry takes connections and time from first attempts.
+		d.retryCredit--
 	}
-	a := &attempt{req: r, no: len(r.attempts), w: w, sent: now}
+	a := &attempt{req: r, number: len(r.attempts), w: w, sentAt: now}
 	r.attempts = append(r.attempts, a)
-	r.out++
-	w.out = append(w.out, a)
-	w.credit, w.need = w.credit-d.cost(r)*w.kind.medians[r.Class], d.rng.Float64()
-	w.n[r.Class]++
-	c.n++
-	d.act.Assign(r.ID, w.ID, 0)
-	if d.s.TellsStart && d.s.CanCancel &&
-		(c.Effect == Idempotent || c.Effect == Deduplicated && d.s.TellsTaken) {
-		d.token++
-		d.moves[d.token] = a
-		d.act.Timer(c.Aim*moveAfter, d.token)
+	r.outstanding++
+	w.outstanding = append(w.outstanding, a)
+	w.coldBudget, w.coldThreshold = w.coldBudget-d.relativeCost(r)*w.kind.medians[r.Class], d.rng.Float64()
+	w.count[r.Class]++
+	c.count++
+	d.actions.Assign(r.ID, w.ID, 0)
+	if d.cfg.TellsStart && d.cfg.CanCancel &&
+		(c.Effect == Idempotent || c.Effect == Deduplicated && d.cfg.TellsTaken) {
+		d.timerToken++
+		d.attemptTimers[d.timerToken] = a
+		d.actions.Timer(c.Aim*moveAfterAimShare, d.timerToken)
 	}
 }
 
-// giveUp ends a request, by a refusal where that promise can be made.
+// giveUp refuses a request if a repeat is safe, and otherwise fails it after its last outstanding attempt.
 func (d *Dispatcher) giveUp(r *request) {
 	c := &d.classes[r.Class]
-	if r.bound() == nil || c.Effect == Idempotent || c.Effect == Deduplicated && c.Group == GroupAll {
-		d.act.Refuse(r.ID, 0)
-	} else if r.out == 0 {
-		d.act.Fail(r.ID)
+	if r.firstMaybeRun() == nil || c.Effect == Idempotent || c.Effect == Deduplicated && c.Group == GroupAll {
+		d.actions.Refuse(r.ID, 0)
+	} else if r.outstanding == 0 {
+		d.actions.Fail(r.ID)
 	} else {
 		return
 	}
-	d.end(r)
+	d.finish(r)
 }
 
-// pick chooses a worker by the gap below its share, and tells whether it is available.
-func (d *Dispatcher) pick(now float64, r *request) (*worker, bool) {
-	c, b := &d.classes[r.Class], r.bound()
-	if w := d.rank(now, r, c, b, true); w != nil {
+// pickWorker returns the worker with the largest gap below its share, and whether it is available.
+func (d *Dispatcher) pickWorker(now float64, r *request) (*worker, bool) {
+	c, first := &d.classes[r.Class], r.firstMaybeRun()
+	if w := d.largestGap(now, r, c, first, true); w != nil {
 		return w, true
 	}
-	return d.rank(now, r, c, b, false), false
+	return d.largestGap(now, r, c, first, false), false
 }
 
-// rank returns the worker with the largest gap below its share, if free is set among the available ones.
-func (d *Dispatcher) rank(now float64, r *request, c *class, b *attempt, free bool) *worker {
+// largestGap returns the worker with the largest gap below its share, among available ones if free is set.
+func (d *Dispatcher) largestGap(now float64, r *request, c *class, first *attempt, free bool) *worker {
 	var best *worker
-	bestGap, list := 0.0, c.all
+	bestGap, list := 0.0, c.candidates
 	consider := func(w *worker) bool {
-		if !d.usable(now, r, c, b, w, free) || free && !d.available(now, r, w) ||
-			d.warmth(now, w) < 1 && !d.coldAllows(now, r, w) {
+		if !d.allowed(now, r, c, first, w, free) || free && !d.available(now, r, w) ||
+			d.capacityShare(now, w) < 1 && !d.withinColdBudget(now, r, w) {
 			return false
 		}
-		gap := float64(w.n[r.Class]) - w.inv[r.Class]/c.sum*float64(c.n+1)
-		if best == nil || gap < bestGap || gap == bestGap && w.inv[r.Class] > best.inv[r.Class] {
+		gap := float64(w.count[r.Class]) - w.inverse[r.Class]/c.inverseSum*float64(c.count+1)
+		if best == nil || gap < bestGap || gap == bestGap && w.inverse[r.Class] > best.inverse[r.Class] {
 			best, bestGap = w, gap
 		}
 		return true
 	}
-	// Danger: with few jobs in flight every gap is close to -share, and all dispatchers would herd onto
-	// the same largest share. A few workers drawn by their shares are ranked instead.
-	if free && c.n < len(list) && len(list) > sampleSize {
-		draw, need := d.rng, sampleSize
-		if r.HasKey { // all dispatchers draw alike, so that a key is met where it was used
-			draw, need = rand.New(rand.NewPCG(r.Key, 0)), 2
+	// With few jobs in flight every gap is close to -share, and all dispatchers would crowd the worker with
+	// the largest share. A few workers drawn by their shares are compared instead.
+	if free && c.count < len(list) && len(list) > sampleWorkers {
+		source, wanted := d.rng, sampleWorkers
+		if r.HasKey { // all dispatchers draw the same workers for a key, which may have its data cached
+			source, wanted = rand.New(rand.NewPCG(r.Key, 0)), 2
 		}
-		for found, draws := 0, 0; found < need && draws < 12*sampleSize; draws++ {
-			w := list[draw.IntN(len(list))]
-			if draw.Float64()*c.most <= w.inv[r.Class] && consider(w) {
+		for found, draws := 0, 0; found < wanted && draws < 12*sampleWorkers; draws++ {
+			w := list[source.IntN(len(list))]
+			if source.Float64()*c.inverseMax <= w.inverse[r.Class] && consider(w) {
 				found++
 			}
 		}
@@ -432,252 +439,251 @@
 			return best
 		}
 	}
-	// Danger: where most of a large fleet is full, looking at all of it for every try costs more time than
-	// a dispatcher has, and its requests run late. The random start decides among equals.
-	for i, from := 0, d.rng.IntN(len(list)+1); i < min(len(list), scanMost); i++ {
+	// When most of a large fleet is full, a scan of all workers for every attempt takes more time than a
+	// dispatcher has, and requests become late. The random start decides between equal gaps.
+	for i, from := 0, d.rng.IntN(len(list)+1); i < min(len(list), scanWorkersMax); i++ {
 		consider(list[(from+i)%len(list)])
 	}
 	return best
 }
 
-// usable tells whether the rules and the worker's failures let this request go there.
-func (d *Dispatcher) usable(now float64, r *request, c *class, b *attempt, w *worker, free bool) bool {
-	if now < w.barTill || c.Effect == AtMostOnce && now < w.unsafeTil {
+// allowed reports whether ejections, the class's effect and earlier attempts permit the worker.
+func (d *Dispatcher) allowed(now float64, r *request, c *class, first *attempt, w *worker, free bool) bool {
+	if now < w.ejectedUntil || c.Effect == AtMostOnce && now < w.unsafeUntil {
 		return false
 	}
-	if b != nil && c.Effect == Deduplicated &&
-		(c.Group == GroupZone && w.Zone != b.w.Zone || c.Group == GroupCell && w.Cell != b.w.Cell) {
+	if first != nil && c.Effect == Deduplicated &&
+		(c.Group == GroupZone && w.Zone != first.w.Zone || c.Group == GroupCell && w.Cell != first.w.Cell) {
 		return false
 	}
 	for _, a := range r.attempts {
-		if a.w == w && (!a.ended || a.once || free || now < w.fullTill) {
+		if a.w == w && (!a.ended || a.workerExcluded || free || now < w.fullUntil) {
 			return false
 		}
 	}
 	return true
 }
 
-// available tells whether the worker is thought to have the job's slots free.
+// available reports whether the worker is expected to have the job's slots free; at random by load reports.
 func (d *Dispatcher) available(now float64, r *request, w *worker) bool {
-	if now < w.fullTill && r.Slots >= w.fullSlots {
+	if now < w.fullUntil && r.Slots >= w.fullFromSlots {
 		return false
 	}
-	if d.s.TellsStart {
-		for _, a := range w.out {
-			if !a.started && now-a.sent > 0.02 {
+	if d.cfg.TellsStart {
+		for _, a := range w.outstanding {
+			if !a.started && now-a.sentAt > 0.02 {
 				return false
 			}
 		}
 	}
-	if d.s.FreeSlots < 0 || w.freeAt == 0 {
+	if d.cfg.FreeSlots < 0 || w.freeSlotsAt == 0 {
 		return true
 	}
-	// Danger: all dispatchers hold the same old reports, and would herd onto those that told of free slots
-	// and shun the others for longer than their jobs last. A report is worth less the older it is, and
-	// counts as a chance.
-	slots := w.kind.free + (w.free-w.kind.free)*math.Exp((w.freeAt-reportLag-now)/max(d.took, 1e-3))
-	for i := len(w.out) - 1; i >= 0 && w.out[i].sent > w.freeAt-reportLag; i-- {
-		slots -= w.out[i].req.Slots // the report does not hold these yet
+	slots := w.kind.freeSlots + (w.freeSlots-w.kind.freeSlots)*
+		math.Exp((w.freeSlotsAt-reportAgeS-now)/max(d.meanResponse, 1e-3))
+	for i := len(w.outstanding) - 1; i >= 0 && w.outstanding[i].sentAt > w.freeSlotsAt-reportAgeS; i-- {
+		slots -= w.outstanding[i].req.Slots // sent after the report
 	}
 	return d.rng.Float64() < 1-math.Exp(-slots/r.Slots)
 }
 
-// coldAllows draws on a cold worker's budget. Danger: dispatchers that never talk push a cold worker over
-// together, so each may spend only its own part of what warm peers carry, and none may start with credit.
-func (d *Dispatcher) coldAllows(now float64, r *request, w *worker) bool {
-	warmth := d.warmth(now, w)
-	perS := w.kind.carried * warmth // this dispatcher's part of what it can carry now
-	job := d.cost(r) * w.kind.medians[r.Class]
-	if job > coldJob*d.s.OverloadFactor*perS*float64(d.s.Dispatchers)*d.s.TipAfter {
+// withinColdBudget reports whether a cold worker's budget, described at worker, covers the job.
+func (d *Dispatcher) withinColdBudget(now float64, r *request, w *worker) bool {
+	share := d.capacityShare(now, w)
+	capacity := w.kind.peakLoad * share // this dispatcher's part of the worker's
+	job := d.relativeCost(r) * w.kind.medians[r.Class]
+	if job > coldJobShare*d.cfg.OverloadFactor*capacity*float64(d.cfg.Dispatchers)*d.cfg.TipAfter {
 		return false
 	}
-	// The part of a job that must be saved up is drawn: equal ones would make all dispatchers send at once.
-	w.credit = min(w.credit+perS*coldMargin*d.s.OverloadFactor*(now-w.coldAt), job+perS*coldSaved)
-	w.coldAt = now
-	return w.credit >= w.need*job
+	w.coldBudget = min(w.coldBudget+capacity*coldFleetShare*d.cfg.OverloadFactor*(now-w.coldBudgetAt),
+		job+capacity*coldSavingsS)
+	w.coldBudgetAt = now
+	return w.coldBudget >= w.coldThreshold*job
 }
 
-// cost is the job's size in mean jobs of its class, where hints tell.
-func (d *Dispatcher) cost(r *request) float64 {
-	h := d.classes[r.Class].hint
+// relativeCost is the job's hint divided by its class's mean hint; 1 without hints.
+func (d *Dispatcher) relativeCost(r *request) float64 {
+	h := d.classes[r.Class].meanHint
 	if !r.HasHint || h <= 0 || r.Hint <= 0 {
 		return 1
 	}
 	return r.Hint / h
 }
 
-// Outcome takes the end of an attempt.
+// Outcome records the end of an attempt, and places its request anew unless that is final.
 func (d *Dispatcher) Outcome(now float64, o Outcome) {
-	r := d.reqs[o.Request]
+	r := d.requests[o.Request]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
 		return
 	}
 	a := r.attempts[o.Attempt]
 	w := a.w
 	a.ended, a.neverRan = true, o.Code.NeverRan()
-	a.once = !a.neverRan && o.Code != Cancelled || o.Code == Returned // danger: its worker may tell it again
-	r.out--
-	w.out = slices.DeleteFunc(w.out, func(x *attempt) bool { return x == a })
-	w.n[r.Class]--
-	d.classes[r.Class].n--
-	d.report(now, w, o.Report)
-	d.learn(now, r, a, o)
-	d.noRoom -= d.noRoom / noRoomOf
-	if o.Code == NoConnect && o.Latency < d.s.DialTimeout/2 {
-		d.noRoom += 1 / noRoomOf
-	} else if o.Code == Done && len(w.out) == 0 && d.noRoom > noRoomMost {
-		// Danger: many dispatchers' idle connections fill the workers' tables, and nobody gets in.
-		d.act.CloseIdle(w.ID)
-	}
-	if o.Final || r.over {
-		d.end(r)
+	a.workerExcluded = !a.neverRan && o.Code != Cancelled || o.Code == Returned
+	r.outstanding--
+	w.outstanding = slices.DeleteFunc(w.outstanding, func(x *attempt) bool { return x == a })
+	w.count[r.Class]--
+	d.classes[r.Class].count--
+	d.recordReport(now, w, o.Report)
+	d.recordOutcome(now, r, a, o)
+	d.refusedConnShare -= d.refusedConnShare / connWindow
+	if o.Code == NoConnect && o.Latency < d.cfg.DialTimeout/2 {
+		d.refusedConnShare += 1 / connWindow
+	} else if o.Code == Done && len(w.outstanding) == 0 && d.refusedConnShare > refusedConnShareMax {
+		// Idle connections of many dispatchers fill the workers' tables, and new ones are refused.
+		d.actions.CloseIdle(w.ID)
+	}
+	if o.Final || r.finished {
+		d.finish(r)
 		return
 	}
 	d.place(now, r)
 }
 
-// learn enters what an outcome tells of its worker.
-func (d *Dispatcher) learn(now float64, r *request, a *attempt, o Outcome) {
+// recordOutcome updates the state of the attempt's worker, and the lateness.
+func (d *Dispatcher) recordOutcome(now float64, r *request, a *attempt, o Outcome) {
 	w := a.w
 	switch o.Code {
 	case Done:
-		w.lifeAt, w.fullTill, w.barSpan, w.bad = now, 0, w.barSpan/2, w.bad-w.bad/badMemory
-		cost := d.cost(r)
+		w.lastAliveAt, w.fullUntil, w.ejectionDuration, w.failureShare =
+			now, 0, w.ejectionDuration/2, w.failureShare-w.failureShare/failureWindow
+		cost := d.relativeCost(r)
 		if c := &d.classes[r.Class]; a.startedAt > 0 {
-			c.run += (now - a.startedAt - c.run) / memory
-		} else if !d.s.TellsStart {
-			own := c.fastest
+			c.meanRun += (now - a.startedAt - c.meanRun) / profileWindow
+		} else if !d.cfg.TellsStart {
+			expected := c.fastestMedian
 			if r.HasHint {
-				own = r.Hint
+				expected = r.Hint
 			}
-			d.sawLate(o.Latency > c.Aim+c.Stretch*own)
+			d.recordLate(o.Latency > c.Aim+c.Stretch*expected)
 		}
-		d.took += (o.Latency - d.took) / (4 * memory)
-		w.kind.did(now, cost*w.kind.medians[r.Class])
-		took := o.Latency
+		d.meanResponse += (o.Latency - d.meanResponse) / (4 * profileWindow)
+		w.kind.recordWork(now, cost*w.kind.medians[r.Class])
+		response := o.Latency
 		if a.startedAt > 0 {
-			took = now - a.startedAt
+			response = now - a.startedAt
 		}
-		w.profiles[r.Class].add(took, cost)
-		d.reshare(now, r.Class, w)
+		w.profiles[r.Class].add(response, cost)
+		d.updateShare(now, r.Class, w)
 	case Busy, Returned, Cancelled:
-		if o.Code == Cancelled && !a.started && d.s.TellsStart {
-			d.waited(now, w, max(2*o.Latency, d.queue(now, w)))
+		if o.Code == Cancelled && !a.started && d.cfg.TellsStart {
+			d.recordWait(now, w, max(2*o.Latency, d.expectedWait(now, w)))
 		}
-		w.lifeAt = max(w.lifeAt, a.aliveAt(now))
-		if till := now + max(retryPause, fullPart*d.response(now, r.Class, w)); till > w.fullTill {
-			w.fullTill, w.fullSlots = till, r.Slots
+		w.lastAliveAt = max(w.lastAliveAt, a.aliveAt(now))
+		if until := now + max(retryDelayS, fullHoldShare*d.response(now, r.Class, w)); until > w.fullUntil {
+			w.fullUntil, w.fullFromSlots = until, r.Slots
 		}
 	case Errored, Reset, NoConnect, Cut:
-		// Danger: one that fails fast empties its count of jobs in flight and would draw ever more.
-		w.lifeAt = now
-		w.failed(now, (o.Code == Reset || o.Code == Cut) && d.warmth(now, w) == 1, 0.75+d.rng.Float64()/2)
+		// A worker that fails fast has few jobs in flight, and would get more and more.
+		w.lastAliveAt = now
+		w.recordFailure(now, (o.Code == Reset || o.Code == Cut) && d.capacityShare(now, w) == 1,
+			0.75+d.rng.Float64()/2)
 	}
 }
 
-// judge counts a request once: when it has waited for longer than its aim bears, or as it begins in time.
-func (d *Dispatcher) judge(now float64, r *request, begins bool) {
+// countLate counts a request once: as late when it has waited too long for its aim, else when it starts.
+func (d *Dispatcher) countLate(now float64, r *request, started bool) {
 	c := &d.classes[r.Class]
-	if late := now-r.arrived > c.Aim+(c.Stretch-1)*c.run; !r.judged && (late || begins) {
-		r.judged = true
-		d.sawLate(late)
+	if late := now-r.arrivedAt > c.Aim+(c.Stretch-1)*c.meanRun; !r.lateCounted && (late || started) {
+		r.lateCounted = true
+		d.recordLate(late)
 	}
 }
 
-// StoodStill says that nothing could be read until now: what is out tells nothing of the workers.
+// StoodStill excludes open requests from the lateness: the process was stopped, the workers were not late.
 func (d *Dispatcher) StoodStill() {
-	for _, r := range d.reqs {
-		r.judged = true
+	for _, r := range d.requests {
+		r.lateCounted = true
 	}
 }
 
-// sawLate enters whether a job waited or took longer than its aim bears.
-func (d *Dispatcher) sawLate(late bool) { d.late = part(d.late, late, lateMemory) }
+func (d *Dispatcher) recordLate(late bool) { d.lateShare = decayedShare(d.lateShare, late, lateWindow) }
 
-// Withdrawn ends a request whose client has left.
+// Withdrawn ends a request whose client has disconnected.
 func (d *Dispatcher) Withdrawn(_ float64, id string) {
-	if r := d.reqs[id]; r != nil {
-		d.end(r)
+	if r := d.requests[id]; r != nil {
+		d.finish(r)
 	}
 }
 
-// Note takes news of a running attempt.
+// Note records a worker's status update of an attempt.
 func (d *Dispatcher) Note(now float64, n Note) {
-	r := d.reqs[n.Request]
+	r := d.requests[n.Request]
 	if r == nil || n.Attempt < 0 || n.Attempt >= len(r.attempts) {
 		return
 	}
 	a := r.attempts[n.Attempt]
 	if c := &d.classes[r.Class]; n.Started && !a.started {
 		a.startedAt = now
-		if d.s.TellsStart {
-			d.waited(now, a.w, now-a.sent)
+		if d.cfg.TellsStart {
+			d.recordWait(now, a.w, now-a.sentAt)
 		}
-		d.judge(now, r, true)
-		if a.no > 0 && now-a.sent < c.Aim*moveAfter {
-			d.found += (1 - d.found) / lateMemory
+		d.countLate(now, r, true)
+		if a.number > 0 && now-a.sentAt < c.Aim*moveAfterAimShare {
+			d.moveHitShare += (1 - d.moveHitShare) / lateWindow
 		}
 	}
-	d.heard(now, a, n)
-	if n.Started || n.Share > 0 && (now-a.sent)/n.Share < 3*d.response(now, r.Class, a.w)*max(1, d.cost(r)) {
-		a.w.lifeAt = now
+	d.recordUpdate(now, a, n)
+	if n.Started || n.Share > 0 &&
+		(now-a.sentAt)/n.Share < 3*d.response(now, r.Class, a.w)*max(1, d.relativeCost(r)) {
+		a.w.lastAliveAt = now
 	}
 }
 
-// Probed takes the result of a health check.
+// Probed records the result of a health check.
 func (d *Dispatcher) Probed(now float64, p Probe) {
 	if w := d.byID[p.Worker]; w != nil && p.Code == Done {
-		d.report(now, w, p.Report)
+		d.recordReport(now, w, p.Report)
 	}
 }
 
-// Heard takes a peer's message. Peers tell nothing yet.
+// Heard ignores a message of another dispatcher; none are sent yet.
 func (d *Dispatcher) Heard(_ float64, _ int, _ []byte) {}
 
-// Timer takes a timer that has come due.
+// Timer handles an expired timer.
 func (d *Dispatcher) Timer(now float64, token uint64) {
 	switch token {
-	case listToken:
+	case listTimer:
 		if !d.subscribed {
-			d.asked = true
-			d.act.Subscribe(true)
+			d.subscribeSent = true
+			d.actions.Subscribe(true)
 		}
-	case tickToken:
-		d.act.Timer(tickEvery, tickToken)
-		d.probe(now)
+	case probeTimer:
+		d.actions.Timer(probeIntervalS, probeTimer)
+		d.sendProbes(now)
 	default:
-		if a := d.moves[token]; a != nil {
-			// Danger: a worker may run what is called off all the same, so moves are rationed by the price
-			// of waste, and stop when the whole fleet is late.
-			delete(d.moves, token)
-			stays := d.stays(now, a, token)
-			if a.no > 0 && !a.started && !a.ended {
-				d.found -= d.found / lateMemory
+		if a := d.attemptTimers[token]; a != nil {
+			// A worker may still run a cancelled job, so moves are rationed by the price of waste, and stop
+			// when the whole fleet is late.
+			delete(d.attemptTimers, token)
+			keep := d.keepInPlace(now, a, token)
+			if a.number > 0 && !a.started && !a.ended {
+				d.moveHitShare -= d.moveHitShare / lateWindow
 			}
-			if !stays && len(a.req.attempts) < d.s.MaxAttempts &&
-				d.paidMoves >= 1 && d.late <= 2*lateBorne {
-				d.paidMoves--
-				d.act.Cancel(a.req.ID, a.no)
+			if !keep && len(a.req.attempts) < d.cfg.MaxAttempts &&
+				d.moveCredit >= 1 && d.lateShare <= 2*toleratedLateShare {
+				d.moveCredit--
+				d.actions.Cancel(a.req.ID, a.number)
 			}
 		}
-		if r := d.waiting[token]; r != nil {
-			delete(d.waiting, token)
-			if !r.over {
+		if r := d.delayed[token]; r != nil {
+			delete(d.delayed, token)
+			if !r.finished {
 				d.place(now, r)
 			}
 		}
 	}
 }
 
-// probe asks workers in turn for reports, as many as the traffic pays for.
-func (d *Dispatcher) probe(now float64) {
-	for i, most := 0, len(d.workers); i < most && d.probes >= 1; i++ {
-		d.nextProbe = (d.nextProbe + 1) % most
+// sendProbes probes workers in turn for load reports, while the credit that requests have added lasts.
+func (d *Dispatcher) sendProbes(now float64) {
+	for i, n := 0, len(d.workers); i < n && d.probeCredit >= 1; i++ {
+		d.nextProbe = (d.nextProbe + 1) % n
 		w := d.workers[d.nextProbe]
-		if w.listed && w.State == InService && now-w.probedAt > freshFor/2 {
+		if w.listed && w.State == InService && now-w.probedAt > reportFreshS/2 {
 			w.probedAt = now
-			d.probes--
-			d.act.Probe(w.ID)
+			d.probeCredit--
+			d.actions.Probe(w.ID)
 		}
 	}
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -104,7 +104,7 @@
 	d.refresh(2)
 	c := &d.classes[0]
 	for id, want := range map[string]float64{"one": 4.0 / 7, "two": 2.0 / 7, "four": 1.0 / 7} {
-		if got := d.byID[id].inv[0] / c.sum; math.Abs(got-want) > 1e-5 {
+		if got := d.byID[id].inverse[0] / c.inverseSum; math.Abs(got-want) > 1e-5 {
 			t.Errorf("share of %s is %.4f, want %.4f", id, got, want)
 		}
 	}
@@ -139,21 +139,21 @@
 	for _, id := range []string{"a", "b", "c"} {
 		seen(d, id, 0.1)
 	}
-	d.byID["c"].profiles[0] = profile{took: 6 * 0.4, cost: 6}
-	d.byID["d"].profiles[0] = profile{took: 6 * 0.02, cost: 6}
+	d.byID["c"].profiles[0] = profile{response: 6 * 0.4, cost: 6}
+	d.byID["d"].profiles[0] = profile{response: 6 * 0.02, cost: 6}
 	for _, w := range d.workers {
 		if w.ID != "c" {
-			w.profiles[1] = profile{took: 2 * 0.3, cost: 2}
+			w.profiles[1] = profile{response: 2 * 0.3, cost: 2}
 		}
 	}
 	d.refresh(1)
-	pace := (borrowed + 6*4) / (borrowed + 6) // c's, held back by the borrowed answers
+	pace := (priorAnswers + 6*4) / (priorAnswers + 6) // c's, held back by the borrowed answers
 	for id, want := range map[string]float64{"a": 0.3, "c": 0.3 * pace, "d": 0.3} {
 		if got := d.response(2, 1, d.byID[id]); math.Abs(got-want) > 1e-9 {
 			t.Errorf("%s: %.3f, want %.3f", id, got, want)
 		}
 	}
-	if got, want := d.response(2, 0, d.byID["c"]), (6*0.4+borrowed*0.1)/(6+borrowed); math.Abs(got-want) > 1e-9 {
+	if got, want := d.response(2, 0, d.byID["c"]), (6*0.4+priorAnswers*0.1)/(6+priorAnswers); math.Abs(got-want) > 1e-9 {
 		t.Errorf("c with what was seen: %.3f, want %.3f", got, want)
 	}
 }
@@ -169,7 +169,7 @@
 	seen(d, "a", 0.1)
 	seen(d, "b", 0.1)
 	d.Request(2, ask("r", 2))
-	a := d.reqs["r"].attempts[0].w
+	a := d.requests["r"].attempts[0].w
 	b := d.byID["a"]
 	if a == b {
 		b = d.byID["b"]
@@ -177,16 +177,16 @@
 	d.Note(2.5, Note{Request: "r", Started: true})
 	d.Outcome(2.6, Outcome{Request: "r", Code: Done, Latency: 0.6, Final: true})
 	for i, c := range d.classes {
-		if a.inv[i] > b.inv[i]/1.3 || math.Abs(c.sum-a.inv[i]-b.inv[i]) > 1e-6 {
-			t.Errorf("class %d: 1/R is %.2f where a job waited, %.2f elsewhere, %.2f in sum", i, a.inv[i], b.inv[i], c.sum)
+		if a.inverse[i] > b.inverse[i]/1.3 || math.Abs(c.inverseSum-a.inverse[i]-b.inverse[i]) > 1e-6 {
+			t.Errorf("class %d: 1/R is %.2f where a job waited, %.2f elsewhere, %.2f in sum", i, a.inverse[i], b.inverse[i], c.inverseSum)
 		}
 	}
-	if p := a.profiles[0]; math.Abs(p.took/p.cost-0.1) > 1e-3 {
-		t.Errorf("jobs are thought to run for %.3f s", p.took/p.cost)
+	if p := a.profiles[0]; math.Abs(p.response/p.cost-0.1) > 1e-3 {
+		t.Errorf("jobs are thought to run for %.3f s", p.response/p.cost)
 	}
-	d.refresh(2.6 + 10*waitMemory)
-	if math.Abs(a.inv[0]-b.inv[0]) > 0.01*b.inv[0] {
-		t.Errorf("1/R is %.2f long after a job waited, %.2f elsewhere", a.inv[0], b.inv[0])
+	d.refresh(2.6 + 10*waitDecayS)
+	if math.Abs(a.inverse[0]-b.inverse[0]) > 0.01*b.inverse[0] {
+		t.Errorf("1/R is %.2f long after a job waited, %.2f elsewhere", a.inverse[0], b.inverse[0])
 	}
 }
 
@@ -195,7 +195,7 @@
 	for _, tc := range []struct {
 		wait, at float64
 		free     bool
-	}{{0.5, 0.2, false}, {0.5, 0.3, true}, {0.01, 0, true}, {60, 1, false}, {60, waitMemory, true}} {
+	}{{0.5, 0.2, false}, {0.5, 0.3, true}, {0.01, 0, true}, {60, 1, false}, {60, waitDecayS, true}} {
 		s := plain(AtMostOnce)
 		s.TellsStart = true
 		s.Classes[0].Deadline = 100
@@ -261,8 +261,8 @@
 	d.Outcome(2.3, Outcome{Request: "r", Worker: "a", Code: Done, Latency: 0.3, Final: true})
 	d.Withdrawn(2.3, "r")
 	d.Outcome(2.4, Outcome{Request: "r", Worker: "a", Code: Done, Latency: 0.3, Final: true})
-	if got := h.take(); len(got) > 0 || len(d.reqs) > 0 {
-		t.Errorf("after the end: actions %v, %d requests held", got, len(d.reqs))
+	if got := h.take(); len(got) > 0 || len(d.requests) > 0 {
+		t.Errorf("after the end: actions %v, %d requests held", got, len(d.requests))
 	}
 }
 
@@ -424,16 +424,16 @@
 	for i := range 8 {
 		d.Request(2, ask(fmt.Sprint(i), 2))
 	}
-	for _, a := range append([]*attempt(nil), d.byID["b"].out...) {
-		d.Outcome(2.1, Outcome{Request: a.req.ID, Attempt: a.no, Worker: "b", Code: Done, Latency: 0.1, Final: true})
+	for _, a := range append([]*attempt(nil), d.byID["b"].outstanding...) {
+		d.Outcome(2.1, Outcome{Request: a.req.ID, Attempt: a.number, Worker: "b", Code: Done, Latency: 0.1, Final: true})
 	}
 	d.refresh(4)
-	if a, b := d.byID["a"].inv[0], d.byID["b"].inv[0]; a > b/5 {
+	if a, b := d.byID["a"].inverse[0], d.byID["b"].inverse[0]; a > b/5 {
 		t.Errorf("silent for 2 s at 0.1 s a job, it still has 1/R %.2f against %.2f", a, b)
 	}
-	d.Note(4, Note{Request: d.byID["a"].out[0].req.ID, Worker: "a", Started: true})
+	d.Note(4, Note{Request: d.byID["a"].outstanding[0].req.ID, Worker: "a", Started: true})
 	d.refresh(4)
-	if d.byID["a"].inv[0] < 5 {
+	if d.byID["a"].inverse[0] < 5 {
 		t.Error("a note did not count as life")
 	}
 }
@@ -444,12 +444,12 @@
 	last := 0.0
 	for i := range 3 {
 		now := 10 * float64(i+1)
-		w.barTill = 0
-		d.learn(now, &request{Request: Request{Slots: 1}}, &attempt{w: w}, Outcome{Code: Errored})
-		if w.barSpan <= last {
-			t.Errorf("failure %d bars for %.1f s, no longer than the one before", i, w.barSpan)
+		w.ejectedUntil = 0
+		d.recordOutcome(now, &request{Request: Request{Slots: 1}}, &attempt{w: w}, Outcome{Code: Errored})
+		if w.ejectionDuration <= last {
+			t.Errorf("failure %d bars for %.1f s, no longer than the one before", i, w.ejectionDuration)
 		}
-		last = w.barSpan
+		last = w.ejectionDuration
 		d.Request(now, ask(fmt.Sprint(i), now))
 		if got := only(t, h, "assign").worker; got != "good" {
 			t.Error("sent to a worker that has just failed")
@@ -467,23 +467,23 @@
 		d.Request(now, ask(id, now))
 		only(t, h, "assign")
 		d.Outcome(now, Outcome{Request: id, Worker: "a", Code: code, Final: true})
-		return w.barTill - now
+		return w.ejectedUntil - now
 	}
 	if bar := fails(Stale, 2); bar > 0 {
 		t.Errorf("barred for %.2f s after a stale connection", bar)
 	}
-	if bar := fails(Cut, 2.5); bar <= 0 || bar > errBar/4 {
+	if bar := fails(Cut, 2.5); bar <= 0 || bar > ejectionMinS/4 {
 		t.Errorf("barred for %.2f s after one cut connection", bar)
 	}
-	if bar := fails(Reset, 3); bar <= 0 || bar > errBar/2 {
+	if bar := fails(Reset, 3); bar <= 0 || bar > ejectionMinS/2 {
 		t.Errorf("barred for %.2f s after one broken connection", bar)
 	}
 	now := 4.0
 	for range 6 {
 		now += fails(Reset, now) + 0.01
 	}
-	if w.barSpan < errBar {
-		t.Errorf("barred for %.2f s after seven broken connections", w.barSpan)
+	if w.ejectionDuration < ejectionMinS {
+		t.Errorf("barred for %.2f s after seven broken connections", w.ejectionDuration)
 	}
 }
 
@@ -491,7 +491,7 @@
 	d, _ := start(t, plain(Idempotent), fleet("a"))
 	w := d.byID["a"]
 	big := &request{Request: Request{Slots: 4}}
-	d.learn(2, big, &attempt{w: w}, Outcome{Code: Busy})
+	d.recordOutcome(2, big, &attempt{w: w}, Outcome{Code: Busy})
 	if d.available(2, big, w) {
 		t.Error("available for the size it has just turned away")
 	}
@@ -544,7 +544,7 @@
 	var least float64
 	now := 1.0
 	for i := range 4 {
-		d.Timer(now, listToken)
+		d.Timer(now, listTimer)
 		d.List(now, ListRefused, nil)
 		if len(h.log) != 2 || h.log[0].what != "subscribe" || h.log[1].what != "timer" || h.log[1].value < least {
 			t.Fatalf("refusal %d: %v", i, h.log)
@@ -556,10 +556,10 @@
 		now += h.log[1].value
 		h.log = nil
 	}
-	d.Timer(now, listToken)
+	d.Timer(now, listTimer)
 	d.List(now, ListChanges, nil)
 	h.log = nil
-	d.Timer(now+1, listToken)
+	d.Timer(now+1, listTimer)
 	if len(h.log) != 0 {
 		t.Errorf("subscribed, it asks again: %v", h.log)
 	}
@@ -574,7 +574,7 @@
 		if _, err := New(1, s, h); err != nil {
 			t.Fatal(err)
 		}
-		probes := slices.ContainsFunc(h.log, func(a sent) bool { return a.what == "timer" && a.token == tickToken })
+		probes := slices.ContainsFunc(h.log, func(a sent) bool { return a.what == "timer" && a.token == probeTimer })
 		if probes != want {
 			t.Errorf("free slots at %d: probes %v", free, probes)
 		}
@@ -593,14 +593,14 @@
 	for i := range 100 {
 		now := 2 + float64(i)/10
 		d.Request(now, ask(fmt.Sprint(i), now))
-		d.Timer(now, tickToken)
+		d.Timer(now, probeTimer)
 		for _, a := range h.take() {
 			if a.what == "probe" {
 				probes++
 			}
 		}
 	}
-	if probes == 0 || float64(probes) > 100*probeShare {
+	if probes == 0 || float64(probes) > 100*probesPerRequest {
 		t.Errorf("%d probes for 100 requests", probes)
 	}
 }
@@ -615,7 +615,7 @@
 		d.Request(2, q)
 	}
 	h.take()
-	d.learn(2, &request{Request: Request{Slots: 1}}, &attempt{w: d.byID["a"]}, Outcome{Code: Busy})
+	d.recordOutcome(2, &request{Request: Request{Slots: 1}}, &attempt{w: d.byID["a"]}, Outcome{Code: Busy})
 	loud, calm := ask("loud", 2), ask("calm", 2)
 	loud.Tenant, calm.Tenant = 0, 1
 	d.Request(2, loud)
@@ -631,7 +631,7 @@
 	list[1].Zone = "b"
 	d, _ := start(t, s, list)
 	d.refresh(2)
-	if near, far := d.byID["near"].inv[0], d.byID["far"].inv[0]; far >= near {
+	if near, far := d.byID["near"].inverse[0], d.byID["far"].inverse[0]; far >= near {
 		t.Errorf("1/R of equals: %.3f across zones, %.3f at home", far, near)
 	}
 }
@@ -641,10 +641,10 @@
 	s.FreeSlots, s.ReportFields = 0, []string{"x0"}
 	d, _ := start(t, s, fleet("a", "b"))
 	for range 40 {
-		d.report(2, d.byID["b"], []float64{4})
+		d.recordReport(2, d.byID["b"], []float64{4})
 	}
-	d.report(2, d.byID["a"], []float64{0})
-	d.took = 1
+	d.recordReport(2, d.byID["a"], []float64{0})
+	d.meanResponse = 1
 	chance := func(now float64) (part float64) {
 		for range 2000 {
 			if d.available(now, &request{Request: Request{Slots: 1}}, d.byID["a"]) {
@@ -685,10 +685,10 @@
 
 func TestWaitingSafeJobIsMoved(t *testing.T) {
 	for _, tc := range []struct {
-		effect  Effect
-		started bool
-		late    float64
-		want    bool
+		effect    Effect
+		started   bool
+		lateShare float64
+		want      bool
 	}{{Idempotent, false, 0, true}, {Idempotent, true, 0, false}, {Idempotent, false, 0.5, false},
 		{AtMostOnce, false, 0, false}, {Deduplicated, false, 0, false}} {
 		s := plain(tc.effect)
@@ -696,7 +696,7 @@
 		d, h := start(t, s, fleet("a", "b"))
 		d.Request(2, ask("r", 2))
 		first := h.log[0].worker
-		d.paidMoves, d.late = 5, tc.late
+		d.moveCredit, d.lateShare = 5, tc.lateShare
 		if tc.started {
 			d.Note(2.01, Note{Request: "r", Worker: first, Started: true})
 		}
@@ -728,7 +728,7 @@
 	s.TellsStart, s.CanCancel, s.TellsTaken = true, true, true
 	for _, taken := range []bool{false, true} {
 		d, h := start(t, s, fleet("a", "b"))
-		d.paidMoves = 5
+		d.moveCredit = 5
 		d.Request(2, ask("r", 2))
 		if taken {
 			d.Note(2.01, Note{Request: "r", Worker: h.log[0].worker, Taken: true})
@@ -752,7 +752,7 @@
 	for _, tc := range []struct {
 		effect             Effect
 		tells, taken, want bool
-		found              float64
+		moveHitShare       float64
 	}{{Deduplicated, true, false, true, 0}, {Deduplicated, true, true, false, 0}, {Deduplicated, true, true, true, 0.8},
 		{Deduplicated, false, false, false, 0}, {AtMostOnce, true, false, false, 0}, {AtMostOnce, true, true, false, 0.8}} {
 		s := plain(tc.effect)
@@ -761,7 +761,7 @@
 		list := fleet("a", "b", "c")
 		list[2].Cell = 1
 		d, h := start(t, s, list[:2])
-		d.paidMoves, d.found = 5, tc.found
+		d.moveCredit, d.moveHitShare = 5, tc.moveHitShare
 		d.Request(2, ask("r", 2))
 		log := h.log
 		first := log[0].worker
@@ -816,7 +816,7 @@
 		}
 		if want {
 			d.Outcome(4.6, Outcome{Request: "r", Worker: "a", Code: Cancelled, Latency: 2.6, Final: true})
-			if life := d.byID["a"].lifeAt; life != 3 {
+			if life := d.byID["a"].lastAliveAt; life != 3 {
 				t.Errorf("alive at %.2f, last heard of at 3", life)
 			}
 		}
@@ -830,8 +830,8 @@
 	for i := range 50 {
 		d.Request(2, ask(fmt.Sprint(i), 2))
 	}
-	if d.paidMoves > 50*0.11 {
-		t.Errorf("%.1f moves paid for by 50 requests where waste is dear", d.paidMoves)
+	if d.moveCredit > 50*0.11 {
+		t.Errorf("%.1f moves paid for by 50 requests where waste is dear", d.moveCredit)
 	}
 }
 
@@ -841,9 +841,9 @@
 		s := plain(Idempotent)
 		s.TellsStart, s.CanCancel = true, true
 		d, _ := start(t, s, fleet("a", "b", "c"))
-		d.found = 0.5
+		d.moveHitShare = 0.5
 		due := func(r *request, no int, now float64) {
-			for token, a := range d.moves {
+			for token, a := range d.attemptTimers {
 				if a == r.attempts[no] {
 					d.Timer(now, token)
 				}
@@ -851,9 +851,9 @@
 		}
 		for i := range 20 {
 			id, now := fmt.Sprint(i), 2+float64(i)
-			d.paidMoves = 1
+			d.moveCredit = 1
 			d.Request(now, ask(id, now))
-			r := d.reqs[id]
+			r := d.requests[id]
 			due(r, 0, now+0.1)
 			d.Outcome(now+0.1, Outcome{Request: id, Code: Cancelled, Latency: 0.1})
 			if len(r.attempts) != 2 {
@@ -865,13 +865,13 @@
 			due(r, 1, now+0.2)
 			d.Outcome(now+0.5, Outcome{Request: id, Attempt: 1, Code: Done, Latency: 0.4, Final: true})
 		}
-		if free && d.found < 0.7 || !free && d.found > 0.3 {
-			t.Errorf("free %v: found is %.2f", free, d.found)
+		if free && d.moveHitShare < 0.7 || !free && d.moveHitShare > 0.3 {
+			t.Errorf("free %v: found is %.2f", free, d.moveHitShare)
 		}
-		d.paidMoves = 0
+		d.moveCredit = 0
 		d.Request(100, ask("last", 100))
-		if more := d.paidMoves > moveShare; more != free {
-			t.Errorf("free %v: a request pays for %.2f moves", free, d.paidMoves)
+		if more := d.moveCredit > movesPerRequest; more != free {
+			t.Errorf("free %v: a request pays for %.2f moves", free, d.moveCredit)
 		}
 	}
 }
@@ -882,7 +882,7 @@
 	s.Classes[0].LateWorth = 0.25 // a tenth of late answers is borne where they keep some worth
 	refused := func(late float64) (n int) {
 		d, h := start(t, s, fleet("a"))
-		d.late = late
+		d.lateShare = late
 		for i := range 200 {
 			d.Request(2, ask(fmt.Sprint(i), 2))
 		}
@@ -900,7 +900,7 @@
 	d.Request(2, ask("r", 2))
 	h.take()
 	d.Note(4, Note{Request: "r", Worker: "a", Started: true})
-	if d.late == 0 {
+	if d.lateShare == 0 {
 		t.Error("a start 2 s after the send was not seen as late")
 	}
 }
@@ -913,15 +913,15 @@
 	d, _ := start(t, s, fleet("a"))
 	d.Request(2, ask("r", 2))
 	d.refresh(2.1)
-	if d.late != 0 {
-		t.Errorf("%.3f are late after 0.1 s of an aim of 0.2 s", d.late)
+	if d.lateShare != 0 {
+		t.Errorf("%.3f are late after 0.1 s of an aim of 0.2 s", d.lateShare)
 	}
 	d.refresh(2.3)
-	once := d.late
+	once := d.lateShare
 	d.refresh(2.5)
 	d.Note(2.6, Note{Request: "r", Started: true})
-	if once == 0 || d.late != once {
-		t.Errorf("%.3f are late after 0.3 s, %.3f after its start", once, d.late)
+	if once == 0 || d.lateShare != once {
+		t.Errorf("%.3f are late after 0.3 s, %.3f after its start", once, d.lateShare)
 	}
 	s = plain(Idempotent)
 	s.TellsStart, s.CanCancel = true, true
@@ -929,7 +929,7 @@
 	d.Request(2, ask("r", 2))
 	d.Outcome(2.19, Outcome{Request: "r", Code: Cancelled, Latency: 0.19})
 	d.Note(2.25, Note{Request: "r", Attempt: 1, Started: true})
-	if d.late == 0 {
+	if d.lateShare == 0 {
 		t.Error("a job that began 0.25 s after it came, at its second worker, counts as in time")
 	}
 }
@@ -943,12 +943,12 @@
 	d.StoodStill()
 	d.refresh(2.5)
 	d.Note(2.6, Note{Request: "r", Started: true})
-	if d.late != 0 {
-		t.Errorf("%.3f are late after a pause", d.late)
+	if d.lateShare != 0 {
+		t.Errorf("%.3f are late after a pause", d.lateShare)
 	}
 	d.Request(3, ask("q", 2))
 	d.Note(3.6, Note{Request: "q", Started: true})
-	if d.late == 0 {
+	if d.lateShare == 0 {
 		t.Error("a request that came after the pause was not judged")
 	}
 }
@@ -960,7 +960,7 @@
 		s := plain(Idempotent)
 		s.Seed, s.Classes[0].LateWorth = uint64(i), 0.25
 		d, h := start(t, s, fleet("a"))
-		d.late, d.dear = 0.3, 1
+		d.lateShare, d.meanCost = 0.3, 1
 		q := ask("r", 2)
 		if i%2 == 0 {
 			q.Deadline -= 3
@@ -979,7 +979,7 @@
 	s := plain(AtMostOnce)
 	s.Tenants = []Tenant{{Name: "t", Quota: 1000}}
 	d, h := start(t, s, fleet("a"))
-	d.late = 1
+	d.lateShare = 1
 	for i := range 200 {
 		q := ask(fmt.Sprint(i), 2)
 		q.Tenant = 0
@@ -991,7 +991,7 @@
 			let++
 		}
 	}
-	if got := d.tenants[0].seen.perS(2) * rateMemory; let == 0 || let > 100 || math.Abs(got-float64(let)) > 1e-6 {
+	if got := d.tenants[0].requestRate.perS(2) * rateDecayS; let == 0 || let > 100 || math.Abs(got-float64(let)) > 1e-6 {
 		t.Errorf("of 200 tries %d were let in, %.1f count", let, got)
 	}
 }
@@ -1022,7 +1022,7 @@
 	s.Classes = append(s.Classes, s.Classes[0])
 	s.Classes[1].Worth = 10
 	d, h := start(t, s, fleet("a"))
-	d.late = 0.5
+	d.lateShare = 0.5
 	for i := range 400 {
 		q := ask(fmt.Sprint(i), 2)
 		q.Class = i % 2
@@ -1048,9 +1048,9 @@
 		d, _ := start(t, s, fleet("a"))
 		seen(d, "a", 0.5)
 		d.refresh(1)
-		before := d.retries
+		before := d.retryCredit
 		d.Request(2, ask("r", 2))
-		return d.retries - before
+		return d.retryCredit - before
 	}
 	if tight, loose := paid(0.1, 2), paid(0.6, 2); tight > 0.1 || loose < 1 {
 		t.Errorf("a request pays %.2f tries where the aim bears no wait, %.2f where it bears a run", tight, loose)
@@ -1081,7 +1081,7 @@
 	}
 	all := map[string]bool{}
 	for key, workers := range at {
-		if len(workers) > sampleSize {
+		if len(workers) > sampleWorkers {
 			t.Errorf("key %d went to %d workers", key, len(workers))
 		}
 		for w := range workers {
@@ -1097,15 +1097,15 @@
 // part of its worth, only beyond what is borne.
 func TestLatenessIsBorneForItsWorth(t *testing.T) {
 	for _, tc := range []struct {
-		lateWorth, late float64
-		least, most     int
+		lateWorth, lateShare float64
+		least, most          int
 	}{{0, 0, 0, 0}, {0, 0.15, 80, 160}, {0.1, 0.15, 10, 110}, {0.25, 0.15, 0, 0}, {0.5, 0.15, 0, 0}, {0.25, 0.3, 50, 130}} {
 		s := plain(Idempotent)
 		s.Classes[0].LateWorth = tc.lateWorth
 		d, h := start(t, s, fleet("a", "b", "c"))
 		refused := 0
 		for i := range 400 {
-			d.late = tc.late
+			d.lateShare = tc.lateShare
 			d.Request(1, ask(fmt.Sprint(i), 1))
 			for _, x := range h.take() {
 				if x.what == "refuse" {
@@ -1117,7 +1117,7 @@
 			}
 		}
 		if refused < tc.least || refused > tc.most {
-			t.Errorf("worth %v late, part %v late: %d of 400 turned away, want %d to %d", tc.lateWorth, tc.late, refused, tc.least, tc.most)
+			t.Errorf("worth %v late, part %v late: %d of 400 turned away, want %d to %d", tc.lateWorth, tc.lateShare, refused, tc.least, tc.most)
 		}
 	}
 }
@@ -1132,7 +1132,7 @@
 		const n = 6000
 		away := 0
 		for i := range n {
-			d.late = lateBorne + meant/shedGain
+			d.lateShare = toleratedLateShare + meant/shedPerLateShare
 			for try := range tries {
 				id := fmt.Sprint(i, " ", try)
 				q := ask(id, 2)
@@ -1164,10 +1164,10 @@
 	for code, again := range map[Code]bool{NoConnect: true, Busy: true, Errored: false, Reset: false, Stale: false, Returned: false} {
 		d, _ := start(t, plain(Idempotent), fleet("a"))
 		d.Request(1, ask("r", 1))
-		r, w := d.reqs["r"], d.byID["a"]
+		r, w := d.requests["r"], d.byID["a"]
 		d.Outcome(1.01, Outcome{Request: "r", Worker: "a", Code: code, Latency: 0.01})
-		w.barTill, w.unsafeTil, w.fullTill = 0, 0, 0 // as if that were long ago
-		if got := d.usable(1.1, r, &d.classes[0], r.bound(), w, false); got != again {
+		w.ejectedUntil, w.unsafeUntil, w.fullUntil = 0, 0, 0 // as if that were long ago
+		if got := d.allowed(1.1, r, &d.classes[0], r.firstMaybeRun(), w, false); got != again {
 			t.Errorf("code %v: usable again: %v, want %v", code, got, again)
 		}
 	}
--- a/choice/property_test.go
+++ b/choice/property_test.go
@@ -24,16 +24,16 @@
 
 // checker is a host that holds the dispatcher to the four rules.
 type checker struct {
-	t       *testing.T
-	s       Settings
-	now     float64
-	reqs    map[string]*tracked
-	workers map[string]Worker  // all ever listed
-	told    map[string]float64 // when a worker was told to drain or be gone
-	timers  []timer
-	sends   map[string][]float64 // times of the sends to each worker
-	busy    []busy
-	out     []outstanding
+	t        *testing.T
+	s        Settings
+	now      float64
+	requests map[string]*tracked
+	workers  map[string]Worker  // all ever listed
+	told     map[string]float64 // when a worker was told to drain or be gone
+	timers   []timer
+	sends    map[string][]float64 // times of the sends to each worker
+	busy     []busy
+	out      []outstanding
 }
 
 type timer struct {
@@ -48,7 +48,7 @@
 }
 
 func (c *checker) Assign(id, worker string, _ float64) {
-	r := c.reqs[id]
+	r := c.requests[id]
 	if r == nil || r.ended {
 		c.t.Fatalf("assign of %s after its end", id)
 	}
@@ -128,7 +128,7 @@
 }
 
 func (c *checker) end(id string, refusal bool) {
-	r := c.reqs[id]
+	r := c.requests[id]
 	if r == nil || r.ended {
 		c.t.Fatalf("second end of %s", id)
 	}
@@ -196,7 +196,7 @@
 			s.Classes = append(s.Classes, class)
 		}
 	}
-	c := &checker{t: t, s: s, now: 5, reqs: map[string]*tracked{}, workers: map[string]Worker{},
+	c := &checker{t: t, s: s, now: 5, requests: map[string]*tracked{}, workers: map[string]Worker{},
 		told: map[string]float64{}, sends: map[string][]float64{}}
 	d, err := New(c.now, s, c)
 	if err != nil {
@@ -243,7 +243,7 @@
 			q := Request{ID: fmt.Sprint("r", step), Deadline: c.now + 0.01 + rng.Float64()*rng.Float64(), Class: rng.IntN(len(s.Classes)),
 				Tenant: rng.IntN(len(s.Tenants)+1) - 1, Slots: float64(1 + rng.IntN(2)), HasHint: rng.IntN(2) == 0,
 				Hint: rng.Float64(), Memory: rng.Float64(), Key: uint64(rng.IntN(5)), HasKey: rng.IntN(2) == 0}
-			c.reqs[q.ID] = &tracked{q: q}
+			c.requests[q.ID] = &tracked{q: q}
 			open = append(open, q.ID)
 			d.Request(c.now, q)
 		case k < 9:
@@ -266,7 +266,7 @@
 			a := c.out[rng.IntN(len(c.out))]
 			d.Note(c.now, Note{Request: a.id, Worker: a.worker, Attempt: a.no, Started: rng.IntN(2) == 0, Share: 0.5})
 		case k < 13 && len(open) > 0:
-			if r := c.reqs[open[rng.IntN(len(open))]]; !r.withdrawn {
+			if r := c.requests[open[rng.IntN(len(open))]]; !r.withdrawn {
 				r.ended, r.withdrawn = true, true
 				d.Withdrawn(c.now, r.q.ID)
 			}
@@ -274,7 +274,7 @@
 			c.settle(d, rng.IntN(len(c.out)), Code(rng.IntN(8)), rng)
 		}
 		for i := 0; i < len(c.out); i++ { // attempts end with their client, a little late by the batch
-			if r := c.reqs[c.out[i].id]; c.now >= r.q.Deadline {
+			if r := c.requests[c.out[i].id]; c.now >= r.q.Deadline {
 				now := c.now
 				c.now = r.q.Deadline
 				c.settle(d, i, TimedOut, rng)
@@ -283,13 +283,13 @@
 			}
 		}
 	}
-	for id, r := range c.reqs {
+	for id, r := range c.requests {
 		if !r.withdrawn && r.finals != 1 && c.now > r.q.Deadline {
 			t.Errorf("%s has %d final answers", id, r.finals)
 		}
 	}
-	if len(d.reqs) > len(c.out) {
-		t.Errorf("%d requests still held with %d attempts out", len(d.reqs), len(c.out))
+	if len(d.requests) > len(c.out) {
+		t.Errorf("%d requests still held with %d attempts out", len(d.requests), len(c.out))
 	}
 }
 
@@ -297,7 +297,7 @@
 func (c *checker) settle(d *Dispatcher, i int, code Code, rng *rand.Rand) {
 	a := c.out[i]
 	c.out = append(c.out[:i], c.out[i+1:]...)
-	r := c.reqs[a.id]
+	r := c.requests[a.id]
 	if code == Done && !r.ended {
 		r.ended = true
 		r.finals++
--- a/choice/snapshot.go
+++ b/choice/snapshot.go
@@ -106,50 +106,50 @@
 	if err != nil {
 		return Snapshot{}, fmt.Errorf("choice: random numbers: %w", err)
 	}
-	s := Snapshot{RNG: rng, Scalars: Scalars{Token: d.token, RefreshAt: d.refreshAt, RefreshedAt: d.refreshedAt,
-		Probes: d.probes, Retries: d.retries, Late: d.late, Back: d.back, Turned: d.turned, PaidMoves: d.paidMoves, Found: d.found, Dear: d.dear,
-		NoRoom: d.noRoom, Wait: d.wait, Took: d.took, ListPause: d.listPause, NextProbe: d.nextProbe, Subscribed: d.subscribed, Asked: d.asked}}
+	s := Snapshot{RNG: rng, Scalars: Scalars{Token: d.timerToken, RefreshAt: d.nextRefreshAt, RefreshedAt: d.refreshedAt,
+		Probes: d.probeCredit, Retries: d.retryCredit, Late: d.lateShare, Back: d.returnShare, Turned: d.shedShare, PaidMoves: d.moveCredit, Found: d.moveHitShare, Dear: d.meanCost,
+		NoRoom: d.refusedConnShare, Wait: d.wait, Took: d.meanResponse, ListPause: d.listRetryDelay, NextProbe: d.nextProbe, Subscribed: d.subscribed, Asked: d.subscribeSent}}
 	for i := range d.classes {
 		c := &d.classes[i]
-		s.Classes = append(s.Classes, ClassState{Name: c.Name, Sum: c.sum, Most: c.most, Hint: c.hint, Hints: c.hints,
-			Median: c.median, Run: c.run, Fastest: c.fastest})
+		s.Classes = append(s.Classes, ClassState{Name: c.Name, Sum: c.inverseSum, Most: c.inverseMax, Hint: c.meanHint, Hints: c.hintCount,
+			Median: c.median, Run: c.meanRun, Fastest: c.fastestMedian})
 	}
 	for i := range d.tenants {
-		s.Tenants = append(s.Tenants, TenantState{Name: d.tenants[i].Name, Seen: d.tenants[i].seen.export()})
+		s.Tenants = append(s.Tenants, TenantState{Name: d.tenants[i].Name, Seen: d.tenants[i].requestRate.export()})
 	}
 	names := make(map[*kind]string, len(d.kinds))
 	for name, k := range d.kinds {
 		names[k] = name
 	}
 	for _, k := range d.kindList {
-		s.Kinds = append(s.Kinds, KindState{Name: names[k], Medians: slices.Clone(k.medians), Work: k.work.export(),
-			UnitTime: k.unitTime.export(), Squares: k.squares.export(), Free: k.free, Reports: k.reports, Carried: k.carried, Units: k.units})
+		s.Kinds = append(s.Kinds, KindState{Name: names[k], Medians: slices.Clone(k.medians), Work: k.workRate.export(),
+			UnitTime: k.capacityTime.export(), Squares: k.workSquareRate.export(), Free: k.freeSlots, Reports: k.reportCount, Carried: k.peakLoad, Units: k.capacity})
 	}
 	place := make(map[*worker]int, len(d.workers))
 	for i, w := range d.workers {
 		place[w] = i
 	}
-	open := make([]*request, 0, len(d.reqs))
-	for _, r := range d.reqs {
+	open := make([]*request, 0, len(d.requests))
+	for _, r := range d.requests {
 		open = append(open, r)
 	}
 	slices.SortFunc(open, func(a, b *request) int { return cmp.Compare(a.ID, b.ID) })
 	number := make(map[*request]int, len(open))
 	for i, r := range open {
 		number[r] = i
-		s.Requests = append(s.Requests, s.exportRequest(r, d.waiting[r.token] == r, place))
+		s.Requests = append(s.Requests, s.exportRequest(r, d.delayed[r.timerToken] == r, place))
 	}
 	for _, w := range d.workers {
 		ws := exportWorker(w)
-		for _, a := range w.out {
-			ws.Out = append(ws.Out, AttemptRef{number[a.req], a.no})
+		for _, a := range w.outstanding {
+			ws.Out = append(ws.Out, AttemptRef{number[a.req], a.number})
 		}
 		s.Workers = append(s.Workers, ws)
 	}
-	for token, a := range d.moves {
+	for token, a := range d.attemptTimers {
 		// What has ended or is over stays where it is, whenever the timer comes: it need not be kept.
-		if n, ok := number[a.req]; ok && !a.ended && !a.req.over {
-			s.Moves = append(s.Moves, MoveState{token, AttemptRef{n, a.no}})
+		if n, ok := number[a.req]; ok && !a.ended && !a.req.finished {
+			s.Moves = append(s.Moves, MoveState{token, AttemptRef{n, a.number}})
 		}
 	}
 	slices.SortFunc(s.Moves, func(a, b MoveState) int { return cmp.Compare(a.Token, b.Token) })
@@ -159,7 +159,7 @@
 func (m rate) export() RateState { return RateState{m.sum, m.at} }
 
 func (s *Snapshot) exportRequest(r *request, waiting bool, place map[*worker]int) RequestState {
-	q := RequestState{Request: r.Request, Arrived: r.arrived, Over: r.over, Excess: r.excess, Judged: r.judged, Token: r.token, Waiting: waiting}
+	q := RequestState{Request: r.Request, Arrived: r.arrivedAt, Over: r.finished, Excess: r.overShare, Judged: r.lateCounted, Token: r.timerToken, Waiting: waiting}
 	for _, a := range r.attempts {
 		at, ok := place[a.w]
 		if !ok { // it has left for good; repeats must still keep to its group
@@ -167,19 +167,19 @@
 			at = -len(s.Gone)
 			place[a.w] = at
 		}
-		q.Attempts = append(q.Attempts, AttemptState{Worker: at, Sent: a.sent, StartedAt: a.startedAt, HeardAt: a.heardAt,
-			Started: a.started, Taken: a.taken, Spared: a.spared, Ended: a.ended, NeverRan: a.neverRan, Once: a.once, Listen: a.listen})
+		q.Attempts = append(q.Attempts, AttemptState{Worker: at, Sent: a.sentAt, StartedAt: a.startedAt, HeardAt: a.lastUpdateAt,
+			Started: a.started, Taken: a.taken, Spared: a.moveDeferred, Ended: a.ended, NeverRan: a.neverRan, Once: a.workerExcluded, Listen: a.progressTimer})
 	}
 	return q
 }
 
 func exportWorker(w *worker) WorkerState {
-	ws := WorkerState{Worker: w.Worker, Home: w.home, Listed: w.listed, LifeAt: w.lifeAt, Free: w.free, FreeAt: w.freeAt,
-		FullTill: w.fullTill, FullSlots: w.fullSlots, BarTill: w.barTill, UnsafeTil: w.unsafeTil, BarSpan: w.barSpan,
-		Bad: w.bad, Credit: w.credit, Need: w.need, ColdAt: w.coldAt, ProbedAt: w.probedAt,
+	ws := WorkerState{Worker: w.Worker, Home: w.sameZone, Listed: w.listed, LifeAt: w.lastAliveAt, Free: w.freeSlots, FreeAt: w.freeSlotsAt,
+		FullTill: w.fullUntil, FullSlots: w.fullFromSlots, BarTill: w.ejectedUntil, UnsafeTil: w.unsafeUntil, BarSpan: w.ejectionDuration,
+		Bad: w.failureShare, Credit: w.coldBudget, Need: w.coldThreshold, ColdAt: w.coldBudgetAt, ProbedAt: w.probedAt,
 		Wait: w.wait, WaitAt: w.waitAt}
 	for i, p := range w.profiles {
-		ws.Profiles = append(ws.Profiles, ProfileState{p.took, p.cost, w.inv[i]})
+		ws.Profiles = append(ws.Profiles, ProfileState{p.response, p.cost, w.inverse[i]})
 	}
 	return ws
 }
@@ -196,15 +196,15 @@
 	if err != nil {
 		return nil, err
 	}
-	d.act = act
+	d.actions = act
 	if err := d.pcg.UnmarshalBinary(st.RNG); err != nil {
 		return nil, fmt.Errorf("%w: random numbers: %w", ErrState, err)
 	}
 	x := st.Scalars
-	d.token, d.refreshAt, d.refreshedAt, d.probes, d.retries = x.Token, x.RefreshAt, x.RefreshedAt, x.Probes, x.Retries
-	d.late, d.paidMoves, d.found, d.dear, d.noRoom, d.wait, d.took = x.Late, x.PaidMoves, x.Found, x.Dear, x.NoRoom, x.Wait, x.Took
-	d.back, d.turned = x.Back, x.Turned
-	d.listPause, d.nextProbe, d.subscribed, d.asked = x.ListPause, max(0, x.NextProbe%(1<<21)), x.Subscribed, x.Asked
+	d.timerToken, d.nextRefreshAt, d.refreshedAt, d.probeCredit, d.retryCredit = x.Token, x.RefreshAt, x.RefreshedAt, x.Probes, x.Retries
+	d.lateShare, d.moveCredit, d.moveHitShare, d.meanCost, d.refusedConnShare, d.wait, d.meanResponse = x.Late, x.PaidMoves, x.Found, x.Dear, x.NoRoom, x.Wait, x.Took
+	d.returnShare, d.shedShare = x.Back, x.Turned
+	d.listRetryDelay, d.nextProbe, d.subscribed, d.subscribeSent = x.ListPause, max(0, x.NextProbe%(1<<21)), x.Subscribed, x.Asked
 	r := restorer{d: d, st: &st, class: make([]int, len(st.Classes))}
 	r.scalars()
 	if err := r.kinds(); err != nil {
@@ -240,12 +240,12 @@
 		r.class[i] = slices.IndexFunc(d.classes, func(x class) bool { return x.Name == c.Name })
 		if n := r.class[i]; n >= 0 {
 			to := &d.classes[n]
-			to.sum, to.most, to.hint, to.hints, to.median, to.run, to.fastest = c.Sum, c.Most, c.Hint, c.Hints, c.Median, c.Run, c.Fastest
+			to.inverseSum, to.inverseMax, to.meanHint, to.hintCount, to.median, to.meanRun, to.fastestMedian = c.Sum, c.Most, c.Hint, c.Hints, c.Median, c.Run, c.Fastest
 		}
 	}
 	for _, t := range r.st.Tenants {
 		if n := slices.IndexFunc(d.tenants, func(x tenant) bool { return x.Name == t.Name }); n >= 0 {
-			d.tenants[n].seen = rate{t.Seen.Sum, t.Seen.At}
+			d.tenants[n].requestRate = rate{t.Seen.Sum, t.Seen.At}
 		}
 	}
 }
@@ -256,15 +256,15 @@
 			return fmt.Errorf("%w: kind %d (%q) has %d medians for %d classes, or is there twice", ErrState, i, k.Name,
 				len(k.Medians), len(r.class))
 		}
-		to := r.d.kindOf(k.Name)
+		to := r.d.kindNamed(k.Name)
 		for j, m := range k.Medians {
 			if n := r.class[j]; n >= 0 {
 				to.medians[n] = m
 			}
 		}
-		to.squares = rate{k.Squares.Sum, k.Squares.At}
-		to.work, to.unitTime = rate{k.Work.Sum, k.Work.At}, rate{k.UnitTime.Sum, k.UnitTime.At}
-		to.free, to.reports, to.carried, to.units = k.Free, k.Reports, k.Carried, k.Units
+		to.workSquareRate = rate{k.Squares.Sum, k.Squares.At}
+		to.workRate, to.capacityTime = rate{k.Work.Sum, k.Work.At}, rate{k.UnitTime.Sum, k.UnitTime.At}
+		to.freeSlots, to.reportCount, to.peakLoad, to.capacity = k.Free, k.Reports, k.Carried, k.Units
 	}
 	return nil
 }
@@ -304,14 +304,14 @@
 		return nil, fmt.Errorf("%w: unknown kind %q", ErrState, ws.Worker.Kind)
 	}
 	w := r.d.newWorker(k)
-	w.Worker, w.home, w.listed = ws.Worker, ws.Home, ws.Listed
-	w.lifeAt, w.free, w.freeAt, w.fullTill, w.fullSlots = ws.LifeAt, ws.Free, ws.FreeAt, ws.FullTill, ws.FullSlots
-	w.barTill, w.unsafeTil, w.barSpan, w.bad = ws.BarTill, ws.UnsafeTil, ws.BarSpan, ws.Bad
-	w.credit, w.need, w.coldAt, w.probedAt = ws.Credit, ws.Need, ws.ColdAt, ws.ProbedAt
+	w.Worker, w.sameZone, w.listed = ws.Worker, ws.Home, ws.Listed
+	w.lastAliveAt, w.freeSlots, w.freeSlotsAt, w.fullUntil, w.fullFromSlots = ws.LifeAt, ws.Free, ws.FreeAt, ws.FullTill, ws.FullSlots
+	w.ejectedUntil, w.unsafeUntil, w.ejectionDuration, w.failureShare = ws.BarTill, ws.UnsafeTil, ws.BarSpan, ws.Bad
+	w.coldBudget, w.coldThreshold, w.coldBudgetAt, w.probedAt = ws.Credit, ws.Need, ws.ColdAt, ws.ProbedAt
 	w.wait, w.waitAt = ws.Wait, ws.WaitAt
 	for i, p := range ws.Profiles {
 		if n := r.class[i]; n >= 0 {
-			w.profiles[n], w.inv[n] = profile{p.Took, p.Cost}, p.Inv
+			w.profiles[n], w.inverse[n] = profile{p.Took, p.Cost}, p.Inv
 		}
 	}
 	return w, nil
@@ -320,10 +320,10 @@
 func (r *restorer) requests() error {
 	d := r.d
 	for i, q := range r.st.Requests {
-		if q.Request.Class < 0 || q.Request.Class >= len(r.class) || d.reqs[q.Request.ID] != nil {
+		if q.Request.Class < 0 || q.Request.Class >= len(r.class) || d.requests[q.Request.ID] != nil {
 			return fmt.Errorf("%w: request %d (%q) is there twice or of no class", ErrState, i, q.Request.ID)
 		}
-		to := &request{Request: q.Request, arrived: q.Arrived, over: q.Over, excess: q.Excess, judged: q.Judged, token: q.Token}
+		to := &request{Request: q.Request, arrivedAt: q.Arrived, finished: q.Over, overShare: q.Excess, lateCounted: q.Judged, timerToken: q.Token}
 		if to.Class = r.class[q.Request.Class]; to.Class < 0 {
 			return fmt.Errorf("%w: a request of class %q is open, which the settings no longer name", ErrState,
 				r.st.Classes[q.Request.Class].Name)
@@ -332,22 +332,22 @@
 		if t := q.Request.Tenant; t >= 0 && t < len(r.st.Tenants) {
 			to.Tenant = slices.IndexFunc(d.tenants, func(x tenant) bool { return x.Name == r.st.Tenants[t].Name })
 		}
-		for no, a := range q.Attempts {
+		for number, a := range q.Attempts {
 			w := r.find(a.Worker)
 			if w == nil || a.Worker < 0 && !a.Ended {
-				return fmt.Errorf("%w: request %d: attempt %d is at no worker", ErrState, i, no)
+				return fmt.Errorf("%w: request %d: attempt %d is at no worker", ErrState, i, number)
 			}
-			to.attempts = append(to.attempts, &attempt{req: to, no: no, w: w, sent: a.Sent, started: a.Started,
-				startedAt: a.StartedAt, taken: a.Taken, heardAt: a.HeardAt, listen: a.Listen, spared: a.Spared,
-				ended: a.Ended, neverRan: a.NeverRan, once: a.Once})
+			to.attempts = append(to.attempts, &attempt{req: to, number: number, w: w, sentAt: a.Sent, started: a.Started,
+				startedAt: a.StartedAt, taken: a.Taken, lastUpdateAt: a.HeardAt, progressTimer: a.Listen, moveDeferred: a.Spared,
+				ended: a.Ended, neverRan: a.NeverRan, workerExcluded: a.Once})
 			if !a.Ended {
-				to.out++
+				to.outstanding++
 			}
 		}
 		if q.Waiting {
-			d.waiting[to.token] = to
+			d.delayed[to.timerToken] = to
 		}
-		d.reqs[to.ID] = to
+		d.requests[to.ID] = to
 		r.open = append(r.open, to)
 	}
 	return nil
@@ -363,7 +363,7 @@
 	return nil
 }
 
-// inFlight takes up what is out at each worker and what timers will look at, and counts it.
+// count takes up what is out at each worker and what timers will look at, and counts it.
 func (r *restorer) inFlight() error {
 	d := r.d
 	counted := map[*attempt]bool{}
@@ -375,14 +375,14 @@
 				return fmt.Errorf("%w: worker %q holds an attempt that is not out there", ErrState, w.ID)
 			}
 			counted[a] = true
-			w.out = append(w.out, a)
-			w.n[a.req.Class]++
-			d.classes[a.req.Class].n++
+			w.outstanding = append(w.outstanding, a)
+			w.count[a.req.Class]++
+			d.classes[a.req.Class].count++
 		}
 	}
 	out := 0
 	for _, q := range r.open {
-		out += q.out
+		out += q.outstanding
 	}
 	if out != len(counted) {
 		return fmt.Errorf("%w: %d attempts are out, the workers hold %d", ErrState, out, len(counted))
@@ -392,7 +392,7 @@
 		if a == nil {
 			return fmt.Errorf("%w: timer %d looks at no attempt", ErrState, m.Token)
 		}
-		d.moves[m.Token] = a
+		d.attemptTimers[m.Token] = a
 	}
 	return nil
 }
--- a/choice/spread_test.go
+++ b/choice/spread_test.go
@@ -20,7 +20,7 @@
 	for len(at) <= refusals {
 		var next *sent
 		for _, a := range h.log {
-			if a.what == "timer" && a.token == listToken {
+			if a.what == "timer" && a.token == listTimer {
 				next = &a
 			}
 		}
@@ -39,7 +39,7 @@
 	d.List(now, ListAll, fleet("a", "b"))
 	d.List(now+30, ListRefused, nil) // the subscription broke, much later
 	for _, a := range h.log {
-		if a.what == "timer" && a.token == listToken && a.value > 1.5*within/16 {
+		if a.what == "timer" && a.token == listTimer && a.value > 1.5*within/16 {
 			t.Fatalf("a broken subscription is asked for again after %.2f s, as if calls had been refused before", a.value)
 		}
 	}
@@ -62,7 +62,7 @@
 			if a[i] == b[i] {
 				t.Fatalf("call %d of two dispatchers comes at the same moment", i)
 			}
-			if i > 0 && (a[i]-a[i-1] < min(within/16, listMost)/2 || a[i]-a[i-1] > min(within/2, listMost)*3/2) {
+			if i > 0 && (a[i]-a[i-1] < min(within/16, listRetryMaxS)/2 || a[i]-a[i-1] > min(within/2, listRetryMaxS)*3/2) {
 				t.Fatalf("%.3f s between calls %d and %d, of %.2f", a[i]-a[i-1], i-1, i, within)
 			}
 		}
