--- a/choice/choice.go
+++ b/choice/choice.go
@@ -134,10 +134,10 @@
 	d.refresh(now)
 }
 
-// Fleet sets how many dispatchers may be active from now on. Those that join take over a part of this one's
+// SetDispatchers sets how many dispatchers may be active from now on. Those that join take over a part of the
 // load, whose average decays slowly: cold budgets by the old average would add up to more than a cold worker
-// bears. After some have left, the load rises by itself.
-func (d *Dispatcher) Fleet(dispatchers int) {
+// can handle. After some have left, the load rises by itself.
+func (d *Dispatcher) SetDispatchers(dispatchers int) {
 	if share := float64(d.cfg.Dispatchers) / float64(dispatchers); share < 1 {
 		for _, k := range d.kindList {
 			k.peakLoad, k.workRate.sum, k.workSquareRate.sum =
@@ -573,10 +573,10 @@
 		if until := now + max(retryDelayS, fullHoldShare*d.response(now, r.Class, w)); until > w.fullUntil {
 			w.fullUntil, w.fullFromSlots = until, r.Slots
 		}
-	case Errored, Reset, NoConnect, Cut:
+	case Errored, Reset, NoConnect, BrokenBeforeSend:
 		// A worker that fails fast has few jobs in flight, and would get more and more.
 		w.lastAliveAt = now
-		w.recordFailure(now, (o.Code == Reset || o.Code == Cut) && d.capacityShare(now, w) == 1,
+		w.recordFailure(now, (o.Code == Reset || o.Code == BrokenBeforeSend) && d.capacityShare(now, w) == 1,
 			0.75+d.rng.Float64()/2)
 	}
 }
@@ -590,8 +590,8 @@
 	}
 }
 
-// StoodStill excludes open requests from the lateness: the process was stopped, the workers were not late.
-func (d *Dispatcher) StoodStill() {
+// ProcessStalled excludes open requests from the lateness: it was the process that stopped for a while.
+func (d *Dispatcher) ProcessStalled() {
 	for _, r := range d.requests {
 		r.lateCounted = true
 	}
@@ -606,8 +606,8 @@
 	}
 }
 
-// Note records a worker's status update of an attempt.
-func (d *Dispatcher) Note(now float64, n Note) {
+// AttemptUpdate records a worker's status update of an attempt.
+func (d *Dispatcher) AttemptUpdate(now float64, n AttemptUpdate) {
 	r := d.requests[n.Request]
 	if r == nil || n.Attempt < 0 || n.Attempt >= len(r.attempts) {
 		return
@@ -637,8 +637,8 @@
 	}
 }
 
-// Heard ignores a message of another dispatcher; none are sent yet.
-func (d *Dispatcher) Heard(_ float64, _ int, _ []byte) {}
+// PeerMessage ignores a message of another dispatcher; none are sent yet.
+func (d *Dispatcher) PeerMessage(_ float64, _ int, _ []byte) {}
 
 // Timer handles an expired timer.
 func (d *Dispatcher) Timer(now float64, token uint64) {
--- a/choice/state.go
+++ b/choice/state.go
@@ -72,7 +72,7 @@
 const lostAfterIntervals = 1.5
 
 // recordUpdate records a worker's status update of an attempt. From the start on it checks for missing progress updates.
-func (d *Dispatcher) recordUpdate(now float64, a *attempt, n Note) {
+func (d *Dispatcher) recordUpdate(now float64, a *attempt, n AttemptUpdate) {
 	starts := !a.started && !n.Taken
 	a.taken, a.started, a.lastUpdateAt = true, a.started || !n.Taken, now
 	if c := &d.classes[a.req.Class]; starts && c.Effect != AtMostOnce && d.cfg.CanCancel && d.cfg.ProgressEvery > 0 {
@@ -322,8 +322,8 @@
 	}
 }
 
-// Barred returns the number of listed workers in service that are ejected after failures.
-func (d *Dispatcher) Barred(now float64) (n int) {
+// EjectedCount returns the number of listed workers in service that are ejected after failures.
+func (d *Dispatcher) EjectedCount(now float64) (n int) {
 	for _, w := range d.workers {
 		if w.listed && w.State == InService && now < w.ejectedUntil {
 			n++
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -249,7 +249,7 @@
 }
 
 // StoodStill says that everything was held until now, so that the time is not taken for slowness of the workers.
-func (r *Reducer) StoodStill() { r.decider.StoodStill() }
+func (r *Reducer) StoodStill() { r.decider.ProcessStalled() }
 
 // Open counts the requests that callers wait for.
 func (r *Reducer) Open() int { return len(r.exchanges) }
