--- a/choice/api.go
+++ b/choice/api.go
@@ -1,211 +1,224 @@
 package choice
 
-// All times are seconds on the host's clock, which begins at no particular value and only moves forward.
+// All times are seconds on the host's clock, which starts at an arbitrary value and never goes backwards. Durations are
+// in seconds, too. Shares are from 0 to 1.
 
-// Effect says what a repeat of a request would do.
+// Effect is the effect of running a request more than once.
 type Effect int
 
-// The three effects.
 const (
-	Idempotent   Effect = iota // may be repeated freely
-	Deduplicated               // repeats are dropped by the first worker's group for a while
-	AtMostOnce                 // must never run twice
+	// Idempotent requests may run any number of times.
+	Idempotent Effect = iota
+	// Deduplicated requests may be sent again within Class.Window to workers of the first one's Group, which drop repeats.
+	Deduplicated
+	// AtMostOnce requests must never run twice.
+	AtMostOnce
 )
 
-// Group says which workers drop repeats of a deduplicated request.
+// Group is the set of workers that drop each other's repeats of a deduplicated request.
 type Group int
 
-// The groups of workers that share the memory of a deduplicated request.
 const (
+	// GroupAll is all workers.
 	GroupAll Group = iota
+	// GroupZone is the workers of one zone.
 	GroupZone
+	// GroupCell is the workers of one cell, see Worker.Cell.
 	GroupCell
 )
 
-// Class describes one class of requests.
+// Class is a class of requests.
 type Class struct {
 	Name        string
 	Effect      Effect
-	Group       Group
-	Window      float64 // how long the group drops repeats, from the first attempt that may have run
-	Aim         float64 // an answer within Aim + Stretch x the request's own work earns the full worth
+	Group       Group   // for Deduplicated
+	Window      float64 // seconds in which the group drops repeats, from the first attempt that may have run
+	Aim         float64 // an answer within Aim + Stretch * the request's own work, in seconds, has its full worth
 	Stretch     float64
-	Deadline    float64
-	LateWorth   float64 // part of the worth paid between aim and deadline
+	Deadline    float64 // seconds from the client's call to its deadline
+	LateWorth   float64 // share of the worth of an answer between aim and deadline
 	Worth       float64
-	Stream      bool
+	Stream      bool   // answers are streamed
 	Kind        string // the only machine kind that runs it; empty for any
-	KindUnknown bool   // the class names a machine kind that the settings do not list: nobody can run it
+	KindUnknown bool   // the class names a machine kind that the settings don't list: no worker can run it
 	Priority    int
 }
 
-// Tenant is a customer with a share of the service.
+// Tenant is a customer of the service.
 type Tenant struct {
 	Name  string
 	Share float64
-	Quota float64 // requests a second over all dispatchers
+	Quota float64 // requests per second over all dispatchers; 0 for no limit
 }
 
-// Prices are points lost for each unit of overhead; zero where a site does not charge it.
+// Prices are the points lost for each unit of overhead; 0 where it is free.
 type Prices struct {
 	CrossZone, Waste, Connection, Handshake, Probe, Peer, Discovery, LateFail float64
 }
 
-// Settings is all a dispatcher is told when it starts.
+// Settings is the configuration of a dispatcher.
 type Settings struct {
-	Self, Dispatchers  int // its own number, and how many dispatchers there are
+	Self, Dispatchers  int // its own number; how many dispatchers there are, at least 1
 	Zone               string
-	Classes            []Class
+	Classes            []Class // at least one
 	Tenants            []Tenant
 	Prices             Prices
-	ListOnRequest      bool    // discovery answers only when asked
-	AskWithin          float64 // without a subscription the list must be asked this often
-	MaxAttempts        int
-	CanProbe, CanTell  bool // health checks; messages to peers
-	CanCancel          bool
-	SecondCopies       bool // two attempts of a request may be out at once
-	RetryAfter         bool // clients are given the pause of a refusal
-	MaxRetryAfter      float64
-	DialTimeout        float64
-	ConnIdle           float64
-	OpenCap            int
-	DrainGrace         float64
-	OverloadFactor     float64 // a cold worker sent more than this multiple of its capacity ...
-	TipAfter           float64 // ... for this long falls over
-	ColdShare          float64 // capacity a worker starts with, at the least
-	WarmWithin         float64 // and is warm after this, at the latest
-	OverShareWorth     float64 // what a request over its tenant's share keeps of its worth
-	ReportsInOutcomes  bool
+	ListOnRequest      bool     // discovery sends lists only on request
+	AskWithin          float64  // seconds within which the list must be requested again without a subscription
+	MaxAttempts        int      // for each request, at least 1
+	CanProbe, CanTell  bool     // health checks and messages to other dispatchers are allowed
+	CanCancel          bool     // attempts may be cancelled
+	SecondCopies       bool     // a request may have two outstanding attempts
+	RetryAfter         bool     // refusals tell clients when to retry
+	MaxRetryAfter      float64  // longest delay that a refusal may ask for, in seconds
+	DialTimeout        float64  // seconds
+	ConnIdle           float64  // seconds after which an idle connection is closed
+	OpenCap            int      // most open requests; 0 for no limit
+	DrainGrace         float64  // seconds after a drain notice in which a worker may still get jobs
+	OverloadFactor     float64  // a cold worker that gets more than this multiple of its capacity ...
+	TipAfter           float64  // ... for so many seconds fails
+	ColdShare          float64  // least share of its capacity that a worker starts with
+	WarmWithin         float64  // seconds after its start in which a worker reaches its full capacity
+	OverShareWorth     float64  // share of its worth that a request over its tenant's quota has
+	ReportsInOutcomes  bool     // outcomes may have load reports
 	ReportFields       []string // names of a load report's values, in order
-	FreeSlots, FreeMem int      // places in ReportFields of the free slots and the free memory; -1 without
-	ErrorsPerS         int      // place of the error rate; -1 without
-	ServiceMillis      int      // place of the recent service time; -1 without
-	WorthByWork        bool     // a request's worth is counted for each unit of its work
-	LiveShare          bool     // Worker.Share falls as the worker holds more
-	TellsStart         bool     // a note comes when a job starts
-	TellsTaken         bool     // and another when the worker has taken it
-	ProgressEvery      float64  // the gap between progress notes; 0 for none
-	Seed               uint64
+	FreeSlots, FreeMem int      // indexes into ReportFields of free slots and free memory; -1 without
+	ErrorsPerS         int      // index of the error rate; -1 without
+	ServiceMillis      int      // index of the recent service time; -1 without
+	WorthByWork        bool     // Worth is for each unit of a request's work
+	LiveShare          bool     // Worker.Share falls while the worker is loaded
+	TellsStart         bool     // workers send an update when a job starts
+	TellsTaken         bool     // workers send an update when they have taken a job
+	ProgressEvery      float64  // seconds between progress updates; 0 for none
+	Seed               uint64   // of the random numbers
 }
 
-// State is what discovery says of a worker.
+// State is the state of a worker by discovery.
 type State int
 
-// The states of a worker.
+// States of a worker.
 const (
-	InService State = iota
-	Terminating
+	InService   State = iota
+	Terminating       // gets no new jobs, and may finish those that it has
 	Terminated
 )
 
-// Worker is one entry of discovery's list.
+// Worker is an entry of discovery's list.
 type Worker struct {
 	ID      string
 	Zone    string
-	Kind    string
-	Cell    int
+	Kind    string // machine kind
+	Cell    int    // group of workers that drop each other's repeats, see GroupCell
 	State   State
-	Share   float64
-	Started float64 // when it last started; 0 for long ago
+	Share   float64 // weight by discovery, see Settings.LiveShare
+	Started float64 // time of its last start; 0 if that was long ago
 }
 
-// ListForm says how a list of workers is to be read.
+// ListForm says what a list of workers contains.
 type ListForm int
 
-// The forms of a list.
+// Forms of a list.
 const (
-	ListChanges    ListForm = iota // only what changed
-	ListAll                        // the complete list
-	ListRemembered                 // the complete list as of some time before this start
-	ListRefused                    // discovery did not answer, or dropped the subscription
+	ListChanges    ListForm = iota // changed workers only
+	ListAll                        // all workers
+	ListRemembered                 // all workers, from a list stored before the dispatcher's start
+	ListRefused                    // empty: discovery did not answer, or ended the subscription
 )
 
 // Request is a job to place.
 type Request struct {
 	ID       string
-	Deadline float64 // when the client leaves
+	Deadline float64 // time at which the client disconnects
 	Class    int     // index into Settings.Classes
 	Tenant   int     // index into Settings.Tenants; -1 for none
-	Key      uint64
+	Key      uint64  // requests of equal keys should go to the same workers
 	HasKey   bool
 	Memory   float64
-	Slots    float64
+	Slots    float64 // that it takes at a worker; less than 1 counts as 1
 	Hint     float64 // expected work in core seconds
 	HasHint  bool
-	Repeat   bool // the client said that it is a retry
+	Repeat   bool // the client marked it as a retry
 	Write    bool
-	Resumed  bool // it returned after a break
+	Resumed  bool // the client returned after an interruption
 }
 
-// Code is how an attempt ended.
+// Code is the outcome of an attempt.
 type Code int
 
-// The outcome codes.
+// Outcome codes.
 const (
 	Done             Code = iota
 	Errored               // the worker answered with an error: may have run
-	Busy                  // turned away unseen: never ran
+	Busy                  // the worker refused it before reading it: never ran
 	TimedOut              // may have run or be running
-	NoConnect             // never ran
+	NoConnect             // no connection: never ran
 	Reset                 // the connection broke: may have run
 	Cancelled             // may have run
-	Skipped               // never sent
-	BrokenBeforeSend      // the connection came up and broke before the job was written: never ran
-	StaleConnection       // a kept connection had ended: may have run, and says nothing of the worker
-	Returned              // taken and handed back unstarted, as the worker said later: never ran
+	Skipped               // not sent: never ran
+	BrokenBeforeSend      // the connection opened and broke before the job was written: never ran
+	StaleConnection       // a reused connection was closed already: may have run, and says nothing about the worker
+	Returned              // the worker took it, and reported later that it gave it back unstarted: never ran
 )
 
-// NeverRan reports whether the code proves that the attempt did not run.
+// NeverRan reports whether the code proves that the worker did not run the job.
 func (c Code) NeverRan() bool {
 	return c == Busy || c == NoConnect || c == Skipped || c == BrokenBeforeSend || c == Returned
 }
 
-// Outcome is the end of one attempt.
+// Outcome is the end of an attempt.
 type Outcome struct {
 	Request string
 	Attempt int
 	Worker  string
 	Code    Code
-	Latency float64
-	Final   bool // nothing more is owed for the request
+	Latency float64 // seconds since the attempt was sent
+	Final   bool    // the request needs no further attempt or answer
 	Remark  int64
-	Report  []float64 // load report, or nil
+	Report  []float64 // values of a load report as in Settings.ReportFields, or nil
 }
 
-// AttemptUpdate is news of a running attempt.
+// AttemptUpdate is a worker's status update of an attempt. Without Taken it means that the job runs.
 type AttemptUpdate struct {
 	Request string
 	Worker  string
 	Attempt int
-	Started bool    // it has begun
-	Taken   bool    // the worker has it, begun or not
-	Share   float64 // part completed, for progress notes
+	Started bool    // the job has started
+	Taken   bool    // the worker has taken the job, which may not have started
+	Share   float64 // completed share of the job in a progress update, otherwise 0
 }
 
 // Probe is the result of a health check.
 type Probe struct {
 	Worker  string
-	Latency float64
+	Latency float64 // seconds
 	Code    Code
-	Report  []float64
+	Report  []float64 // as in Outcome
 }
 
-// Actions is what a dispatcher asks of its host. The host must not call back into the dispatcher from it.
+// Actions are the requests of a dispatcher to its host. The host must not call the dispatcher from within them.
 type Actions interface {
-	// Assign sends an attempt, given up at until (0: when the client leaves).
-	// A request's attempts are numbered 0, 1, 2 ... in the order of their Assign.
+	// Assign sends an attempt, which ends at the time until, or at the client's deadline if until is 0.
+	// The attempts of a request are numbered 0, 1, 2 ... in the order of their Assign.
 	Assign(request, worker string, until float64)
-	// Refuse ends a request with the promise that it never ran, or may safely be repeated.
+	// Refuse ends a request, and promises that it never ran or that a repeat is safe. The client should wait for pause
+	// seconds before it retries; 0 leaves that open.
 	Refuse(request string, pause float64)
-	// Fail ends a request with no promise.
+	// Fail ends a request without a promise.
 	Fail(request string)
+	// Cancel cancels an attempt. Its outcome is Cancelled unless it has ended otherwise before.
 	Cancel(request string, attempt int)
-	// Timer brings token back through Dispatcher.Timer after the delay.
+	// Timer calls Dispatcher.Timer with the token after delay seconds.
 	Timer(delay float64, token uint64)
+	// Probe sends a health check.
 	Probe(worker string)
+	// CloseIdle closes idle connections to the worker.
 	CloseIdle(worker string)
-	SendToPeer(peer int, data []byte) // to all peers where peer is below 0
+	// SendToPeer sends data to another dispatcher, or to all of them if peer is below 0.
+	SendToPeer(peer int, data []byte)
+	// Subscribe starts or ends the subscription of discovery's updates.
 	Subscribe(on bool)
+	// ListAll requests one complete list from discovery.
 	ListAll()
+	// Log logs a text.
 	Log(text string)
 }
--- a/choice/snapshot.go
+++ b/choice/snapshot.go
@@ -7,22 +7,24 @@
 	"slices"
 )
 
-// Snapshot is all that a Dispatcher remembers, as a value without pointers. Its fields are exported so that any
-// well-kept serialisation can write it down; what can be worked out from others is left out.
-// Times are seconds on the host's clock, which must go on counting where the state is taken up.
+// Snapshot is the state of a Dispatcher as a value without pointers. Its fields are exported for serialisation; what
+// follows from other fields is left out. Times are seconds on the host's clock, which must continue in the process that
+// restores the state.
 type Snapshot struct {
-	RNG      []byte // of math/rand/v2's PCG
+	RNG      []byte // state of math/rand/v2's PCG
 	Classes  []ClassState
 	Tenants  []TenantState
-	Kinds    []KindState   // in the order in which they were first seen
-	Workers  []WorkerState // sorted by id
-	Gone     []WorkerState // no longer known, but attempts of open requests were theirs
+	Kinds    []KindState   // machine kinds, in the order in which they were first seen
+	Workers  []WorkerState // sorted by ID
+	Gone     []WorkerState // removed workers that open requests have attempts at
 	Requests []RequestState
 	Moves    []MoveState
 	Scalars  Scalars
 }
 
-// Scalars holds the figures that exist once for each dispatcher.
+// Scalars are single values of Dispatcher. Token is its timerToken, RefreshAt nextRefreshAt, Probes probeCredit, Retries
+// retryCredit, Late lateShare, PaidMoves moveCredit, Found moveHitShare, Dear meanCost, NoRoom refusedConnShare, Took
+// meanResponse, ListPause listRetryDelay, Back returnShare, Turned shedShare and Asked subscribeSent.
 type Scalars struct {
 	Token                                                                                                uint64
 	RefreshAt, RefreshedAt, Probes, Retries, Late, PaidMoves, Found, Dear, NoRoom, Wait, Took, ListPause float64
@@ -31,22 +33,25 @@
 	Subscribed, Asked                                                                                    bool
 }
 
-// ClassState is what is known of a class.
+// ClassState is the state of a class. Sum and Most are the sum and the maximum of the candidates' inverse responses, Hint
+// is the mean hint and Hints how many it is the mean of, Run the mean run time and Fastest the fastest kind's median.
 type ClassState struct {
 	Name                                         string
 	Sum, Most, Hint, Hints, Median, Run, Fastest float64
 }
 
-// RateState is a decaying sum and the time that it is of.
+// RateState is a decaying sum and its time.
 type RateState struct{ Sum, At float64 }
 
-// TenantState is what is known of a tenant.
+// TenantState is the state of a tenant.
 type TenantState struct {
 	Name string
-	Seen RateState
+	Seen RateState // admitted requests
 }
 
-// KindState is what is known of a machine kind.
+// KindState is the state of a machine kind. Work and Squares are the rates of work and of its squares, UnitTime is the
+// capacity that was available, Free the mean of free slots reported, Reports how many it is the mean of, Carried the peak
+// load and Units the capacity.
 type KindState struct {
 	Name                          string
 	Medians                       []float64 // by class
@@ -55,10 +60,14 @@
 	Free, Reports, Carried, Units float64
 }
 
-// ProfileState is a worker's record with one class.
+// ProfileState is a worker's profile for one class, and the inverse of the expected response.
 type ProfileState struct{ Took, Cost, Inv float64 }
 
-// WorkerState is what is known of a worker.
+// WorkerState is the state of a worker. Home says that it is in the dispatcher's zone. LifeAt is the time of its last
+// sign of life, Free and FreeAt are its last load report, FullTill and FullSlots say until when and from how many slots
+// on it counts as full. BarTill and UnsafeTil are the ends of its ejection for all and for at-most-once jobs, BarSpan is
+// the length of the last one and Bad the share of failures. Credit, Need and ColdAt are the cold budget, the threshold
+// for it and its time. Wait and WaitAt are the last wait and its time.
 type WorkerState struct {
 	Worker                                                        Worker
 	Home, Listed                                                  bool
@@ -68,51 +77,54 @@
 	BarSpan, Bad, Credit, Need, ColdAt, ProbedAt, Wait, WaitAt    float64
 }
 
-// AttemptRef names an attempt by its request's place in Snapshot.Requests and its number.
+// AttemptRef identifies an attempt by its request's index in Snapshot.Requests and its number.
 type AttemptRef struct{ Request, Attempt int }
 
-// RequestState is a request that is open, or has an attempt out.
+// RequestState is the state of a request that is open or has outstanding attempts.
 type RequestState struct {
 	Request      Request
 	Arrived      float64
-	Over, Excess bool
-	Judged       bool
+	Over, Excess bool // finished; over its tenant's quota
+	Judged       bool // counted as late or in time
 	Token        uint64
-	Waiting      bool // for the timer of its token
+	Waiting      bool // for the timer of Token, to be placed
 	Attempts     []AttemptState
 }
 
-// AttemptState is one attempt of a request.
+// AttemptState is the state of an attempt. HeardAt is the time of the worker's last update, Spared says that a move was
+// put off.
 type AttemptState struct {
-	Worker                                  int // place in Snapshot.Workers; -1-n for place n in Snapshot.Gone
+	Worker                                  int // index in Snapshot.Workers; -1-n for index n in Snapshot.Gone
 	Sent, StartedAt, HeardAt                float64
 	Started, Taken, Spared, Ended, NeverRan bool
-	Once                                    bool `cbor:",omitempty"`
-	Listen                                  uint64
+	Once                                    bool   `cbor:",omitempty"` // the worker may not get the request again
+	Listen                                  uint64 // token of the timer for missing progress updates; 0 for none
 }
 
-// MoveState says that a timer will look at an attempt.
+// MoveState is a timer that checks an attempt for a move or for missing progress updates.
 type MoveState struct {
 	Token   uint64
 	Attempt AttemptRef
 }
 
-// ErrState says that a state can't be taken up. The errors of Restore wrap it and name what is wrong.
-var ErrState = errors.New("choice: state not usable")
+// ErrState is wrapped by the errors that Restore returns for an invalid state.
+var ErrState = errors.New("choice: invalid state")
 
-// Export returns all that the dispatcher remembers. The dispatcher is not changed and shares nothing with it.
+// Export returns a copy of the dispatcher's state.
 func (d *Dispatcher) Export() (Snapshot, error) {
 	rng, err := d.pcg.MarshalBinary()
 	if err != nil {
-		return Snapshot{}, fmt.Errorf("choice: random numbers: %w", err)
+		return Snapshot{}, fmt.Errorf("choice: export of the random number generator: %w", err)
 	}
 	s := Snapshot{RNG: rng, Scalars: Scalars{Token: d.timerToken, RefreshAt: d.nextRefreshAt, RefreshedAt: d.refreshedAt,
-		Probes: d.probeCredit, Retries: d.retryCredit, Late: d.lateShare, Back: d.returnShare, Turned: d.shedShare, PaidMoves: d.moveCredit, Found: d.moveHitShare, Dear: d.meanCost,
-		NoRoom: d.refusedConnShare, Wait: d.wait, Took: d.meanResponse, ListPause: d.listRetryDelay, NextProbe: d.nextProbe, Subscribed: d.subscribed, Asked: d.subscribeSent}}
+		Probes: d.probeCredit, Retries: d.retryCredit, Late: d.lateShare, Back: d.returnShare, Turned: d.shedShare,
+		PaidMoves: d.moveCredit, Found: d.moveHitShare, Dear: d.meanCost, NoRoom: d.refusedConnShare,
+		Wait: d.wait, Took: d.meanResponse, ListPause: d.listRetryDelay,
+		NextProbe: d.nextProbe, Subscribed: d.subscribed, Asked: d.subscribeSent}}
 	for i := range d.classes {
 		c := &d.classes[i]
-		s.Classes = append(s.Classes, ClassState{Name: c.Name, Sum: c.inverseSum, Most: c.inverseMax, Hint: c.meanHint, Hints: c.hintCount,
-			Median: c.median, Run: c.meanRun, Fastest: c.fastestMedian})
+		s.Classes = append(s.Classes, ClassState{Name: c.Name, Sum: c.inverseSum, Most: c.inverseMax, Hint: c.meanHint,
+			Hints: c.hintCount, Median: c.median, Run: c.meanRun, Fastest: c.fastestMedian})
 	}
 	for i := range d.tenants {
 		s.Tenants = append(s.Tenants, TenantState{Name: d.tenants[i].Name, Seen: d.tenants[i].requestRate.export()})
@@ -123,32 +135,33 @@
 	}
 	for _, k := range d.kindList {
 		s.Kinds = append(s.Kinds, KindState{Name: names[k], Medians: slices.Clone(k.medians), Work: k.workRate.export(),
-			UnitTime: k.capacityTime.export(), Squares: k.workSquareRate.export(), Free: k.freeSlots, Reports: k.reportCount, Carried: k.peakLoad, Units: k.capacity})
+			UnitTime: k.capacityTime.export(), Squares: k.workSquareRate.export(), Free: k.freeSlots,
+			Reports: k.reportCount, Carried: k.peakLoad, Units: k.capacity})
 	}
-	place := make(map[*worker]int, len(d.workers))
+	workerIndex := make(map[*worker]int, len(d.workers))
 	for i, w := range d.workers {
-		place[w] = i
+		workerIndex[w] = i
 	}
 	open := make([]*request, 0, len(d.requests))
 	for _, r := range d.requests {
 		open = append(open, r)
 	}
 	slices.SortFunc(open, func(a, b *request) int { return cmp.Compare(a.ID, b.ID) })
-	number := make(map[*request]int, len(open))
+	requestIndex := make(map[*request]int, len(open))
 	for i, r := range open {
-		number[r] = i
-		s.Requests = append(s.Requests, s.exportRequest(r, d.delayed[r.timerToken] == r, place))
+		requestIndex[r] = i
+		s.Requests = append(s.Requests, s.exportRequest(r, d.delayed[r.timerToken] == r, workerIndex))
 	}
 	for _, w := range d.workers {
 		ws := exportWorker(w)
 		for _, a := range w.outstanding {
-			ws.Out = append(ws.Out, AttemptRef{number[a.req], a.number})
+			ws.Out = append(ws.Out, AttemptRef{requestIndex[a.req], a.number})
 		}
 		s.Workers = append(s.Workers, ws)
 	}
 	for token, a := range d.attemptTimers {
-		// What has ended or is over stays where it is, whenever the timer comes: it need not be kept.
-		if n, ok := number[a.req]; ok && !a.ended && !a.req.finished {
+		// The timer of an attempt that has ended or of a finished request has no effect.
+		if n, ok := requestIndex[a.req]; ok && !a.ended && !a.req.finished {
 			s.Moves = append(s.Moves, MoveState{token, AttemptRef{n, a.number}})
 		}
 	}
@@ -158,55 +171,60 @@
 
 func (m rate) export() RateState { return RateState{m.sum, m.at} }
 
-func (s *Snapshot) exportRequest(r *request, waiting bool, place map[*worker]int) RequestState {
-	q := RequestState{Request: r.Request, Arrived: r.arrivedAt, Over: r.finished, Excess: r.overShare, Judged: r.lateCounted, Token: r.timerToken, Waiting: waiting}
+func (s *Snapshot) exportRequest(r *request, waiting bool, workerIndex map[*worker]int) RequestState {
+	q := RequestState{Request: r.Request, Arrived: r.arrivedAt, Over: r.finished, Excess: r.overShare, Judged: r.lateCounted,
+		Token: r.timerToken, Waiting: waiting}
 	for _, a := range r.attempts {
-		at, ok := place[a.w]
-		if !ok { // it has left for good; repeats must still keep to its group
+		index, ok := workerIndex[a.w]
+		if !ok { // a removed worker: repeats must still stay in its group
 			s.Gone = append(s.Gone, exportWorker(a.w))
-			at = -len(s.Gone)
-			place[a.w] = at
+			index = -len(s.Gone)
+			workerIndex[a.w] = index
 		}
-		q.Attempts = append(q.Attempts, AttemptState{Worker: at, Sent: a.sentAt, StartedAt: a.startedAt, HeardAt: a.lastUpdateAt,
-			Started: a.started, Taken: a.taken, Spared: a.moveDeferred, Ended: a.ended, NeverRan: a.neverRan, Once: a.workerExcluded, Listen: a.progressTimer})
+		q.Attempts = append(q.Attempts, AttemptState{Worker: index, Sent: a.sentAt, StartedAt: a.startedAt,
+			HeardAt: a.lastUpdateAt, Started: a.started, Taken: a.taken, Spared: a.moveDeferred, Ended: a.ended,
+			NeverRan: a.neverRan, Once: a.workerExcluded, Listen: a.progressTimer})
 	}
 	return q
 }
 
 func exportWorker(w *worker) WorkerState {
-	ws := WorkerState{Worker: w.Worker, Home: w.sameZone, Listed: w.listed, LifeAt: w.lastAliveAt, Free: w.freeSlots, FreeAt: w.freeSlotsAt,
-		FullTill: w.fullUntil, FullSlots: w.fullFromSlots, BarTill: w.ejectedUntil, UnsafeTil: w.unsafeUntil, BarSpan: w.ejectionDuration,
-		Bad: w.failureShare, Credit: w.coldBudget, Need: w.coldThreshold, ColdAt: w.coldBudgetAt, ProbedAt: w.probedAt,
-		Wait: w.wait, WaitAt: w.waitAt}
+	ws := WorkerState{Worker: w.Worker, Home: w.sameZone, Listed: w.listed, LifeAt: w.lastAliveAt, Free: w.freeSlots,
+		FreeAt: w.freeSlotsAt, FullTill: w.fullUntil, FullSlots: w.fullFromSlots, BarTill: w.ejectedUntil,
+		UnsafeTil: w.unsafeUntil, BarSpan: w.ejectionDuration, Bad: w.failureShare, Credit: w.coldBudget,
+		Need: w.coldThreshold, ColdAt: w.coldBudgetAt, ProbedAt: w.probedAt, Wait: w.wait, WaitAt: w.waitAt}
 	for i, p := range w.profiles {
 		ws.Profiles = append(ws.Profiles, ProfileState{p.response, p.cost, w.inverse[i]})
 	}
 	return ws
 }
 
-// Restore makes a dispatcher that goes on where the exported one stood: from the same events it takes the
-// same decisions. The settings may differ from the exported one's: classes and tenants are found by name, new
-// ones start afresh, and only a class that has gone with requests of it open is an error. Nothing is asked of
-// act before the first event. A state that does not fit together is an error that wraps ErrState.
+// Restore returns a dispatcher with an exported state: with the same settings it makes the same decisions on the same
+// events. The settings may differ from the exported dispatcher's. Classes and tenants are matched by name, and new ones
+// have no statistics. Restore calls no action. It returns an error that wraps ErrState if the state is inconsistent or
+// an open request has a class that the settings lack, and an error of New if the settings are invalid.
 func Restore(s Settings, act Actions, st Snapshot) (*Dispatcher, error) {
 	if len(st.Workers) > 1<<20 || len(st.Requests) > 1<<20 {
-		return nil, fmt.Errorf("%w: %d workers and %d requests", ErrState, len(st.Workers), len(st.Requests))
+		return nil, fmt.Errorf("%w: too many entries: %d workers, %d requests", ErrState, len(st.Workers), len(st.Requests))
 	}
-	d, err := New(0, s, muted{act})
+	d, err := New(0, s, withoutTimers{act})
 	if err != nil {
 		return nil, err
 	}
 	d.actions = act
 	if err := d.pcg.UnmarshalBinary(st.RNG); err != nil {
-		return nil, fmt.Errorf("%w: random numbers: %w", ErrState, err)
+		return nil, fmt.Errorf("%w: random number generator: %w", ErrState, err)
 	}
 	x := st.Scalars
-	d.timerToken, d.nextRefreshAt, d.refreshedAt, d.probeCredit, d.retryCredit = x.Token, x.RefreshAt, x.RefreshedAt, x.Probes, x.Retries
-	d.lateShare, d.moveCredit, d.moveHitShare, d.meanCost, d.refusedConnShare, d.wait, d.meanResponse = x.Late, x.PaidMoves, x.Found, x.Dear, x.NoRoom, x.Wait, x.Took
+	d.timerToken, d.nextRefreshAt, d.refreshedAt, d.probeCredit, d.retryCredit =
+		x.Token, x.RefreshAt, x.RefreshedAt, x.Probes, x.Retries
+	d.lateShare, d.moveCredit, d.moveHitShare, d.meanCost, d.refusedConnShare, d.wait, d.meanResponse =
+		x.Late, x.PaidMoves, x.Found, x.Dear, x.NoRoom, x.Wait, x.Took
 	d.returnShare, d.shedShare = x.Back, x.Turned
-	d.listRetryDelay, d.nextProbe, d.subscribed, d.subscribeSent = x.ListPause, max(0, x.NextProbe%(1<<21)), x.Subscribed, x.Asked
-	r := restorer{d: d, st: &st, class: make([]int, len(st.Classes))}
-	r.scalars()
+	d.listRetryDelay, d.nextProbe, d.subscribed, d.subscribeSent =
+		x.ListPause, max(0, x.NextProbe%(1<<21)), x.Subscribed, x.Asked
+	r := restorer{d: d, st: &st, classIndex: make([]int, len(st.Classes))}
+	r.classes()
 	if err := r.kinds(); err != nil {
 		return nil, err
 	}
@@ -216,31 +234,32 @@
 	if err := r.requests(); err != nil {
 		return nil, err
 	}
-	return d, r.inFlight()
+	return d, r.outstanding()
 }
 
-// muted is an act that asks for nothing, for the time of a start.
-type muted struct{ Actions }
+// withoutTimers ignores the timers that New starts, as the state has its own.
+type withoutTimers struct{ Actions }
 
-func (muted) Timer(float64, uint64) {}
+func (withoutTimers) Timer(float64, uint64) {}
 
-// restorer holds what the steps of one Restore share.
+// restorer is the common state of the steps of Restore.
 type restorer struct {
-	d     *Dispatcher
-	st    *Snapshot
-	class []int // the state's class number -> the dispatcher's; -1 for a class that has gone
-	gone  []*worker
-	open  []*request
+	d          *Dispatcher
+	st         *Snapshot
+	classIndex []int      // by index in st.Classes, the index in the dispatcher's classes; -1 for a class not in the settings
+	gone       []*worker  // as in st.Gone
+	open       []*request // as in st.Requests
 }
 
-// scalars takes up the classes' and tenants' figures by their names.
-func (r *restorer) scalars() {
+// classes restores the statistics of classes and tenants, matched by name.
+func (r *restorer) classes() {
 	d := r.d
 	for i, c := range r.st.Classes {
-		r.class[i] = slices.IndexFunc(d.classes, func(x class) bool { return x.Name == c.Name })
-		if n := r.class[i]; n >= 0 {
+		r.classIndex[i] = slices.IndexFunc(d.classes, func(x class) bool { return x.Name == c.Name })
+		if n := r.classIndex[i]; n >= 0 {
 			to := &d.classes[n]
-			to.inverseSum, to.inverseMax, to.meanHint, to.hintCount, to.median, to.meanRun, to.fastestMedian = c.Sum, c.Most, c.Hint, c.Hints, c.Median, c.Run, c.Fastest
+			to.inverseSum, to.inverseMax, to.meanHint, to.hintCount, to.median, to.meanRun, to.fastestMedian =
+				c.Sum, c.Most, c.Hint, c.Hints, c.Median, c.Run, c.Fastest
 		}
 	}
 	for _, t := range r.st.Tenants {
@@ -252,13 +271,13 @@
 
 func (r *restorer) kinds() error {
 	for i, k := range r.st.Kinds {
-		if len(k.Medians) != len(r.class) || r.d.kinds[k.Name] != nil {
-			return fmt.Errorf("%w: kind %d (%q) has %d medians for %d classes, or is there twice", ErrState, i, k.Name,
-				len(k.Medians), len(r.class))
+		if len(k.Medians) != len(r.classIndex) || r.d.kinds[k.Name] != nil {
+			return fmt.Errorf("%w: kind %d (%q) has %d medians for %d classes, or is a duplicate", ErrState, i, k.Name,
+				len(k.Medians), len(r.classIndex))
 		}
 		to := r.d.kindNamed(k.Name)
 		for j, m := range k.Medians {
-			if n := r.class[j]; n >= 0 {
+			if n := r.classIndex[j]; n >= 0 {
 				to.medians[n] = m
 			}
 		}
@@ -273,7 +292,7 @@
 	d := r.d
 	for i, ws := range r.st.Workers {
 		if d.byID[ws.Worker.ID] != nil || i > 0 && d.workers[i-1].ID > ws.Worker.ID {
-			return fmt.Errorf("%w: worker %d (%q) is there twice or out of order", ErrState, i, ws.Worker.ID)
+			return fmt.Errorf("%w: worker %d (%q) is a duplicate or out of order", ErrState, i, ws.Worker.ID)
 		}
 		w, err := r.worker(ws)
 		if err != nil {
@@ -285,7 +304,7 @@
 	for i, ws := range r.st.Gone {
 		w, err := r.worker(ws)
 		if err != nil {
-			return fmt.Errorf("gone worker %d: %w", i, err)
+			return fmt.Errorf("removed worker %d: %w", i, err)
 		}
 		r.gone = append(r.gone, w)
 	}
@@ -296,21 +315,22 @@
 }
 
 func (r *restorer) worker(ws WorkerState) (*worker, error) {
-	if len(ws.Profiles) != len(r.class) {
-		return nil, fmt.Errorf("%w: %d profiles for %d classes", ErrState, len(ws.Profiles), len(r.class))
+	if len(ws.Profiles) != len(r.classIndex) {
+		return nil, fmt.Errorf("%w: %d profiles for %d classes", ErrState, len(ws.Profiles), len(r.classIndex))
 	}
 	k := r.d.kinds[ws.Worker.Kind]
 	if k == nil {
-		return nil, fmt.Errorf("%w: unknown kind %q", ErrState, ws.Worker.Kind)
+		return nil, fmt.Errorf("%w: unknown machine kind %q", ErrState, ws.Worker.Kind)
 	}
 	w := r.d.newWorker(k)
 	w.Worker, w.sameZone, w.listed = ws.Worker, ws.Home, ws.Listed
-	w.lastAliveAt, w.freeSlots, w.freeSlotsAt, w.fullUntil, w.fullFromSlots = ws.LifeAt, ws.Free, ws.FreeAt, ws.FullTill, ws.FullSlots
+	w.lastAliveAt, w.freeSlots, w.freeSlotsAt, w.fullUntil, w.fullFromSlots =
+		ws.LifeAt, ws.Free, ws.FreeAt, ws.FullTill, ws.FullSlots
 	w.ejectedUntil, w.unsafeUntil, w.ejectionDuration, w.failureShare = ws.BarTill, ws.UnsafeTil, ws.BarSpan, ws.Bad
 	w.coldBudget, w.coldThreshold, w.coldBudgetAt, w.probedAt = ws.Credit, ws.Need, ws.ColdAt, ws.ProbedAt
 	w.wait, w.waitAt = ws.Wait, ws.WaitAt
 	for i, p := range ws.Profiles {
-		if n := r.class[i]; n >= 0 {
+		if n := r.classIndex[i]; n >= 0 {
 			w.profiles[n], w.inverse[n] = profile{p.Took, p.Cost}, p.Inv
 		}
 	}
@@ -320,12 +340,13 @@
 func (r *restorer) requests() error {
 	d := r.d
 	for i, q := range r.st.Requests {
-		if q.Request.Class < 0 || q.Request.Class >= len(r.class) || d.requests[q.Request.ID] != nil {
-			return fmt.Errorf("%w: request %d (%q) is there twice or of no class", ErrState, i, q.Request.ID)
+		if q.Request.Class < 0 || q.Request.Class >= len(r.classIndex) || d.requests[q.Request.ID] != nil {
+			return fmt.Errorf("%w: request %d (%q) is a duplicate or has no valid class", ErrState, i, q.Request.ID)
 		}
-		to := &request{Request: q.Request, arrivedAt: q.Arrived, finished: q.Over, overShare: q.Excess, lateCounted: q.Judged, timerToken: q.Token}
-		if to.Class = r.class[q.Request.Class]; to.Class < 0 {
-			return fmt.Errorf("%w: a request of class %q is open, which the settings no longer name", ErrState,
+		to := &request{Request: q.Request, arrivedAt: q.Arrived, finished: q.Over, overShare: q.Excess,
+			lateCounted: q.Judged, timerToken: q.Token}
+		if to.Class = r.classIndex[q.Request.Class]; to.Class < 0 {
+			return fmt.Errorf("%w: an open request has class %q, which the settings lack", ErrState,
 				r.st.Classes[q.Request.Class].Name)
 		}
 		to.Tenant = -1
@@ -333,9 +354,9 @@
 			to.Tenant = slices.IndexFunc(d.tenants, func(x tenant) bool { return x.Name == r.st.Tenants[t].Name })
 		}
 		for number, a := range q.Attempts {
-			w := r.find(a.Worker)
+			w := r.workerAt(a.Worker)
 			if w == nil || a.Worker < 0 && !a.Ended {
-				return fmt.Errorf("%w: request %d: attempt %d is at no worker", ErrState, i, number)
+				return fmt.Errorf("%w: request %d: attempt %d has no valid worker", ErrState, i, number)
 			}
 			to.attempts = append(to.attempts, &attempt{req: to, number: number, w: w, sentAt: a.Sent, started: a.Started,
 				startedAt: a.StartedAt, taken: a.Taken, lastUpdateAt: a.HeardAt, progressTimer: a.Listen, moveDeferred: a.Spared,
@@ -353,18 +374,19 @@
 	return nil
 }
 
-func (r *restorer) find(place int) *worker {
+// workerAt returns the worker for AttemptState.Worker, or nil if there is none.
+func (r *restorer) workerAt(index int) *worker {
 	switch {
-	case place >= 0 && place < len(r.d.workers):
-		return r.d.workers[place]
-	case place < 0 && -1-place >= 0 && -1-place < len(r.gone):
-		return r.gone[-1-place]
+	case index >= 0 && index < len(r.d.workers):
+		return r.d.workers[index]
+	case index < 0 && -1-index >= 0 && -1-index < len(r.gone):
+		return r.gone[-1-index]
 	}
 	return nil
 }
 
-// count takes up what is out at each worker and what timers will look at, and counts it.
-func (r *restorer) inFlight() error {
+// outstanding restores the workers' outstanding attempts, their counts, and the timers of attempts.
+func (r *restorer) outstanding() error {
 	d := r.d
 	counted := map[*attempt]bool{}
 	for i, ws := range r.st.Workers {
@@ -372,7 +394,7 @@
 		for _, ref := range ws.Out {
 			a := r.attempt(ref)
 			if a == nil || a.ended || a.w != w || counted[a] {
-				return fmt.Errorf("%w: worker %q holds an attempt that is not out there", ErrState, w.ID)
+				return fmt.Errorf("%w: worker %q lists an attempt that is not outstanding there", ErrState, w.ID)
 			}
 			counted[a] = true
 			w.outstanding = append(w.outstanding, a)
@@ -385,18 +407,19 @@
 		out += q.outstanding
 	}
 	if out != len(counted) {
-		return fmt.Errorf("%w: %d attempts are out, the workers hold %d", ErrState, out, len(counted))
+		return fmt.Errorf("%w: %d attempts are outstanding, the workers list %d", ErrState, out, len(counted))
 	}
 	for _, m := range r.st.Moves {
 		a := r.attempt(m.Attempt)
 		if a == nil {
-			return fmt.Errorf("%w: timer %d looks at no attempt", ErrState, m.Token)
+			return fmt.Errorf("%w: timer %d has no valid attempt", ErrState, m.Token)
 		}
 		d.attemptTimers[m.Token] = a
 	}
 	return nil
 }
 
+// attempt returns the attempt for ref, or nil if there is none.
 func (r *restorer) attempt(ref AttemptRef) *attempt {
 	if ref.Request < 0 || ref.Request >= len(r.open) {
 		return nil
