--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter hosts dispatchers on standard input and output.
+// Command adapter runs dispatchers for a test bench. It speaks the protocol of package wire on standard input and output.
 package main
 
 import (
