--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -6,7 +6,7 @@
 	"foldlb.example/foldlb/choice"
 )
 
-// printer is a host that only prints what the dispatcher decides.
+// printer is a host that prints the dispatcher's decisions.
 type printer struct{}
 
 func (printer) Assign(request, worker string, _ float64) { fmt.Println("send", request, "to", worker) }
--- a/choice/property_test.go
+++ b/choice/property_test.go
@@ -6,34 +6,37 @@
 	"testing"
 )
 
-// tracked is what the checker knows of one request.
-type tracked struct {
-	q         Request
-	ended     bool // final answer given, or the end learned
-	finals    int
-	withdrawn bool
-	tries     []try
+// requestRecord is what the checker knows of a request.
+type requestRecord struct {
+	request      Request
+	ended        bool // a final answer was given, or the client has disconnected
+	finalAnswers int
+	withdrawn    bool
+	attempts     []attemptRecord
 }
 
-type try struct {
+// attemptRecord is what the checker knows of an attempt.
+type attemptRecord struct {
 	worker   string
-	sent     float64
-	over     bool
+	sentAt   float64
+	done     bool
 	neverRan bool
 }
 
-// checker is a host that holds the dispatcher to the four rules.
+// checker is a host that checks each action. Effect: a request that may have run is repeated only as its class allows,
+// and refused only if a repeat is safe. Deadline: attempts are sent before it, and requests end once, by it. Lists: jobs
+// go only to listed workers of the right kind that do not drain. Cold workers: no worker is overloaded.
 type checker struct {
-	t        *testing.T
-	s        Settings
-	now      float64
-	requests map[string]*tracked
-	workers  map[string]Worker  // all ever listed
-	told     map[string]float64 // when a worker was told to drain or be gone
-	timers   []timer
-	sends    map[string][]float64 // times of the sends to each worker
-	busy     []busy
-	out      []outstanding
+	t            *testing.T
+	s            Settings
+	now          float64
+	requests     map[string]*requestRecord
+	workers      map[string]Worker  // all workers that were listed at any time
+	drained      map[string]float64 // since when a worker drains or is gone
+	timers       []timer
+	sends        map[string][]float64 // times of the attempts, by worker
+	warmLoad     []warmLoad
+	openAttempts []openAttempt
 }
 
 type timer struct {
@@ -41,10 +44,10 @@
 	token uint64
 }
 
-type outstanding struct {
+type openAttempt struct {
 	id, worker string
 	no         int
-	sent       float64
+	sentAt     float64
 }
 
 func (c *checker) Assign(id, worker string, _ float64) {
@@ -52,22 +55,22 @@
 	if r == nil || r.ended {
 		c.t.Fatalf("assign of %s after its end", id)
 	}
-	if c.now >= r.q.Deadline {
-		c.t.Fatalf("assign of %s when its client has left", id)
+	if c.now >= r.request.Deadline {
+		c.t.Fatalf("assign of %s after its deadline", id)
 	}
 	w, known := c.workers[worker]
 	if !known {
-		c.t.Fatalf("assign to %s, which no list has named", worker)
+		c.t.Fatalf("assign to %s, which was never listed", worker)
 	}
-	if at, told := c.told[worker]; told && c.now > at+c.s.DrainGrace {
-		c.t.Fatalf("assign to %s, told to drain %.2f s ago", worker, c.now-at)
+	if at, drained := c.drained[worker]; drained && c.now > at+c.s.DrainGrace {
+		c.t.Fatalf("assign to %s, draining for %.2f s", worker, c.now-at)
 	}
-	if len(r.tries) >= c.s.MaxAttempts {
-		c.t.Fatalf("attempt %d of %s", len(r.tries), id)
+	if len(r.attempts) >= c.s.MaxAttempts {
+		c.t.Fatalf("attempt %d of %s, over MaxAttempts", len(r.attempts), id)
 	}
-	class := c.s.Classes[r.q.Class]
-	for _, a := range r.tries {
-		if !a.over && !c.s.SecondCopies {
+	class := c.s.Classes[r.request.Class]
+	for _, a := range r.attempts {
+		if !a.done && !c.s.SecondCopies {
 			c.t.Fatalf("two attempts of %s at once", id)
 		}
 		if a.neverRan {
@@ -78,7 +81,7 @@
 		case AtMostOnce:
 			c.t.Fatalf("%s may run twice", id)
 		case Deduplicated:
-			if c.now > a.sent+class.Window || class.Group == GroupZone && first.Zone != w.Zone ||
+			if c.now > a.sentAt+class.Window || class.Group == GroupZone && first.Zone != w.Zone ||
 				class.Group == GroupCell && first.Cell != w.Cell {
 				c.t.Fatalf("%s resent outside its group or window", id)
 			}
@@ -89,36 +92,37 @@
 		c.t.Fatalf("%s sent to kind %s", id, w.Kind)
 	}
 	c.sends[worker] = append(c.sends[worker], c.now)
-	// The budget is made of what warm workers were seen to carry, remembered with a half-life of 28 s, so the busiest moment of a warm worker
-	// within that time bounds it. It is a loose bound: TestColdBudgetHoldsOverManyDispatchers and the model in virtual time hold the sharp one.
+	// The cold budget follows from the peak load of warm workers, which decays with a half-life of 28 s. The busiest moment
+	// of a warm worker within that time is an upper bound. It is loose: TestColdBudgetHoldsOverManyDispatchers and the model
+	// in virtual time check the exact one.
 	if w.Started == 0 || c.now >= w.Started+c.s.WarmWithin {
-		c.busy = append(c.busy, busy{c.now, c.lately(worker, 0)})
+		c.warmLoad = append(c.warmLoad, warmLoad{c.now, c.recentSends(worker, 0)})
 	} else {
 		busiest := 0
-		for _, b := range c.busy {
-			if b.at > c.now-busyFor {
+		for _, b := range c.warmLoad {
+			if b.at > c.now-warmLoadAgeS {
 				busiest = max(busiest, b.sends)
 			}
 		}
-		if n := c.lately(worker, w.Started); float64(n) > 1+c.s.OverloadFactor*float64(busiest) {
+		if n := c.recentSends(worker, w.Started); float64(n) > 1+c.s.OverloadFactor*float64(busiest) {
 			c.t.Fatalf("%d sends to cold %s, %d to the busiest warm worker", n, worker, busiest)
 		}
 	}
-	r.tries = append(r.tries, try{worker: worker, sent: c.now})
-	c.out = append(c.out, outstanding{id, worker, len(r.tries) - 1, c.now})
+	r.attempts = append(r.attempts, attemptRecord{worker: worker, sentAt: c.now})
+	c.openAttempts = append(c.openAttempts, openAttempt{id, worker, len(r.attempts) - 1, c.now})
 }
 
-// busyFor is for how many seconds the busiest moment of a warm worker counts.
-const busyFor = 28.0
+// warmLoadAgeS is the time in seconds for which the busiest moment of a warm worker counts.
+const warmLoadAgeS = 28.0
 
-// busy is how many sends a warm worker had within the time that tips a cold one, at a send.
-type busy struct {
+// warmLoad is the number of attempts that a warm worker got within TipAfter, at the time of one of them.
+type warmLoad struct {
 	at    float64
 	sends int
 }
 
-// lately counts the sends to a worker within the time that tips a cold one.
-func (c *checker) lately(worker string, since float64) (n int) {
+// recentSends counts the attempts sent to a worker within TipAfter, and not before since.
+func (c *checker) recentSends(worker string, since float64) (n int) {
 	for _, at := range c.sends[worker] {
 		if at >= since && at > c.now-c.s.TipAfter {
 			n++
@@ -132,18 +136,18 @@
 	if r == nil || r.ended {
 		c.t.Fatalf("second end of %s", id)
 	}
-	if c.now > r.q.Deadline+0.02 {
-		c.t.Fatalf("%s answered %.3f s late", id, c.now-r.q.Deadline)
+	if c.now > r.request.Deadline+0.02 {
+		c.t.Fatalf("%s answered %.3f s late", id, c.now-r.request.Deadline)
 	}
-	class := c.s.Classes[r.q.Class]
-	for _, a := range r.tries {
+	class := c.s.Classes[r.request.Class]
+	for _, a := range r.attempts {
 		if refusal && !a.neverRan &&
 			(class.Effect == AtMostOnce || class.Effect == Deduplicated && class.Group != GroupAll) {
 			c.t.Fatalf("%s refused though it may have run", id)
 		}
 	}
 	r.ended = true
-	r.finals++
+	r.finalAnswers++
 }
 
 func (c *checker) Refuse(id string, _ float64) { c.end(id, true) }
@@ -167,7 +171,7 @@
 func (c *checker) ListAll()       {}
 func (c *checker) Log(string)     {}
 
-// TestRulesOnRandomEvents feeds random legal events and holds every action to the rules.
+// TestRulesOnRandomEvents checks every action on random valid events against the rules of checker.
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runRandom(t, seed) })
@@ -196,8 +200,8 @@
 			s.Classes = append(s.Classes, class)
 		}
 	}
-	c := &checker{t: t, s: s, now: 5, requests: map[string]*tracked{}, workers: map[string]Worker{},
-		told: map[string]float64{}, sends: map[string][]float64{}}
+	c := &checker{t: t, s: s, now: 5, requests: map[string]*requestRecord{}, workers: map[string]Worker{},
+		drained: map[string]float64{}, sends: map[string][]float64{}}
 	d, err := New(c.now, s, c)
 	if err != nil {
 		t.Fatal(err)
@@ -207,25 +211,25 @@
 		list = append(list, Worker{ID: fmt.Sprint("w", i), Zone: string(rune('a' + i%3)), Kind: fmt.Sprint("k", i%2),
 			Cell: i % 4, Share: 1})
 	}
-	tell := func(form ListForm, news []Worker) {
+	applyList := func(form ListForm, news []Worker) {
 		if form == ListAll || form == ListRemembered {
 			for id := range c.workers {
-				if _, told := c.told[id]; !told {
-					c.told[id] = c.now
+				if _, drained := c.drained[id]; !drained {
+					c.drained[id] = c.now
 				}
 			}
 		}
 		for _, w := range news {
 			if w.State == InService {
-				delete(c.told, w.ID)
-			} else if _, told := c.told[w.ID]; !told {
-				c.told[w.ID] = c.now
+				delete(c.drained, w.ID)
+			} else if _, drained := c.drained[w.ID]; !drained {
+				c.drained[w.ID] = c.now
 			}
 			c.workers[w.ID] = w
 		}
 		d.List(c.now, form, news)
 	}
-	tell(ListRemembered, list)
+	applyList(ListRemembered, list)
 	var open []string
 	for step := range 1500 {
 		next := c.now + rng.Float64()*0.02
@@ -240,73 +244,73 @@
 		c.now = next
 		switch k := rng.IntN(20); {
 		case k < 8 && step < 1300:
-			q := Request{ID: fmt.Sprint("r", step), Deadline: c.now + 0.01 + rng.Float64()*rng.Float64(), Class: rng.IntN(len(s.Classes)),
+			request := Request{ID: fmt.Sprint("r", step), Deadline: c.now + 0.01 + rng.Float64()*rng.Float64(), Class: rng.IntN(len(s.Classes)),
 				Tenant: rng.IntN(len(s.Tenants)+1) - 1, Slots: float64(1 + rng.IntN(2)), HasHint: rng.IntN(2) == 0,
 				Hint: rng.Float64(), Memory: rng.Float64(), Key: uint64(rng.IntN(5)), HasKey: rng.IntN(2) == 0}
-			c.requests[q.ID] = &tracked{q: q}
-			open = append(open, q.ID)
-			d.Request(c.now, q)
+			c.requests[request.ID] = &requestRecord{request: request}
+			open = append(open, request.ID)
+			d.Request(c.now, request)
 		case k < 9:
 			w := list[rng.IntN(len(list))]
 			w.State = State(rng.IntN(3))
 			if rng.IntN(3) == 0 {
 				w.State, w.Started = InService, c.now
 			}
-			tell(ListChanges, []Worker{w})
+			applyList(ListChanges, []Worker{w})
 		case k < 10:
 			switch rng.IntN(8) {
 			case 0:
-				tell(ListAll, list[:rng.IntN(len(list)+1)])
+				applyList(ListAll, list[:rng.IntN(len(list)+1)])
 			case 1:
 				d.List(c.now, ListRefused, nil)
 			}
 		case k < 11:
 			d.Probed(c.now, Probe{Worker: list[rng.IntN(len(list))].ID, Code: Done, Report: []float64{rng.Float64() * 5}})
-		case k < 12 && len(c.out) > 0:
-			a := c.out[rng.IntN(len(c.out))]
+		case k < 12 && len(c.openAttempts) > 0:
+			a := c.openAttempts[rng.IntN(len(c.openAttempts))]
 			d.AttemptUpdate(c.now, AttemptUpdate{Request: a.id, Worker: a.worker, Attempt: a.no, Started: rng.IntN(2) == 0, Share: 0.5})
 		case k < 13 && len(open) > 0:
 			if r := c.requests[open[rng.IntN(len(open))]]; !r.withdrawn {
 				r.ended, r.withdrawn = true, true
-				d.Withdrawn(c.now, r.q.ID)
+				d.Withdrawn(c.now, r.request.ID)
 			}
-		case len(c.out) > 0:
-			c.settle(d, rng.IntN(len(c.out)), Code(rng.IntN(8)), rng)
+		case len(c.openAttempts) > 0:
+			c.endAttempt(d, rng.IntN(len(c.openAttempts)), Code(rng.IntN(8)), rng)
 		}
-		for i := 0; i < len(c.out); i++ { // attempts end with their client, a little late by the batch
-			if r := c.requests[c.out[i].id]; c.now >= r.q.Deadline {
+		for i := 0; i < len(c.openAttempts); i++ { // attempts end at the deadline, reported a little later
+			if r := c.requests[c.openAttempts[i].id]; c.now >= r.request.Deadline {
 				now := c.now
-				c.now = r.q.Deadline
-				c.settle(d, i, TimedOut, rng)
+				c.now = r.request.Deadline
+				c.endAttempt(d, i, TimedOut, rng)
 				c.now = now
 				i = -1
 			}
 		}
 	}
 	for id, r := range c.requests {
-		if !r.withdrawn && r.finals != 1 && c.now > r.q.Deadline {
-			t.Errorf("%s has %d final answers", id, r.finals)
+		if !r.withdrawn && r.finalAnswers != 1 && c.now > r.request.Deadline {
+			t.Errorf("%s has %d final answers", id, r.finalAnswers)
 		}
 	}
-	if len(d.requests) > len(c.out) {
-		t.Errorf("%d requests still held with %d attempts out", len(d.requests), len(c.out))
+	if len(d.requests) > len(c.openAttempts) {
+		t.Errorf("%d requests are stored, with %d outstanding attempts", len(d.requests), len(c.openAttempts))
 	}
 }
 
-// settle ends one attempt.
-func (c *checker) settle(d *Dispatcher, i int, code Code, rng *rand.Rand) {
-	a := c.out[i]
-	c.out = append(c.out[:i], c.out[i+1:]...)
+// endAttempt ends an attempt with the code, and reports its outcome.
+func (c *checker) endAttempt(d *Dispatcher, i int, code Code, rng *rand.Rand) {
+	a := c.openAttempts[i]
+	c.openAttempts = append(c.openAttempts[:i], c.openAttempts[i+1:]...)
 	r := c.requests[a.id]
 	if code == Done && !r.ended {
 		r.ended = true
-		r.finals++
+		r.finalAnswers++
 	}
-	r.tries[a.no].over, r.tries[a.no].neverRan = true, code.NeverRan()
+	r.attempts[a.no].done, r.attempts[a.no].neverRan = true, code.NeverRan()
 	var report []float64
 	if c.s.ReportsInOutcomes && rng.IntN(2) == 0 {
 		report = []float64{float64(rng.IntN(5))}
 	}
-	d.Outcome(c.now, Outcome{Request: a.id, Attempt: a.no, Worker: a.worker, Code: code, Latency: c.now - a.sent,
+	d.Outcome(c.now, Outcome{Request: a.id, Attempt: a.no, Worker: a.worker, Code: code, Latency: c.now - a.sentAt,
 		Final: r.ended, Report: report})
 }
--- a/choice/state.go
+++ b/choice/state.go
@@ -53,7 +53,7 @@
 	moveDeferred   bool    // a move was put off once, as the connection may still have been opening
 	ended          bool
 	neverRan       bool // the outcome proves that the worker did not run it
-	workerExcluded bool // the request may not go to w again: it may have run there, or w may return it again
+	workerExcluded bool // not to w again: the request may have run there, or w's return of it may arrive again
 }
 
 // request is a request that is open or has outstanding attempts.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-const conf1 = `{"balancers": 2, "me": 1, "zone": "z", "unknown_key": [1, {"x": 2}],
+const settingsJSON = `{"balancers": 2, "me": 1, "zone": "z", "unknown_key": [1, {"x": 2}],
  "allowed": {"max_attempts": 3, "second_copies": true},
  "classes": [{"name": "safe", "effect": "idempotent", "aim_s": 0.2, "deadline_s": 5, "worth": 1},
  {"name": "once", "effect": "at_most_once", "aim_s": 0.2, "deadline_s": 5, "worth": 1}]}`
 
-func one(s string) string { return strings.ReplaceAll(s, "\n", "") }
+func oneLine(s string) string { return strings.ReplaceAll(s, "\n", "") }
 
 func serve(t *testing.T, lines ...string) (string, error) {
 	t.Helper()
@@ -21,17 +21,17 @@
 	return out.String(), err
 }
 
-var opening = []string{"clock 1.5", "new_instance 3 77 " + one(conf1), "ledger 0 1",
+var openingLines = []string{"clock 1.5", "new_instance 3 77 " + oneLine(settingsJSON), "ledger 0 1",
 	"entry 10.0.0.1:8000 z k 0 in_service 1 -", "endpoints 3 1 0 remembered"}
 
-func TestEveryMessageIsSpoken(t *testing.T) {
-	out, err := serve(t, append(opening,
+func TestEveryMessage(t *testing.T) {
+	out, err := serve(t, append(openingLines,
 		"ask 3 r1 6.5 - - 0 0 once - 1", "ask 3 r2 6.5 12 1.5 - 23 safe 0.2 2", "eob",
 		"clock 1.6", "note 3 r1 10.0.0.1:8000 0 1 -", "note 3 r1 10.0.0.1:8000 0 2 0.25",
 		"health 3 10.0.0.1:8000 0.001 done 1,2", "heard 3 0 00ff", "heard 3 0 -", "bell 3 1", "first_byte 3 r2 0 10.0.0.1:8000 0.1", "eob",
 		"clock 1.7", "ended 3 r1 0 10.0.0.1:8000 err 0.2 0 - -", "withdrawn 3 r2", "endpoints 3 2 0 changes",
 		"endpoints 3 3 0 all", "endpoints 3 4 0 refused", "eob",
-		"clock 1.8", "stop 3", "new_instance 3 78 "+one(conf1), "ledger 0 0", "endpoints 3 5 0 remembered",
+		"clock 1.8", "stop 3", "new_instance 3 78 "+oneLine(settingsJSON), "ledger 0 0", "endpoints 3 5 0 remembered",
 		"ask 3 r3 6.5 - - - 0 once - 1", "eob", "clock 1.8", "eob")...)
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	for _, want := range []string{"assign 3 r1 10.0.0.1:8000 -\n", "assign 3 r2 10.0.0.1:8000 -\n",
 		"respond_error 3 r1\n", "busy 3 r3 -\n"} {
 		if strings.Count(out, want) != 1 {
-			t.Errorf("%q is there %d times, not once, in:\n%s", want, strings.Count(out, want), out)
+			t.Errorf("%q occurs %d times instead of once in:\n%s", want, strings.Count(out, want), out)
 		}
 	}
 	if n := strings.Count(out, "eor\n"); n != 5 {
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestFaultsAreNamed(t *testing.T) {
+func TestErrorsNameMessageAndField(t *testing.T) {
 	for _, tc := range []struct {
 		lines []string
 		want  []string
@@ -59,34 +59,34 @@
 		{[]string{"clock 1", "bell 9 1", "eob"}, []string{"bell", "no instance 9"}},
 		{[]string{"clock 1", "new_instance 3 77 {", "eob"}, []string{"new_instance", "conf"}},
 		{[]string{"clock 1", "new_instance 3 77 {}", "eob"}, []string{"new_instance", "conf", "class"}},
-		{append(opening, "ask 3 r1 soon - - - 0 once - 1", "eob"), []string{"ask", "expires_s", "soon"}},
-		{append(opening, "ask 3 r1 6.5 - - - 0 never - 1", "eob"), []string{"ask", "priority", "never"}},
-		{append(opening, "ask 3 r1 6.5", "eob"), []string{"ask", "partition_key", "missing"}},
-		{append(opening, "ended 3 r1 0 w odd 0.2 0 - -", "eob"), []string{"ended", "code", "odd"}},
-		{append(opening, "ended 3 r1 0 w done 0.2 2 - -", "eob"), []string{"ended", "final"}},
-		{append(opening, "ended 3 r1 0 w done 0.2 0 - 1,a", "eob"), []string{"ended", "load"}},
-		{append(opening, "endpoints 3 1 7 all", "eob"), []string{"endpoints", "sheet", "no such ledger"}},
-		{append(opening, "endpoints 3 1 0 some", "eob"), []string{"endpoints", "form", "some"}},
-		{append(opening, "heard 3 1 zz", "eob"), []string{"heard", "data"}},
+		{append(openingLines, "ask 3 r1 soon - - - 0 once - 1", "eob"), []string{"ask", "expires_s", "soon"}},
+		{append(openingLines, "ask 3 r1 6.5 - - - 0 never - 1", "eob"), []string{"ask", "priority", "never"}},
+		{append(openingLines, "ask 3 r1 6.5", "eob"), []string{"ask", "partition_key", "missing"}},
+		{append(openingLines, "ended 3 r1 0 w odd 0.2 0 - -", "eob"), []string{"ended", "code", "odd"}},
+		{append(openingLines, "ended 3 r1 0 w done 0.2 2 - -", "eob"), []string{"ended", "final"}},
+		{append(openingLines, "ended 3 r1 0 w done 0.2 0 - 1,a", "eob"), []string{"ended", "load"}},
+		{append(openingLines, "endpoints 3 1 7 all", "eob"), []string{"endpoints", "sheet", "no such ledger"}},
+		{append(openingLines, "endpoints 3 1 0 some", "eob"), []string{"endpoints", "form", "some"}},
+		{append(openingLines, "heard 3 1 zz", "eob"), []string{"heard", "data"}},
 		{[]string{"clock 1", "ledger 0 2", "entry a z k 0 in_service 1 -", "eob"}, []string{"entries", "2 announced"}},
 		{[]string{"clock 1", "ledger 0 1", "entry a z k 0 asleep 1 -", "eob"}, []string{"availability", "asleep"}},
 	} {
 		_, err := serve(t, tc.lines...)
 		for _, w := range tc.want {
 			if err == nil || !strings.Contains(err.Error(), w) {
-				t.Errorf("%q: error %v does not name %q", tc.lines[len(tc.lines)-2:], err, w)
+				t.Errorf("%q: error %v does not contain %q", tc.lines[len(tc.lines)-2:], err, w)
 			}
 		}
 		if err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("error of more than one line: %v", err)
+			t.Errorf("error with several lines: %v", err)
 		}
 	}
 }
 
 func TestInstancesShareNothing(t *testing.T) {
-	lone := func(i int) []string {
+	linesFor := func(i int) []string {
 		var b []string
-		for _, l := range opening[1:] {
+		for _, l := range openingLines[1:] {
 			b = append(b, strings.Replace(l, " 3 ", fmt.Sprintf(" %d ", i), 1))
 		}
 		for k := range 30 {
@@ -94,11 +94,11 @@
 		}
 		return b
 	}
-	alone, err := serve(t, append(append([]string{"clock 1.5"}, lone(4)...), "eob")...)
+	alone, err := serve(t, append(append([]string{"clock 1.5"}, linesFor(4)...), "eob")...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	both, err := serve(t, append(append(append([]string{"clock 1.5"}, lone(5)...), lone(4)...), "eob")...)
+	both, err := serve(t, append(append(append([]string{"clock 1.5"}, linesFor(5)...), linesFor(4)...), "eob")...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,6 +109,6 @@
 		}
 	}
 	if strings.Join(got, "") != alone {
-		t.Error("an instance acts otherwise beside another")
+		t.Error("an instance acts differently beside another")
 	}
 }
