--- a/choice/choice.go
+++ b/choice/choice.go
@@ -21,7 +21,7 @@
 	// Shares, load reports and the price of crossing zones.
 	sampleWorkers     = 3    // workers compared while fewer jobs than workers are in flight
 	refreshIntervalS  = 0.2  // between updates of medians and shares over all workers
-	reportFreshS      = 1.5  // validity of a load report; probes come after half of it
+	reportFreshS      = 1.5  // age up to which a load report is fresh; workers are probed after half of it
 	crossZoneExponent = 30.0 // responses in other zones count exp(crossZoneExponent * price) times
 	reportAgeS        = 0.6  // assumed age of a load report when it arrives
 
@@ -29,8 +29,9 @@
 	fullHoldShare                    = 0.15      // of a response: how long 'busy' excludes jobs of its size
 	ejectionMinS, ejectionMaxS       = 1.0, 16.0 // first and longest ejection
 	unsafeEjectionFactor             = 3.0       // times as long for at-most-once jobs, as failures lose them
-	failureWindow, fullEjectionShare = 12.0, 0.3 // attempts; share of broken connections that ejects in full
-	probesPerRequest                 = 0.5
+	failureWindow, fullEjectionShare = 12.0, 0.3 // attempts; share of failures at which a break ejects fully
+
+	probesPerRequest = 0.5 // credit for each request
 
 	// Load and cold workers, see kind and worker.
 	loadStdDevs, loadScale = 1.5, 1.3 // standard deviations subtracted from the load; factor on the rest
@@ -44,22 +45,24 @@
 	// Moves of jobs that have not started to other workers.
 	moveAfterAimShare = 0.25   // of the aim, after which a job that has not started is moved
 	movesPerRequest   = 0.3    // credit for each request, less if waste is expensive
-	movesPerHitShare  = 2.0    // if more: credit by the share of moves that found a free worker
-	moveWasteFactor   = 0.0075 // limit of the credit times the squared price of waste; a tenth had started
+	movesPerHitShare  = 2.0    // if more: credit for each request, times the share of moves to a free worker
+	moveWasteFactor   = 0.0075 // most credit times the squared price of waste; a tenth of moved jobs started
 
 	// Load shedding, see Dispatcher.
 	lateWindow                     = 16.0      // starts or answers
 	toleratedLateShare             = 0.2       // up to which nothing is refused
 	shedPerLateShare, shedShareMax = 2.0, 0.85 // refused share by the late share above the tolerated; limit
-	connWindow                     = 64.0      // outcomes, for the share of connections refused at once
-	refusedConnShareMax            = 0.03      // above which idle connections are closed
-	costRatioMax                   = 4.0       // times as many of the costliest jobs, as few of the cheapest
-	returnWindow, returnShareMax   = 64.0, 0.9 // tries; limit of the share of refused tries that return
+
+	connWindow          = 64.0 // outcomes, for the share of connections that are refused at once
+	refusedConnShareMax = 0.03 // above which idle connections are closed
+
+	costRatioMax                 = 4.0       // by cost, jobs are shed up to so many times as often or rarely
+	returnWindow, returnShareMax = 64.0, 0.9 // tries; limit of the share of refused tries that return
 
 	probeIntervalS                          = 0.1
 	listRetryMaxS                           = 1.6      // changes count as known 6 s after discovery recovers
-	retriesPerRequest, retriesPerRequestMax = 1.2, 1.5 // after 'busy', times the squared slack of the aim
-	scanWorkersMax                          = 96       // workers examined if a sample finds none
+	retriesPerRequest, retriesPerRequestMax = 1.2, 1.5 // credit by the squared slack of the aim; its limit
+	scanWorkersMax                          = 96       // workers examined if no sample finds one
 	retryDelayS                             = 0.02     // before a new attempt if no worker seems free
 	probeTimer, listTimer                   = 1, 2     // timer tokens
 )
@@ -250,7 +253,7 @@
 // recordWait records how long a job waited at its worker, and updates the worker's shares.
 func (d *Dispatcher) recordWait(now float64, w *worker, wait float64) {
 	w.wait, w.waitAt = wait, now
-	if wait > retryDelayS { // by half of the wait the average queue is worked off
+	if wait > retryDelayS { // the average queue is worked off in half of it
 		w.fullUntil, w.fullFromSlots = now+min(wait, waitDecayS)/2, 0
 	}
 	d.wait += (wait - d.wait) / (4 * profileWindow)
@@ -317,7 +320,7 @@
 		shed *= min(costRatioMax, 1/max(d.cfg.OverShareWorth, 1e-3))
 	}
 	// If callers retry at once, a share refused at each try drops far fewer requests for good. It is raised
-	// by the share of refused tries that return, until the share shed stays away.
+	// by the share of refused tries that return, so that a share of shed is dropped for good.
 	returning := min(returnShareMax, d.returnShare/max(d.shedShare, 1/returnWindow))
 	shed = min(1, shed)
 	refuse := d.rng.Float64() < min(shed/(1-returning+shed*returning), 0.95)
@@ -447,7 +450,8 @@
 	return best
 }
 
-// allowed reports whether ejections, the class's effect and earlier attempts permit the worker.
+// allowed reports whether ejections, the class's effect and earlier attempts permit the worker. first is
+// r.firstMaybeRun(); if free is set, any earlier attempt there excludes the worker.
 func (d *Dispatcher) allowed(now float64, r *request, c *class, first *attempt, w *worker, free bool) bool {
 	if now < w.ejectedUntil || c.Effect == AtMostOnce && now < w.unsafeUntil {
 		return false
--- a/choice/state.go
+++ b/choice/state.go
@@ -243,13 +243,16 @@
 // Dispatcher makes the decisions of one dispatcher process. Its methods must not be called concurrently. Times that they
 // take must not decrease.
 //
+// A worker's share of a class is the inverse of its expected response, divided by the sum over all candidates. A request
+// goes to the worker with the largest gap: the one whose own jobs in flight are furthest below its share of all of them.
+//
 // Load shedding: workers that get more than they can do answer everything late. While the share of late requests is
 // above what is tolerated, Request refuses a part of the requests at once, before any attempt may have run. Those that
 // cost most work for their worth, or are over their tenant's share, are refused more often. Some are always admitted:
 // otherwise no start would show that workers are in time again.
 //
-// Requests add to the credits for probes, retries and moves; each of these takes 1 from its credit. A move cancels a job
-// that has not started, so that it is placed anew.
+// Requests add to the credits for probes, moves, and retries after attempts that never ran; each of these takes 1 from its
+// credit. A move cancels a job that has not started, so that it is placed anew.
 type Dispatcher struct {
 	cfg              Settings
 	actions          Actions
