--- a/choice/choice.go
+++ b/choice/choice.go
@@ -611,13 +611,13 @@
 }
 
 // AttemptUpdate records a worker's status update of an attempt.
-func (d *Dispatcher) AttemptUpdate(now float64, n AttemptUpdate) {
-	r := d.requests[n.Request]
-	if r == nil || n.Attempt < 0 || n.Attempt >= len(r.attempts) {
+func (d *Dispatcher) AttemptUpdate(now float64, u AttemptUpdate) {
+	r := d.requests[u.Request]
+	if r == nil || u.Attempt < 0 || u.Attempt >= len(r.attempts) {
 		return
 	}
-	a := r.attempts[n.Attempt]
-	if c := &d.classes[r.Class]; n.Started && !a.started {
+	a := r.attempts[u.Attempt]
+	if c := &d.classes[r.Class]; u.Started && !a.started {
 		a.startedAt = now
 		if d.cfg.TellsStart {
 			d.recordWait(now, a.w, now-a.sentAt)
@@ -627,9 +627,9 @@
 			d.moveHitShare += (1 - d.moveHitShare) / lateWindow
 		}
 	}
-	d.recordUpdate(now, a, n)
-	if n.Started || n.Share > 0 &&
-		(now-a.sentAt)/n.Share < 3*d.response(now, r.Class, a.w)*max(1, d.relativeCost(r)) {
+	d.recordUpdate(now, a, u)
+	if u.Started || u.Share > 0 &&
+		(now-a.sentAt)/u.Share < 3*d.response(now, r.Class, a.w)*max(1, d.relativeCost(r)) {
 		a.w.lastAliveAt = now
 	}
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -31,7 +31,7 @@
 func (h *host) Timer(t float64, k uint64)  { h.record(action{name: "timer", value: t, token: k}) }
 func (h *host) Probe(w string)             { h.record(action{name: "probe", worker: w}) }
 func (h *host) CloseIdle(w string)         { h.record(action{name: "close", worker: w}) }
-func (h *host) SendToPeer(p int, _ []byte) { h.record(action{name: "tell", value: float64(p)}) }
+func (h *host) SendToPeer(p int, _ []byte) { h.record(action{name: "peer message", value: float64(p)}) }
 func (h *host) ListAll()                   { h.record(action{name: "list"}) }
 func (h *host) Log(string)                 {}
 func (h *host) Subscribe(on bool) {
--- a/choice/state.go
+++ b/choice/state.go
@@ -72,9 +72,9 @@
 const lostAfterIntervals = 1.5
 
 // recordUpdate records a worker's status update of an attempt. From the start on it checks for missing progress updates.
-func (d *Dispatcher) recordUpdate(now float64, a *attempt, n AttemptUpdate) {
-	starts := !a.started && !n.Taken
-	a.taken, a.started, a.lastUpdateAt = true, a.started || !n.Taken, now
+func (d *Dispatcher) recordUpdate(now float64, a *attempt, u AttemptUpdate) {
+	starts := !a.started && !u.Taken
+	a.taken, a.started, a.lastUpdateAt = true, a.started || !u.Taken, now
 	if c := &d.classes[a.req.Class]; starts && c.Effect != AtMostOnce && d.cfg.CanCancel && d.cfg.ProgressEvery > 0 {
 		d.timerToken++
 		a.progressTimer, d.attemptTimers[d.timerToken] = d.timerToken, a
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -363,12 +363,12 @@
 		event = func() { d.Probed(h.now, p) }
 	case "note":
 		what := m.requiredInteger(4) // 1 for the start of a job, 2 for its progress
-		n := choice.AttemptUpdate{Request: m.requiredText(1), Worker: m.requiredText(2),
+		u := choice.AttemptUpdate{Request: m.requiredText(1), Worker: m.requiredText(2),
 			Attempt: int(m.requiredInteger(3)), Started: what == 1}
 		if amount := m.float(5, 0); what == 2 {
-			n.Share = amount
+			u.Share = amount
 		}
-		event = func() { d.AttemptUpdate(h.now, n) }
+		event = func() { d.AttemptUpdate(h.now, u) }
 	case "bell":
 		token := m.requiredInteger(1)
 		event = func() { d.Timer(h.now, uint64(token)) }
