--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -6,7 +6,7 @@
 	"foldlb.example/foldlb/choice"
 )
 
-// printer is a host that only prints what the dispatcher decides.
+// printer is a host that prints the dispatcher's decisions.
 type printer struct{}
 
 func (printer) Assign(request, worker string, _ float64) { fmt.Println("send", request, "to", worker) }
@@ -16,7 +16,7 @@
 func (printer) Timer(float64, uint64)                    {}
 func (printer) Probe(string)                             {}
 func (printer) CloseIdle(string)                         {}
-func (printer) Tell(int, []byte)                         {}
+func (printer) SendToPeer(int, []byte)                   {}
 func (printer) Subscribe(bool)                           {}
 func (printer) ListAll()                                 {}
 func (printer) Log(string)                               {}
