--- a/coord/failover/checker_test.go
+++ b/coord/failover/checker_test.go
@@ -12,7 +12,7 @@
 type checker struct {
 	violation     string // the first one
 	newest        committed
-	drifts        bool    // clocks drift by more than the margin, so that a former leader may commit late what is in force
+	allowsDrift   bool    // clocks drift by more than the margin, so that a former leader may commit late what is in force
 	jointSince    Version // where the newest contents are joint: the first version with these lists
 	byVersion     map[Version]string
 	refused       []string // promised never to come into force
@@ -44,7 +44,7 @@
 		return
 	}
 	checker.byVersion[seen.version] = state
-	if checker.drifts && seen.version.Less(checker.newest.version) {
+	if checker.allowsDrift && seen.version.Less(checker.newest.version) {
 		if !bytes.HasPrefix(checker.newest.contents.State, seen.contents.State) {
 			checker.violate("%v was committed and is not in %v", seen.version, checker.newest.version)
 		}
@@ -74,7 +74,7 @@
 	switch done.err.(type) {
 	case nil:
 		checker.succeeded = append(checker.succeeded, name)
-		if !checker.holds(name) {
+		if !checker.isInForce(name) {
 			checker.violate("%s was acknowledged and is not in force", name)
 		}
 	case OutcomeUnknownError:
@@ -84,7 +84,7 @@
 	}
 }
 
-func (checker *checker) holds(name string) bool {
+func (checker *checker) isInForce(name string) bool {
 	return strings.Contains(string(checker.newest.contents.State), ","+name+",")
 }
 
--- a/coord/failover/filestore.go
+++ b/coord/failover/filestore.go
@@ -51,22 +51,22 @@
 // both files hold something that can't be read back.
 func (store *FileStore) Load() ([]byte, error) {
 	var newest []byte
-	broken := 0
+	corruptSlots := 0
 	for _, file := range store.files {
 		content, err := readSynced(file)
 		if err != nil {
 			return nil, errors.Wrap(err, "read a file of the record")
 		}
-		record, number, isWhole := decodeSlot(content)
-		if !isWhole && len(content) > 0 {
-			broken++
+		record, number, isValid := decodeSlot(content)
+		if !isValid && len(content) > 0 {
+			corruptSlots++
 		}
-		if isWhole && number > store.lastNumber {
+		if isValid && number > store.lastNumber {
 			store.lastNumber = number
 			newest = record
 		}
 	}
-	if broken == slotCount {
+	if corruptSlots == slotCount {
 		return nil, CorruptRecordError{Reason: "neither file is whole"}
 	}
 	return newest, nil
@@ -111,7 +111,7 @@
 }
 
 // decodeSlot ignores what an older, longer record has left behind the newer one.
-func decodeSlot(content []byte) (record []byte, number uint64, isWhole bool) {
+func decodeSlot(content []byte) (record []byte, number uint64, isValid bool) {
 	if len(content) < slotHeaderSize {
 		return nil, 0, false
 	}
--- a/coord/failover/follower.go
+++ b/coord/failover/follower.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// handleReplicate is the follower: it grants the leader its lease and takes its version.
-func (machine *machine) handleReplicate(now time.Duration, asked replicateCall) {
-	request := asked.request
+// handleReplicateRequest is the follower: it grants the leader its lease and takes its version.
+func (machine *machine) handleReplicateRequest(now time.Duration, incoming replicateCall) {
+	request := incoming.request
 	if request.Member != machine.record.Identity {
 		reply := ReplicateReply{Epoch: machine.record.VotedEpoch, NotMember: true}
-		machine.emit(answerReplicate{call: asked.call, reply: reply})
+		machine.emit(answerReplicate{call: incoming.call, reply: reply})
 		return
 	}
-	if !machine.mayFollow(now, request) {
+	if !machine.canFollow(now, request) {
 		reply := ReplicateReply{Epoch: machine.record.VotedEpoch}
-		machine.emit(answerReplicate{call: asked.call, reply: reply})
+		machine.emit(answerReplicate{call: incoming.call, reply: reply})
 		return
 	}
 	if request.Resign {
-		machine.handleLeaderResigned(now, asked)
+		machine.handleLeaderResigned(now, incoming)
 		return
 	}
 	if machine.leadership != nil {
 		machine.stepDown(now, "another member leads a newer epoch")
 	}
-	machine.follow(now, request)
-	isVersionTaken := machine.takeVersion(request)
-	machine.learnCommitted(request)
+	machine.followLeader(now, request)
+	isVersionTaken := machine.adoptVersion(request)
+	machine.updateCommitted(request)
 	finish := func() effect {
-		return answerReplicate{call: asked.call, reply: machine.replicateReply()}
+		return answerReplicate{call: incoming.call, reply: machine.replicateReply()}
 	}
 	mustWait := isVersionTaken || request.Contents != nil
-	if !mustWait && machine.hasSavedLeader(request) {
+	if !mustWait && machine.isLeaderSaved(request) {
 		machine.emit(finish())
 		return
 	}
 	machine.answerOnceSaved(finish)
 }
 
-// mayFollow reports whether the request is of a leader that this member has not moved on from.
-func (machine *machine) mayFollow(now time.Duration, request ReplicateRequest) bool {
+// canFollow reports whether the request is of a leader that this member has not moved on from.
+func (machine *machine) canFollow(now time.Duration, request ReplicateRequest) bool {
 	if now < machine.ackAfter {
 		return false
 	}
@@ -51,37 +51,37 @@
 }
 
 // follow grants the lease, from now on.
-func (machine *machine) follow(now time.Duration, request ReplicateRequest) {
+func (machine *machine) followLeader(now time.Duration, request ReplicateRequest) {
 	machine.campaign = nil
 	machine.grant = grant{
-		leader:  request.Leader,
-		address: request.LeaderAddress,
-		ends:    now + machine.grantLength(request),
+		leader:    request.Leader,
+		address:   request.LeaderAddress,
+		expiresAt: now + machine.grantDuration(request),
 	}
-	machine.planElection(now, machine.spread())
+	machine.scheduleCampaign(now, machine.electionJitter())
 	if request.Epoch == machine.record.VotedEpoch && request.Leader == machine.record.VotedFor {
 		return
 	}
 	machine.record.VotedEpoch = request.Epoch
 	machine.record.VotedFor = request.Leader
-	machine.changeRecord()
+	machine.saveRecord()
 }
 
-// grantLength is how long the leader of a request may count on its being answered.
-func (machine *machine) grantLength(request ReplicateRequest) time.Duration {
+// grantDuration is how long the leader of a request may count on its being answered.
+func (machine *machine) grantDuration(request ReplicateRequest) time.Duration {
 	if request.Lease == 0 {
 		return machine.config.timing.LongestLease
 	}
 	return request.Lease
 }
 
-// hasSavedLeader reports whether the disk names the leader of the request, as it must before any acknowledgement.
-func (machine *machine) hasSavedLeader(request ReplicateRequest) bool {
+// isLeaderSaved reports whether the disk names the leader of the request, as it must before any acknowledgement.
+func (machine *machine) isLeaderSaved(request ReplicateRequest) bool {
 	return machine.saved.votedEpoch == request.Epoch && machine.saved.votedFor == request.Leader
 }
 
-// takeVersion takes the version of the request if it is newer and its contents are at hand.
-func (machine *machine) takeVersion(request ReplicateRequest) bool {
+// adoptVersion takes the version of the request if it is newer and its contents are at hand.
+func (machine *machine) adoptVersion(request ReplicateRequest) bool {
 	offered := Version{Epoch: request.StateEpoch, Seq: request.StateSeq}
 	if !machine.record.Version.Less(offered) {
 		return false
@@ -95,11 +95,11 @@
 		machine.record.Contents = *request.Contents
 	}
 	machine.record.Version = offered
-	machine.changeRecord()
+	machine.saveRecord()
 	return true
 }
 
-func (machine *machine) learnCommitted(request ReplicateRequest) {
+func (machine *machine) updateCommitted(request ReplicateRequest) {
 	held := machine.record.Version
 	if held.Epoch == request.Epoch && held.Seq <= request.CommittedSeq {
 		machine.setCommitted(held, machine.record.Contents)
@@ -107,14 +107,14 @@
 }
 
 // handleLeaderResigned drops the grant, so that this member may vote and be elected at once. The sender will lead
-// neither the epoch of the request nor an older one again, and mayFollow has seen that this member has accepted none
+// neither the epoch of the request nor an older one again, and canFollow has seen that this member has accepted none
 // that is newer: so the grant is to what is over.
-func (machine *machine) handleLeaderResigned(now time.Duration, asked replicateCall) {
-	if now < machine.grant.ends && machine.grant.leader == asked.request.Leader {
+func (machine *machine) handleLeaderResigned(now time.Duration, incoming replicateCall) {
+	if now < machine.grant.expiresAt && machine.grant.leader == incoming.request.Leader {
 		machine.grant = grant{}
-		machine.planElection(now, machine.spread())
+		machine.scheduleCampaign(now, machine.electionJitter())
 	}
-	machine.emit(answerReplicate{call: asked.call, reply: machine.replicateReply()})
+	machine.emit(answerReplicate{call: incoming.call, reply: machine.replicateReply()})
 }
 
 // replicateReply tells what has been synced.
--- a/coord/failover/grant.go
+++ b/coord/failover/grant.go
@@ -27,9 +27,9 @@
 // A member whose own record names itself has granted no lease that is valid: by the above it could only be to its own
 // earlier life, which is over. It neither waits with its campaign nor with votes for others.
 type grant struct {
-	leader  string
-	address string // empty where the grant is assumed
-	ends    time.Duration
+	leader    string
+	address   string // empty where the grant is assumed
+	expiresAt time.Duration
 }
 
 // assumeGrant stands for the grants that were given before the start. An identity that is new has given none, but
@@ -42,5 +42,5 @@
 	if machine.record.VotedFor == machine.record.Identity {
 		return
 	}
-	machine.grant = grant{leader: machine.record.VotedFor, ends: now + machine.config.timing.LongestLease}
+	machine.grant = grant{leader: machine.record.VotedFor, expiresAt: now + machine.config.timing.LongestLease}
 }
--- a/coord/failover/input.go
+++ b/coord/failover/input.go
@@ -41,14 +41,14 @@
 // propose asks for a new version. Exactly one of change and members is set. A proposalDone with the same number
 // ends it.
 type propose struct {
-	proposal uint64
-	change   func(old []byte) ([]byte, error)
-	members  *memberChange
-	settles  bool // of the leader itself: the end of a change of members
+	proposal    uint64
+	change      func(old []byte) ([]byte, error)
+	members     *memberChange
+	leavesJoint bool // of the leader itself: the end of a change of members
 }
 
 // isMemberChange reports whether a proposal is a step of a change of members, which ends with the last step.
-func (proposed propose) isMemberChange() bool { return proposed.members != nil || proposed.settles }
+func (proposed propose) isMemberChange() bool { return proposed.members != nil || proposed.leavesJoint }
 
 // read asks for the moment from which on the committed state of this member is the newest. A readDone with the same
 // number ends it.
--- a/coord/failover/loop.go
+++ b/coord/failover/loop.go
@@ -12,7 +12,7 @@
 	defer node.servesUntil.Store(0)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	node.carryOut(effects)
+	node.execute(effects)
 	for {
 		node.setTimer(timer)
 		select {
@@ -20,9 +20,9 @@
 			return
 		case <-timer.C:
 			node.step(tick{})
-		case taken := <-node.commands:
-			node.register(taken)
-			node.step(taken.input)
+		case received := <-node.commands:
+			node.register(received)
+			node.step(received.input)
 		}
 	}
 }
@@ -34,55 +34,55 @@
 }
 
 // register remembers where the answer to a command goes.
-func (node *Node) register(taken command) {
+func (node *Node) register(received command) {
 	switch {
-	case taken.vote != nil:
-		node.voteCalls[taken.id] = taken.vote
-	case taken.replicate != nil:
-		node.replicaCalls[taken.id] = taken.replicate
-	case taken.proposal != nil:
-		node.proposals[taken.id] = taken.proposal
+	case received.vote != nil:
+		node.voteCalls[received.id] = received.vote
+	case received.replicate != nil:
+		node.replicateCalls[received.id] = received.replicate
+	case received.proposal != nil:
+		node.proposals[received.id] = received.proposal
 	}
 }
 
 // step publishes the outcome before it carries the effects out, so that whoever is answered sees it.
-func (node *Node) step(taken input) {
-	effects := node.machine.step(node.now(), taken)
+func (node *Node) step(event input) {
+	effects := node.machine.step(node.now(), event)
 	node.publish()
-	node.carryOut(effects)
+	node.execute(effects)
 }
 
-func (node *Node) carryOut(effects []effect) {
-	for _, wanted := range effects {
-		switch wanted := wanted.(type) {
+func (node *Node) execute(effects []effect) {
+	for _, requested := range effects {
+		switch requested := requested.(type) {
 		case sendVote:
-			go node.sendVote(wanted)
+			go node.sendVote(requested)
 		case sendReplicate:
-			go node.sendReplicate(wanted)
+			go node.sendReplicate(requested)
 		case answerVote:
-			node.voteCalls[wanted.call] <- wanted.reply
-			delete(node.voteCalls, wanted.call)
+			node.voteCalls[requested.call] <- requested.reply
+			delete(node.voteCalls, requested.call)
 		case answerReplicate:
-			node.replicaCalls[wanted.call] <- wanted.reply
-			delete(node.replicaCalls, wanted.call)
+			node.replicateCalls[requested.call] <- requested.reply
+			delete(node.replicateCalls, requested.call)
 		case persist:
-			node.saver.save(wanted)
+			node.saver.save(requested)
 		case proposalDone:
-			node.endProposal(wanted.proposal, wanted.err)
+			node.completeProposal(requested.proposal, requested.err)
 		case readDone:
-			node.endProposal(wanted.read, wanted.err)
+			node.completeProposal(requested.read, requested.err)
 		case becameLeader:
-			node.config.Log.Info("leads", "epoch", wanted.epoch)
+			node.config.Log.Info("leads", "epoch", requested.epoch)
 		case steppedDown:
-			node.config.Log.Info("leads no longer", "epoch", wanted.epoch, "reason", wanted.reason)
+			node.config.Log.Info("leads no longer", "epoch", requested.epoch, "reason", requested.reason)
 		case committed:
 			// publish has taken it from the machine.
 		}
 	}
 }
 
-// endProposal answers who proposed or read. An abandoned proposal that was under way ends a second time.
-func (node *Node) endProposal(number uint64, err error) {
+// completeProposal answers who proposed or read. An abandoned proposal that was under way ends a second time.
+func (node *Node) completeProposal(number uint64, err error) {
 	answer := node.proposals[number]
 	if answer == nil {
 		return
@@ -91,30 +91,30 @@
 	answer <- err
 }
 
-func (node *Node) sendVote(wanted sendVote) {
+func (node *Node) sendVote(requested sendVote) {
 	ctx, cancel := context.WithTimeout(node.ctx, heartbeatTimeout)
 	defer cancel()
-	reply, err := node.config.Transport.Vote(ctx, wanted.address, wanted.request)
-	result := voteResult{request: wanted.request, reply: reply, failed: err != nil}
+	reply, err := node.config.Transport.Vote(ctx, requested.address, requested.request)
+	result := voteResult{request: requested.request, reply: reply, failed: err != nil}
 	// The only error is that the node is closed.
-	_ = node.send(node.ctx, command{input: result})
+	_ = node.enqueue(node.ctx, command{input: result})
 }
 
-func (node *Node) sendReplicate(wanted sendReplicate) {
-	ctx, cancel := context.WithTimeout(node.ctx, max(wanted.timeout, heartbeatTimeout))
+func (node *Node) sendReplicate(requested sendReplicate) {
+	ctx, cancel := context.WithTimeout(node.ctx, max(requested.timeout, heartbeatTimeout))
 	defer cancel()
-	reply, err := node.config.Transport.Replicate(ctx, wanted.address, wanted.request)
+	reply, err := node.config.Transport.Replicate(ctx, requested.address, requested.request)
 	result := replicateResult{
-		member:       wanted.request.Member,
-		epoch:        wanted.request.Epoch,
-		sentAt:       wanted.sentAt,
-		round:        wanted.round,
-		withContents: wanted.request.Contents != nil,
+		member:       requested.request.Member,
+		epoch:        requested.request.Epoch,
+		sentAt:       requested.sentAt,
+		round:        requested.round,
+		withContents: requested.request.Contents != nil,
 		reply:        reply,
 		failed:       err != nil,
 	}
 	// The only error is that the node is closed.
-	_ = node.send(node.ctx, command{input: result})
+	_ = node.enqueue(node.ctx, command{input: result})
 }
 
 // publish makes the state of the machine visible, and tells of it where it has changed.
@@ -123,12 +123,12 @@
 	node.servesUntil.Store(int64(node.machine.servesUntil(now)))
 	current := node.machine.status(now)
 	previous := node.status.Load()
-	if previous != nil && isSameStatus(*previous, current) {
+	if previous != nil && equalStatus(*previous, current) {
 		return
 	}
 	node.status.Store(&current)
 	select {
-	case node.changed <- struct{}{}:
+	case node.statusChanged <- struct{}{}:
 	default:
 	}
 }
@@ -153,8 +153,8 @@
 	}
 }
 
-// isSameStatus compares the version instead of the state.
-func isSameStatus(one, other Status) bool {
+// equalStatus compares the version instead of the state.
+func equalStatus(one, other Status) bool {
 	return one.Leader == other.Leader &&
 		one.LeaderAddress == other.LeaderAddress &&
 		one.Epoch == other.Epoch &&
@@ -172,7 +172,7 @@
 		select {
 		case <-node.ctx.Done():
 			return
-		case <-node.changed:
+		case <-node.statusChanged:
 			if node.config.OnChange != nil {
 				node.config.OnChange(node.Status())
 			}
--- a/coord/failover/machine.go
+++ b/coord/failover/machine.go
@@ -25,8 +25,8 @@
 	version    Version
 }
 
-// waitingAnswer is an answer that waits until the record of its generation has been synced.
-type waitingAnswer struct {
+// pendingAnswer is an answer that waits until the record of its generation has been synced.
+type pendingAnswer struct {
 	generation uint64
 	finish     func() effect
 }
@@ -34,20 +34,20 @@
 // machine is the reducer of one member: step takes the time and an input, and returns effects. Time is monotonic and
 // counts from any moment. It is not safe for concurrent use.
 type machine struct {
-	config     machineConfig
-	record     Record // may be ahead of the disk
-	generation uint64 // of the record
-	saved      savePoint
-	waiting    []waitingAnswer
-	effects    []effect
-
-	ackAfter     time.Duration // no acknowledgement before; only for a disk that was empty
-	grant        grant         // the newest
-	formerTerm   *formerTerm   // nil where the record names another leader, or none
-	electionAt   time.Duration // of the next campaign
-	highestEpoch uint64        // seen in replies; not a promise
-	campaign     *campaign
-	leadership   *leadership
+	config         machineConfig
+	record         Record // may be ahead of the disk
+	generation     uint64 // of the record
+	saved          savePoint
+	pendingAnswers []pendingAnswer
+	effects        []effect
+
+	ackAfter        time.Duration    // no acknowledgement before; only for a disk that was empty
+	grant           grant            // the newest
+	restartCampaign *restartCampaign // nil where the record names another leader, or none
+	campaignAt      time.Duration    // of the next campaign
+	highestEpoch    uint64           // seen in replies; not a promise
+	campaign        *campaign
+	leadership      *leadership
 
 	committedVersion  Version
 	committedContents Contents
@@ -70,43 +70,43 @@
 		created.ackAfter = now + config.timing.LongestLease
 	}
 	created.assumeGrant(now, kind)
-	created.planElection(now, created.spread())
+	created.scheduleCampaign(now, created.electionJitter())
 	if kind == startRestarted {
-		created.startFormerTerm(now)
+		created.startRestartCampaign(now)
 		created.saved = savePoint{votedEpoch: record.VotedEpoch, votedFor: record.VotedFor, version: record.Version}
 	} else {
-		created.changeRecord()
+		created.saveRecord()
 	}
 	return created, created.takeEffects()
 }
 
 // step takes one input.
-func (machine *machine) step(now time.Duration, taken input) []effect {
+func (machine *machine) step(now time.Duration, event input) []effect {
 	votedBefore, versionBefore := machine.record.VotedEpoch, machine.record.Version
-	machine.endLostLeadership(now)
-	switch taken := taken.(type) {
+	machine.stepDownIfLeaseExpired(now)
+	switch event := event.(type) {
 	case tick:
 		machine.handleTick(now)
 	case voteCall:
-		machine.handleVote(now, taken)
+		machine.handleVoteRequest(now, event)
 	case voteResult:
-		machine.handleVoteResult(now, taken)
+		machine.handleVoteResult(now, event)
 	case replicateCall:
-		machine.handleReplicate(now, taken)
+		machine.handleReplicateRequest(now, event)
 	case replicateResult:
-		machine.handleReplicateResult(now, taken)
+		machine.handleReplicateResult(now, event)
 	case propose:
-		machine.handlePropose(now, taken)
+		machine.handlePropose(now, event)
 	case read:
-		machine.handleRead(now, taken)
+		machine.handleRead(now, event)
 	case abandon:
-		machine.handleAbandon(taken)
+		machine.handleAbandon(event)
 	case resign:
 		machine.handleResign(now)
 	case persisted:
-		machine.handlePersisted(now, taken.point)
+		machine.handlePersisted(now, event.point)
 	default:
-		panic(fmt.Sprintf("failover: unknown input %T", taken))
+		panic(fmt.Sprintf("failover: unknown input %T", event))
 	}
 	machine.checkInvariants(now, votedBefore, versionBefore)
 	return machine.takeEffects()
@@ -115,13 +115,13 @@
 // wakeAt returns when the next tick is due.
 func (machine *machine) wakeAt(now time.Duration) time.Duration {
 	if machine.leadership != nil {
-		return min(machine.leadership.heartbeatAt, machine.leaseEnds(now))
+		return min(machine.leadership.heartbeatAt, machine.leaseExpiry(now))
 	}
 	if machine.isVoter() {
-		return machine.electionAt
+		return machine.campaignAt
 	}
-	if now < machine.grant.ends {
-		return machine.grant.ends
+	if now < machine.grant.expiresAt {
+		return machine.grant.expiresAt
 	}
 	return never
 }
@@ -129,11 +129,11 @@
 func (machine *machine) handleTick(now time.Duration) {
 	if machine.leadership != nil {
 		if now >= machine.leadership.heartbeatAt {
-			machine.broadcast(now)
+			machine.broadcastHeartbeat(now)
 		}
 		return
 	}
-	if machine.isVoter() && now >= machine.electionAt {
+	if machine.isVoter() && now >= machine.campaignAt {
 		machine.startCampaign(now)
 	}
 }
@@ -144,23 +144,23 @@
 		return
 	}
 	machine.saved = point
-	remaining := machine.waiting[:0]
-	for _, answer := range machine.waiting {
+	remaining := machine.pendingAnswers[:0]
+	for _, answer := range machine.pendingAnswers {
 		if answer.generation > point.generation {
 			remaining = append(remaining, answer)
 			continue
 		}
 		machine.emit(answer.finish())
 	}
-	clear(machine.waiting[len(remaining):])
-	machine.waiting = remaining
+	clear(machine.pendingAnswers[len(remaining):])
+	machine.pendingAnswers = remaining
 	machine.countOwnVote(now)
 	machine.advanceCommit(now)
-	machine.settleMembers(now)
+	machine.leaveJoint(now)
 }
 
-// changeRecord must follow every change of the record: it asks for a save.
-func (machine *machine) changeRecord() {
+// saveRecord must follow every change of the record: it asks for a save.
+func (machine *machine) saveRecord() {
 	machine.generation++
 	point := savePoint{
 		generation: machine.generation,
@@ -177,7 +177,7 @@
 		machine.emit(finish())
 		return
 	}
-	machine.waiting = append(machine.waiting, waitingAnswer{generation: machine.generation, finish: finish})
+	machine.pendingAnswers = append(machine.pendingAnswers, pendingAnswer{generation: machine.generation, finish: finish})
 }
 
 // isVoter reports whether this member is in a list that it holds.
@@ -190,7 +190,7 @@
 	switch {
 	case machine.leadership != nil && machine.leadership.isServing:
 		return machine.config.address
-	case now < machine.grant.ends:
+	case now < machine.grant.expiresAt:
 		return machine.grant.address
 	}
 	return ""
@@ -206,11 +206,11 @@
 	machine.emit(committed{version: version, contents: contents})
 }
 
-func (machine *machine) spread() time.Duration {
+func (machine *machine) electionJitter() time.Duration {
 	return time.Duration(machine.config.random(int64(machine.config.timing.ElectionJitter)))
 }
 
-func (machine *machine) emit(wanted effect) { machine.effects = append(machine.effects, wanted) }
+func (machine *machine) emit(requested effect) { machine.effects = append(machine.effects, requested) }
 
 func (machine *machine) takeEffects() []effect {
 	taken := machine.effects
@@ -233,7 +233,7 @@
 		panic("failover: the leader accepted another epoch")
 	case machine.leadership != nil && machine.campaign != nil:
 		panic("failover: the leader is a candidate")
-	case machine.campaign != nil && now < machine.grant.ends:
+	case machine.campaign != nil && now < machine.grant.expiresAt:
 		panic("failover: a candidate has granted a lease to another member")
 	}
 }
--- a/coord/failover/memberchange.go
+++ b/coord/failover/memberchange.go
@@ -2,76 +2,76 @@
 
 import "time"
 
-// changeUnderWay is the change of voters that a leader was asked for. Contents that are joint outlast it: whoever leads
+// pendingMemberChange is the change of voters that a leader was asked for. Contents that are joint outlast it: whoever leads
 // finishes them.
-type changeUnderWay struct {
-	proposal uint64
-	wanted   memberChange
-	learner  *Member // being sent the contents; nil once it has synced them, and where none is added
-	needs    Version // what the learner must have synced
+type pendingMemberChange struct {
+	proposal        uint64
+	requested       memberChange
+	learner         *Member // being sent the contents; nil once it has synced them, and where none is added
+	requiredVersion Version // what the learner must have synced
 }
 
 // handleMemberChange begins a change of voters. A voter to be added is a learner first.
-func (machine *machine) handleMemberChange(now time.Duration, wanted propose) {
+func (machine *machine) handleMemberChange(now time.Duration, requested propose) {
 	lead := machine.leadership
-	if lead.change != nil {
-		machine.emit(proposalDone{proposal: wanted.proposal, err: MemberChangePendingError{}})
+	if lead.pendingChange != nil {
+		machine.emit(proposalDone{proposal: requested.proposal, err: MemberChangePendingError{}})
 		return
 	}
-	members, err := wanted.members.apply(machine.record.Contents.Members)
+	members, err := requested.members.apply(machine.record.Contents.Members)
 	if err != nil {
-		machine.emit(proposalDone{proposal: wanted.proposal, err: err})
+		machine.emit(proposalDone{proposal: requested.proposal, err: err})
 		return
 	}
-	isSame := isSameContents(machine.record.Contents, machine.record.Contents.withMembers(members))
+	isSame := equalContents(machine.record.Contents, machine.record.Contents.withMembers(members))
 	if isSame && !machine.record.Contents.isJoint() {
-		machine.emit(proposalDone{proposal: wanted.proposal})
+		machine.emit(proposalDone{proposal: requested.proposal})
 		return
 	}
-	lead.change = &changeUnderWay{proposal: wanted.proposal, wanted: *wanted.members, needs: machine.record.Version}
+	lead.pendingChange = &pendingMemberChange{proposal: requested.proposal, requested: *requested.members, requiredVersion: machine.record.Version}
 	if isSame {
 		return // it is joint already, and ends when that does
 	}
-	added := wanted.members.add
+	added := requested.members.add
 	if added == nil || machine.record.Contents.hasVoter(added.ID) {
-		machine.queueMemberChange(now)
+		machine.queueJointVersion(now)
 		return
 	}
-	lead.change.learner = added
+	lead.pendingChange.learner = added
 	machine.replicate(now, *added)
 }
 
 // advanceLearner goes on with the change once the learner has synced the contents.
 func (machine *machine) advanceLearner(now time.Duration) {
-	change := machine.leadership.change
+	change := machine.leadership.pendingChange
 	if change == nil || change.learner == nil {
 		return
 	}
-	known := machine.leadership.peers[change.learner.ID]
-	if known == nil || !known.isKnown || known.version.Less(change.needs) {
+	progress := machine.leadership.peers[change.learner.ID]
+	if progress == nil || !progress.isVersionKnown || progress.version.Less(change.requiredVersion) {
 		return
 	}
 	change.learner = nil
-	machine.queueMemberChange(now)
+	machine.queueJointVersion(now)
 }
 
-// queueMemberChange has the joint version written next.
-func (machine *machine) queueMemberChange(now time.Duration) {
+// queueJointVersion has the joint version written next.
+func (machine *machine) queueJointVersion(now time.Duration) {
 	lead := machine.leadership
-	next := propose{proposal: lead.change.proposal, members: &lead.change.wanted}
+	next := propose{proposal: lead.pendingChange.proposal, members: &lead.pendingChange.requested}
 	lead.queue = append([]propose{next}, lead.queue...)
-	machine.startProposal(now)
+	machine.startNextProposal(now)
 }
 
-// settleMembers writes the new list alone, once the joint version is committed and those that it adds have synced it. A
+// leaveJoint writes the new list alone, once the joint version is committed and those that it adds have synced it. A
 // leader that the new list does not name leaves that to another one: if it alone held the new list, it could neither be
 // elected by it nor vote for a member that holds the joint version.
-func (machine *machine) settleMembers(now time.Duration) {
+func (machine *machine) leaveJoint(now time.Duration) {
 	lead := machine.leadership
 	if lead == nil || !lead.isServing || lead.inFlight != nil || !machine.record.Contents.isJoint() {
 		return
 	}
-	for _, added := range machine.record.Contents.added() {
+	for _, added := range machine.record.Contents.addedMembers() {
 		if !machine.hasSyncedSince(added.ID, lead.jointSince) {
 			return
 		}
@@ -82,7 +82,7 @@
 	}
 	contents := machine.record.Contents
 	contents.OldMembers = nil
-	lead.inFlight = &propose{settles: true}
+	lead.inFlight = &propose{leavesJoint: true}
 	machine.writeVersion(now, contents)
 }
 
@@ -91,31 +91,31 @@
 	if identity == machine.record.Identity {
 		return !machine.saved.version.Less(version)
 	}
-	known := machine.leadership.peers[identity]
-	return known != nil && known.isKnown && !known.version.Less(version)
+	progress := machine.leadership.peers[identity]
+	return progress != nil && progress.isVersionKnown && !progress.version.Less(version)
 }
 
-// endMemberChange tells the proposer that the new list is committed alone.
-func (machine *machine) endMemberChange() {
+// completeMemberChange tells the proposer that the new list is committed alone.
+func (machine *machine) completeMemberChange() {
 	lead := machine.leadership
-	if lead.change == nil {
+	if lead.pendingChange == nil {
 		return
 	}
-	machine.emit(proposalDone{proposal: lead.change.proposal})
-	lead.change = nil
+	machine.emit(proposalDone{proposal: lead.pendingChange.proposal})
+	lead.pendingChange = nil
 }
 
 // abandonMemberChange forgets the change that a proposal asked for. A joint version stays.
 func (machine *machine) abandonMemberChange(abandoned abandon) bool {
 	lead := machine.leadership
-	if lead.change == nil || lead.change.proposal != abandoned.proposal {
+	if lead.pendingChange == nil || lead.pendingChange.proposal != abandoned.proposal {
 		return false
 	}
 	var err error = OutcomeUnknownError{Reason: abandoned.cause.Error()}
-	if lead.change.learner != nil {
-		err = LearnerBehindError{Learner: lead.change.learner.ID, Cause: abandoned.cause}
+	if lead.pendingChange.learner != nil {
+		err = LearnerBehindError{Learner: lead.pendingChange.learner.ID, Cause: abandoned.cause}
 	}
-	lead.change = nil
+	lead.pendingChange = nil
 	lead.dropQueued(abandoned.proposal)
 	machine.emit(proposalDone{proposal: abandoned.proposal, err: err})
 	return true
--- a/coord/failover/members.go
+++ b/coord/failover/members.go
@@ -16,7 +16,7 @@
 // replaced by another one: the old list stays, and the joint version names another new list. A new list that equals the
 // old one ends the change.
 
-// memberChange adds one voter, removes one, or exchanges one for another.
+// pendingChange adds one voter, removes one, or exchanges one for another.
 type memberChange struct {
 	add      *Member // nil for none
 	removeID string  // identity; empty for none
@@ -119,7 +119,7 @@
 }
 
 // added lists the voters that joint contents add.
-func (contents Contents) added() []Member {
+func (contents Contents) addedMembers() []Member {
 	isOld := func(member Member) bool { return hasMember(contents.OldMembers, member.ID) }
 	return slices.DeleteFunc(slices.Clone(contents.Members), isOld)
 }
--- a/coord/failover/model_test.go
+++ b/coord/failover/model_test.go
@@ -35,21 +35,21 @@
 	trace *modelTrace
 }
 
-// modelWalk is the outcome of a walk.
-type modelWalk struct {
+// modelResult is the outcome of a walk.
+type modelResult struct {
 	states    int
 	depth     int    // actions to the farthest state
 	epoch     uint64 // the newest in which a version was committed
-	exchanged bool   // a process that had lost its disk became a member again
+	replaced  bool   // a process that had lost its disk became a member again
 	violation string
 	trace     []string
 }
 
-// walkModel visits every state within the bounds, the nearest first, and ends at the first violation.
-func walkModel(bounds modelBounds, mutation modelMutation) modelWalk {
-	first := modelNode{state: settledModel(&bounds, &mutation), trace: &modelTrace{}}
+// exploreModel visits every state within the bounds, the nearest first, and ends at the first violation.
+func exploreModel(bounds modelBounds, mutation modelMutation) modelResult {
+	first := modelNode{state: initialModelState(&bounds, &mutation), trace: &modelTrace{}}
 	visited := map[modelKey]struct{}{first.state.key(): {}}
-	walked := modelWalk{}
+	walked := modelResult{}
 	for level := []modelNode{first}; len(level) > 0; walked.depth++ {
 		var following []modelNode
 		for position, node := range level {
@@ -66,7 +66,7 @@
 				}
 				visited[key] = struct{}{}
 				walked.epoch = max(walked.epoch, action.next.newest.version.Epoch)
-				walked.exchanged = walked.exchanged || action.next.hasExchanged()
+				walked.replaced = walked.replaced || action.next.hasReplaced()
 				following = append(following, modelNode{state: action.next, trace: trace})
 			}
 		}
@@ -76,11 +76,11 @@
 	return walked
 }
 
-// settledModel is the state in which the first member leads and has committed a version, or that in which all have just
+// initialModelState is the state in which the first member leads and has committed a version, or that in which all have just
 // started for the first time.
-func settledModel(bounds *modelBounds, mutation *modelMutation) *modelState {
+func initialModelState(bounds *modelBounds, mutation *modelMutation) *modelState {
 	state := newModelState(bounds, mutation)
-	if bounds.fresh {
+	if bounds.beforeElection {
 		return state
 	}
 	state.step(0, tick{})
@@ -93,49 +93,49 @@
 }
 
 // checkModel walks under the protocol as it is.
-func checkModel(t *testing.T, bounds modelBounds) modelWalk {
+func checkModel(t *testing.T, bounds modelBounds) modelResult {
 	begun := time.Now()
-	walked := walkModel(bounds, modelMutation{})
+	walked := exploreModel(bounds, modelMutation{})
 	must.EqOp(t, "", walked.violation, must.Sprint(walked.trace))
 	t.Logf("%d states up to %d actions away, epochs up to %d, in %v", walked.states, walked.depth, walked.epoch, time.Since(begun))
 	return walked
 }
 
-// anyFault bounds a walk by the number of all faults alone.
-func anyFault(steps, faults int) modelBounds {
-	return modelBounds{steps: steps, epochs: 3, proposals: 1, reads: 1, faults: faults, holds: faults, crashes: faults,
-		stalls: 1, losses: 1, resigns: faults, freezes: faults, cuts: faults}
+// boundedFaults bounds a walk by the number of all faults alone.
+func boundedFaults(steps, faults int) modelBounds {
+	return modelBounds{steps: steps, epochs: 3, proposals: 1, reads: 1, faults: faults, delays: faults, crashes: faults,
+		clockStalls: 1, diskLosses: 1, resignations: faults, pauses: faults, cuts: faults}
 }
 
 func TestModel(t *testing.T) {
 	if *modelSteps > 0 {
-		checkModel(t, anyFault(*modelSteps, *modelFaults))
+		checkModel(t, boundedFaults(*modelSteps, *modelFaults))
 		return
 	}
-	fresh := anyFault(5, 1) // a process that joins acknowledges nothing for a lease
-	fresh.fresh = true
+	fresh := boundedFaults(5, 1) // a process that joins acknowledges nothing for a lease
+	fresh.beforeElection = true
 	cases := []struct {
 		name   string
 		bounds modelBounds
 	}{
 		{"first election", fresh},
-		{"any fault", anyFault(8, 1)},
-		{"any two faults", anyFault(2, 2)},
+		{"any fault", boundedFaults(8, 1)},
+		{"any two faults", boundedFaults(2, 2)},
 		{"every message may be lost", modelBounds{lossy: true, steps: 3, epochs: 3, proposals: 1}},
-		{"a leader whose clock stands still reads", driftingReads()},
+		{"a leader whose clock stands still reads", readsUnderDrift()},
 	}
 	for _, walked := range cases {
 		t.Run(walked.name, func(t *testing.T) {
 			outcome := checkModel(t, walked.bounds)
 			must.Greater(t, 1, outcome.epoch) // else no second leader was reached
-			must.EqOp(t, walked.bounds.losses > 0, outcome.exchanged)
+			must.EqOp(t, walked.bounds.diskLosses > 0, outcome.replaced)
 		})
 	}
 }
 
-// driftingReads has clocks stand still for longer than the margin allows, so that only the round of a read bounds it.
-func driftingReads() modelBounds {
-	return modelBounds{drift: true, steps: 4, epochs: 2, proposals: 1, reads: 1, faults: 4, cuts: 1, stalls: 3}
+// readsUnderDrift has clocks stand still for longer than the margin allows, so that only the round of a read bounds it.
+func readsUnderDrift() modelBounds {
+	return modelBounds{drift: true, steps: 4, epochs: 2, proposals: 1, reads: 1, faults: 4, cuts: 1, clockStalls: 3}
 }
 
 // TestModelCatchesMutations shows that the walk notices a protocol that lacks one of its rules, and that it is the
@@ -146,20 +146,20 @@
 		bounds   modelBounds
 		mutation modelMutation
 	}{
-		{"an older epoch is followed", modelBounds{steps: 4, epochs: 3, faults: 3, holds: 1, resigns: 1, cuts: 1},
+		{"an older epoch is followed", modelBounds{steps: 4, epochs: 3, faults: 3, delays: 1, resignations: 1, cuts: 1},
 			modelMutation{beforeStep: followAnyEpoch, afterAnswer: answerInEpochOfRequest}},
-		{"the lease is not shortened by the margin", modelBounds{steps: 3, epochs: 2, faults: 2, stalls: 1, cuts: 1},
+		{"the lease is not shortened by the margin", modelBounds{steps: 3, epochs: 2, faults: 2, clockStalls: 1, cuts: 1},
 			modelMutation{afterStart: func(machine *machine) { machine.config.timing.Margin = 0 }}},
-		{"a witness forgets its vote", modelBounds{fresh: true, epochs: 1, faults: 3, holds: 1, crashes: 1, cuts: 1},
+		{"a witness forgets its vote", modelBounds{beforeElection: true, epochs: 1, faults: 3, delays: 1, crashes: 1, cuts: 1},
 			modelMutation{beforeStart: forgetVote}},
-		{"a process without its disk keeps its identity", modelBounds{steps: 3, epochs: 2, proposals: 1, faults: 2, losses: 1, cuts: 1},
+		{"a process without its disk keeps its identity", modelBounds{steps: 3, epochs: 2, proposals: 1, faults: 2, diskLosses: 1, cuts: 1},
 			modelMutation{keepIdentity: true}},
-		{"a read does not wait for its round", driftingReads(), modelMutation{afterStep: countOlderRounds}},
+		{"a read does not wait for its round", readsUnderDrift(), modelMutation{afterStep: countOlderRounds}},
 	}
 	for _, altered := range cases {
 		t.Run(altered.name, func(t *testing.T) {
 			checkModel(t, altered.bounds)
-			walked := walkModel(altered.bounds, altered.mutation)
+			walked := exploreModel(altered.bounds, altered.mutation)
 			must.NotEqOp(t, "", walked.violation)
 			t.Logf("noticed after %d states: %s, by %q", walked.states, walked.violation, walked.trace)
 		})
--- a/coord/failover/modelactions_test.go
+++ b/coord/failover/modelactions_test.go
@@ -19,18 +19,18 @@
 	add := func(name string, change func(next *modelState)) {
 		next := state.clone()
 		change(next)
-		next.passOn()
+		next.deliverForced()
 		next.check()
 		if next.isWithinBounds() {
 			actions = append(actions, modelAction{name: name, next: next})
 		}
 	}
 	if len(state.queue) > 0 {
-		state.addFates(add)
+		state.addMessageOutcomes(add)
 		return actions
 	}
-	state.addSteps(add)
-	state.addOrders(add)
+	state.addProcessSteps(add)
+	state.addCommands(add)
 	state.addTime(add)
 	state.addFaults(add)
 	return actions
@@ -38,13 +38,13 @@
 
 type addAction func(name string, change func(next *modelState))
 
-// passOn delivers and loses what has a single fate.
-func (state *modelState) passOn() {
+// deliverForced delivers and loses what has a single fate.
+func (state *modelState) deliverForced() {
 	for len(state.queue) > 0 && state.violation == "" {
 		first := state.queue[0]
 		isLost := !state.processes[first.to].isAwake() || state.cut[first.from][first.to]
-		mayBeHeld := !state.cut[first.from][first.to] && state.mayFault(state.used.holds, state.bounds.holds)
-		mayEndOtherwise := state.bounds.lossy || state.mayFault(state.used.crashes, state.bounds.crashes)
+		mayBeHeld := !state.cut[first.from][first.to] && state.canFault(state.consumed.delays, state.bounds.delays)
+		mayEndOtherwise := state.bounds.lossy || state.canFault(state.consumed.crashes, state.bounds.crashes)
 		if mayBeHeld || !isLost && mayEndOtherwise {
 			return
 		}
@@ -55,17 +55,17 @@
 	}
 }
 
-// addFates are those of the first message in the queue, which reaches a process unless something happens to it.
-func (state *modelState) addFates(add addAction) {
+// addMessageOutcomes are those of the first message in the queue, which reaches a process unless something happens to it.
+func (state *modelState) addMessageOutcomes(add addAction) {
 	first := state.queue[0]
 	if state.bounds.lossy {
 		add("lost: "+first.String(), func(next *modelState) { next.queue = next.queue[1:] })
 	}
-	if state.mayFault(state.used.holds, state.bounds.holds) {
+	if state.canFault(state.consumed.delays, state.bounds.delays) {
 		add("held: "+first.String(), func(next *modelState) {
 			next.queue = next.queue[1:]
-			next.held = append(next.held, first)
-			next.used.holds++
+			next.delayed = append(next.delayed, first)
+			next.consumed.delays++
 		})
 	}
 	if !state.processes[first.to].isAwake() {
@@ -76,70 +76,70 @@
 		next.queue = next.queue[1:]
 		next.deliver(first, next.step)
 	})
-	if state.mayFault(state.used.crashes, state.bounds.crashes) {
+	if state.canFault(state.consumed.crashes, state.bounds.crashes) {
 		add("delivered, crash before the sync: "+first.String(), func(next *modelState) {
 			next.queue = next.queue[1:]
-			next.used.crashes++
+			next.consumed.crashes++
 			next.deliver(first, next.stepUnsynced)
 		})
 	}
 }
 
-// addSteps are what processes do by themselves, and what arrives late.
-func (state *modelState) addSteps(add addAction) {
+// addProcessSteps are what processes do by themselves, and what arrives late.
+func (state *modelState) addProcessSteps(add addAction) {
 	for number, process := range state.processes {
 		if process.machine == nil {
 			add("start "+modelAddress(number), func(next *modelState) { next.start(number) })
 			continue
 		}
-		if process.frozen {
-			add("wake "+modelAddress(number), func(next *modelState) { next.own(number).frozen = false })
+		if process.isPaused {
+			add("wake "+modelAddress(number), func(next *modelState) { next.cloneProcess(number).isPaused = false })
 			continue
 		}
 		if process.machine.wakeAt(process.clock) <= process.clock {
 			add("tick "+modelAddress(number), func(next *modelState) { next.step(number, tick{}) })
 		}
 	}
-	for position, message := range state.held {
+	for position, message := range state.delayed {
 		if !state.processes[message.to].isAwake() {
 			continue
 		}
 		add("late: "+message.String(), func(next *modelState) {
-			next.held = slices.Delete(next.held, position, position+1)
+			next.delayed = slices.Delete(next.delayed, position, position+1)
 			next.deliver(message, next.step)
 		})
 	}
 }
 
-// addOrders are those to a leader that serves: a new version, the exchange of a member whose disk was lost, and to resign.
-func (state *modelState) addOrders(add addAction) {
+// addCommands are those to a leader that serves: a new version, the exchange of a member whose disk was lost, and to resign.
+func (state *modelState) addCommands(add addAction) {
 	for number, process := range state.processes {
-		if process.frozen || !process.isServing() {
+		if process.isPaused || !process.isServing() {
 			continue
 		}
 		address := modelAddress(number)
-		if state.used.reads < state.bounds.reads {
+		if state.consumed.reads < state.bounds.reads {
 			add("read at "+address, func(next *modelState) {
-				next.used.reads++
-				next.beginRead(number, uint64(next.used.reads))
+				next.consumed.reads++
+				next.beginRead(number, uint64(next.consumed.reads))
 			})
 		}
 		if process.machine.leadership.inFlight != nil {
 			continue
 		}
-		if state.used.proposals < state.bounds.proposals {
+		if state.consumed.proposals < state.bounds.proposals {
 			add("propose at "+address, func(next *modelState) {
-				next.used.proposals++
-				next.step(number, propose{proposal: uint64(next.used.proposals), change: appendProposal(next.used.proposals)})
+				next.consumed.proposals++
+				next.step(number, propose{proposal: uint64(next.consumed.proposals), change: appendProposal(next.consumed.proposals)})
 			})
 		}
-		change, isWanted := state.wantedChange(process.machine.record.Contents.Members)
-		if isWanted && process.machine.leadership.change == nil {
+		change, isWanted := state.requiredChange(process.machine.record.Contents.Members)
+		if isWanted && process.machine.leadership.pendingChange == nil {
 			add("exchange members at "+address, func(next *modelState) { next.step(number, propose{members: &change}) })
 		}
-		if state.mayFault(state.used.resigns, state.bounds.resigns) {
+		if state.canFault(state.consumed.resignations, state.bounds.resignations) {
 			add("resign "+address, func(next *modelState) {
-				next.used.resigns++
+				next.consumed.resignations++
 				next.step(number, resign{})
 			})
 		}
@@ -150,8 +150,8 @@
 	return func(old []byte) ([]byte, error) { return fmt.Appendf(slices.Clone(old), "p%d,", number), nil }
 }
 
-// wantedChange exchanges one identity for another in one step, as the owner of the group does.
-func (state *modelState) wantedChange(members []Member) (memberChange, bool) {
+// requiredChange exchanges one identity for another in one step, as the owner of the group does.
+func (state *modelState) requiredChange(members []Member) (memberChange, bool) {
 	for number, process := range state.processes {
 		if !process.isAwake() || hasMember(members, process.identity) {
 			continue
@@ -175,12 +175,12 @@
 		return
 	}
 	add("time passes", func(next *modelState) { next.passTime(-1) })
-	if !state.mayFault(state.used.stalls, state.bounds.stalls) {
+	if !state.canFault(state.consumed.clockStalls, state.bounds.clockStalls) {
 		return
 	}
 	for number := range state.processes {
 		add("time passes, but the clock stands still of "+modelAddress(number), func(next *modelState) {
-			next.used.stalls++
+			next.consumed.clockStalls++
 			next.passTime(number)
 		})
 	}
@@ -194,7 +194,7 @@
 	state.elapsed++
 	for number := range state.processes {
 		if number != stalled {
-			state.own(number).clock += modelStep
+			state.cloneProcess(number).clock += modelStep
 		}
 	}
 }
@@ -203,23 +203,23 @@
 	state.addCuts(add)
 	for number, process := range state.processes {
 		address := modelAddress(number)
-		if process.machine != nil && state.mayFault(state.used.crashes, state.bounds.crashes) {
+		if process.machine != nil && state.canFault(state.consumed.crashes, state.bounds.crashes) {
 			add("crash "+address, func(next *modelState) {
-				next.used.crashes++
+				next.consumed.crashes++
 				next.stop(number)
 			})
 		}
-		if process.isAwake() && state.mayFault(state.used.freezes, state.bounds.freezes) {
+		if process.isAwake() && state.canFault(state.consumed.pauses, state.bounds.pauses) {
 			add("freeze "+address, func(next *modelState) {
-				next.used.freezes++
-				next.own(number).frozen = true
+				next.consumed.pauses++
+				next.cloneProcess(number).isPaused = true
 			})
 		}
-		if state.mayFault(state.used.losses, state.bounds.losses) {
+		if state.canFault(state.consumed.diskLosses, state.bounds.diskLosses) {
 			add("disk lost of "+address, func(next *modelState) {
-				next.used.losses++
+				next.consumed.diskLosses++
 				next.stop(number)
-				process := next.own(number)
+				process := next.cloneProcess(number)
 				process.disk = nil
 				process.disksLost++
 			})
@@ -232,7 +232,7 @@
 	if state.cut != [modelMembers][modelMembers]bool{} {
 		add("all links come back", func(next *modelState) { next.cut = [modelMembers][modelMembers]bool{} })
 	}
-	if !state.mayFault(state.used.cuts, state.bounds.cuts) {
+	if !state.canFault(state.consumed.cuts, state.bounds.cuts) {
 		return
 	}
 	for one := range modelMembers {
@@ -259,16 +259,16 @@
 }
 
 func (state *modelState) cutLinks(links [][2]int) {
-	state.used.cuts++
+	state.consumed.cuts++
 	for _, link := range links {
 		state.cut[link[0]][link[1]] = true
 	}
 }
 
-// mayFault reports whether one more fault of a kind is within its own bound and within that of all kinds.
-func (state *modelState) mayFault(used, bound int) bool {
-	spent := state.used
-	all := spent.holds + spent.crashes + spent.stalls + spent.losses + spent.resigns + spent.freezes + spent.cuts
+// canFault reports whether one more fault of a kind is within its own bound and within that of all kinds.
+func (state *modelState) canFault(used, bound int) bool {
+	spent := state.consumed
+	all := spent.delays + spent.crashes + spent.clockStalls + spent.diskLosses + spent.resignations + spent.pauses + spent.cuts
 	return used < bound && all < state.bounds.faults
 }
 
@@ -327,8 +327,8 @@
 	return process.machine != nil && process.machine.servesUntil(process.clock) > process.clock
 }
 
-// hasExchanged reports whether the newest list of members names a process that has lost its disk.
-func (state *modelState) hasExchanged() bool {
+// hasReplaced reports whether the newest list of members names a process that has lost its disk.
+func (state *modelState) hasReplaced() bool {
 	for _, process := range state.processes {
 		if process.disksLost > 0 && process.machine != nil && hasMember(state.newest.contents.Members, process.identity) {
 			return true
@@ -372,17 +372,17 @@
 }
 
 // beginRead remembers what the read must see at least.
-func (state *modelState) beginRead(number int, wanted uint64) {
-	state.reading = maps.Clone(state.reading)
-	state.reading[wanted] = state.newest.version
-	state.step(number, read{read: wanted})
+func (state *modelState) beginRead(number int, id uint64) {
+	state.pendingReads = maps.Clone(state.pendingReads)
+	state.pendingReads[id] = state.newest.version
+	state.step(number, read{read: id})
 }
 
 // endRead checks that what is read holds all that was committed before the read came.
 func (state *modelState) endRead(number int, done readDone) {
-	before := state.reading[done.read]
-	state.reading = maps.Clone(state.reading)
-	delete(state.reading, done.read)
+	before := state.pendingReads[done.read]
+	state.pendingReads = maps.Clone(state.pendingReads)
+	delete(state.pendingReads, done.read)
 	held := state.processes[number].machine.committedVersion
 	if done.err == nil && held.Less(before) {
 		state.violate("%s read %v after %v was acknowledged", modelAddress(number), held, before)
--- a/coord/failover/modelkey_test.go
+++ b/coord/failover/modelkey_test.go
@@ -27,12 +27,12 @@
 		writer.process(process)
 	}
 	writer.messages(state, state.queue)
-	writer.numbers(uint64(len(state.held)))
-	writer.heldMessages(state)
+	writer.numbers(uint64(len(state.delayed)))
+	writer.delayedMessages(state)
 	writer.history(state)
-	used := state.used
-	writer.numbers(uint64(state.elapsed), uint64(used.proposals), uint64(used.holds), uint64(used.crashes),
-		uint64(used.stalls), uint64(used.losses), uint64(used.resigns), uint64(used.cuts), uint64(used.freezes),
+	used := state.consumed
+	writer.numbers(uint64(state.elapsed), uint64(used.proposals), uint64(used.delays), uint64(used.crashes),
+		uint64(used.clockStalls), uint64(used.diskLosses), uint64(used.resignations), uint64(used.cuts), uint64(used.pauses),
 		uint64(used.reads))
 	for _, row := range state.cut {
 		for _, isCut := range row {
@@ -95,7 +95,7 @@
 	writer.clock = process.clock
 	writer.numbers(uint64(process.disksLost))
 	writer.flag(process.machine != nil)
-	writer.flag(process.frozen)
+	writer.flag(process.isPaused)
 	if process.machine != nil {
 		writer.machine(process.machine)
 		return
@@ -112,21 +112,21 @@
 	writer.version(machine.committedVersion)
 	writer.numbers(machine.highestEpoch)
 	writer.future(machine.ackAfter)
-	if machine.grant.ends > writer.clock {
+	if machine.grant.expiresAt > writer.clock {
 		writer.text(machine.grant.leader)
 	}
-	writer.future(machine.grant.ends)
-	writer.flag(machine.formerTerm != nil)
-	if machine.formerTerm != nil {
-		writer.numbers(machine.formerTerm.epoch)
-		writer.future(machine.formerTerm.ends)
+	writer.future(machine.grant.expiresAt)
+	writer.flag(machine.restartCampaign != nil)
+	if machine.restartCampaign != nil {
+		writer.numbers(machine.restartCampaign.epoch)
+		writer.future(machine.restartCampaign.expiresAt)
 	}
 	writer.flag(machine.leadership != nil)
 	if machine.leadership != nil {
 		writer.leadership(machine.leadership)
 		return
 	}
-	writer.future(machine.electionAt)
+	writer.future(machine.campaignAt)
 	writer.flag(machine.campaign != nil)
 	if machine.campaign != nil {
 		writer.campaign(machine.campaign)
@@ -135,7 +135,7 @@
 
 func (writer *keyWriter) campaign(campaign *campaign) {
 	writer.numbers(campaign.epoch)
-	writer.flag(campaign.askOnly)
+	writer.flag(campaign.isPreVote)
 	writer.numbers(uint64(len(campaign.granted)))
 	for _, identity := range slices.Sorted(maps.Keys(campaign.granted)) {
 		writer.text(identity)
@@ -146,8 +146,8 @@
 	writer.numbers(lead.epoch)
 	writer.past(lead.electedAt)
 	writer.future(lead.heartbeatAt)
-	writer.version(lead.same)
-	writer.change(lead.change)
+	writer.version(lead.inheritedVersion)
+	writer.pendingChange(lead.pendingChange)
 	if lead.isServing {
 		writer.version(lead.jointSince)
 	}
@@ -161,26 +161,26 @@
 	for _, identity := range slices.Sorted(maps.Keys(lead.peers)) {
 		known := lead.peers[identity]
 		writer.text(identity)
-		writer.flag(known.isKnown)
+		writer.flag(known.isVersionKnown)
 		writer.version(known.version)
 		writer.flag(known.hasGranted)
 		writer.past(known.grantedSentAt)
 		writer.future(known.contentsRetryAt)
-		writer.numbers(uint64(min(known.contentsFailed, contentsDoublings)))
+		writer.numbers(uint64(min(known.contentsFailures, maxTimeoutDoublings)))
 	}
 }
 
-func (writer *keyWriter) change(change *changeUnderWay) {
-	writer.flag(change != nil)
-	if change == nil {
+func (writer *keyWriter) pendingChange(pendingChange *pendingMemberChange) {
+	writer.flag(pendingChange != nil)
+	if pendingChange == nil {
 		return
 	}
-	writer.flag(change.learner != nil)
-	if change.learner != nil {
-		writer.text(change.learner.ID)
-		writer.version(change.needs)
+	writer.flag(pendingChange.learner != nil)
+	if pendingChange.learner != nil {
+		writer.text(pendingChange.learner.ID)
+		writer.version(pendingChange.requiredVersion)
 	}
-	writer.text(change.wanted.removeID)
+	writer.text(pendingChange.requested.removeID)
 }
 
 // reads tells of the reads that wait how far their rounds have come. No other number of a round matters.
@@ -212,16 +212,16 @@
 	}
 }
 
-// heldMessages have no order.
-func (writer *keyWriter) heldMessages(state *modelState) {
-	var told []string
-	for position := range state.held {
+// delayedMessages have no order.
+func (writer *keyWriter) delayedMessages(state *modelState) {
+	var encoded []string
+	for position := range state.delayed {
 		single := keyWriter{}
-		single.message(state, &state.held[position])
-		told = append(told, string(single.written))
+		single.message(state, &state.delayed[position])
+		encoded = append(encoded, string(single.written))
 	}
-	slices.Sort(told)
-	for _, message := range told {
+	slices.Sort(encoded)
+	for _, message := range encoded {
 		writer.text(message)
 	}
 }
@@ -292,10 +292,10 @@
 		writer.version(version)
 		writer.text(state.versions[version])
 	}
-	reading := slices.Sorted(maps.Keys(state.reading))
+	reading := slices.Sorted(maps.Keys(state.pendingReads))
 	writer.numbers(uint64(len(reading)))
 	for _, number := range reading {
 		writer.numbers(number)
-		writer.version(state.reading[number])
+		writer.version(state.pendingReads[number])
 	}
 }
--- a/coord/failover/modelstate_test.go
+++ b/coord/failover/modelstate_test.go
@@ -11,7 +11,7 @@
 // third of a lease; the margin of a leader is one step. Saves are synced within the step that asked for them, except where a
 // process ends before the disk has them.
 const (
-	modelStep    = 4 * time.Nanosecond // divisible by yieldDivisor, as the reducer divides a CampaignTimeout
+	modelStep    = 4 * time.Nanosecond // divisible by deferDivisor, as the reducer divides a CampaignTimeout
 	modelMembers = 3
 )
 
@@ -37,21 +37,21 @@
 
 // modelBounds ends the walk.
 type modelBounds struct {
-	fresh     bool // the walk begins before the first election
-	lossy     bool // every message may be lost, in place of cuts
-	steps     int  // of time
-	epochs    uint64
-	proposals int
-	faults    int // of all kinds together
-	holds     int // of the faults: messages delivered late
-	crashes   int // of the faults: ends of a process, which may start again at any time
-	stalls    int // of the faults: clocks that stand still for a step, the margin's worth
-	losses    int // of the faults: disks lost
-	resigns   int // of the faults: orders to the leader to give up
-	freezes   int // of the faults: processes that do nothing until they are woken, while their clocks go on
-	cuts      int // of the faults: links cut in one direction or both; they may come back at any time
-	reads     int
-	drift     bool // stalls of clocks exceed the margin, so that leases bound nothing: what rests on them is not checked
+	beforeElection bool // the walk begins before the first election
+	lossy          bool // every message may be lost, in place of cuts
+	steps          int  // of time
+	epochs         uint64
+	proposals      int
+	faults         int // of all kinds together
+	delays         int // of the faults: messages delivered late
+	crashes        int // of the faults: ends of a process, which may start again at any time
+	clockStalls    int // of the faults: clocks that stand still for a step, the margin's worth
+	diskLosses     int // of the faults: disks lost
+	resignations   int // of the faults: orders to the leader to give up
+	pauses         int // of the faults: processes that do nothing until they are woken, while their clocks go on
+	cuts           int // of the faults: links cut in one direction or both; they may come back at any time
+	reads          int
+	drift          bool // stalls of clocks exceed the margin, so that leases bound nothing: what rests on them is not checked
 }
 
 // modelMessage is a request or an answer on its way.
@@ -74,31 +74,31 @@
 	disk        *Record // nil after a loss
 	disksLost   int
 	identity    string
-	frozen      bool // a message that reaches it is lost, unless it is held
+	isPaused    bool // a message that reaches it is lost, unless it is held
 }
 
 // isAwake reports whether a process can take a step.
-func (process *modelProcess) isAwake() bool { return process.machine != nil && !process.frozen }
+func (process *modelProcess) isAwake() bool { return process.machine != nil && !process.isPaused }
 
 // modelState is a node of the walk.
 type modelState struct {
-	processes [modelMembers]*modelProcess
-	queue     []modelMessage                   // each is delivered, lost or held before anything else happens
-	held      []modelMessage                   // delivered at any later time, or never
-	answering modelMessage                     // the request that is being handled
-	cut       [modelMembers][modelMembers]bool // from, to
-	elapsed   int
-	used      modelBounds
-	versions  map[Version]string // committed, with their states
-	newest    committed
-	reading   map[uint64]Version // reads under way, with what was the newest version when they came
-	violation string
-	mutation  *modelMutation
-	bounds    *modelBounds
+	processes    [modelMembers]*modelProcess
+	queue        []modelMessage                   // each is delivered, lost or held before anything else happens
+	delayed      []modelMessage                   // delivered at any later time, or never
+	answering    modelMessage                     // the request that is being handled
+	cut          [modelMembers][modelMembers]bool // from, to
+	elapsed      int
+	consumed     modelBounds
+	versions     map[Version]string // committed, with their states
+	newest       committed
+	pendingReads map[uint64]Version // reads under way, with what was the newest version when they came
+	violation    string
+	mutation     *modelMutation
+	bounds       *modelBounds
 }
 
 func newModelState(bounds *modelBounds, mutation *modelMutation) *modelState {
-	state := &modelState{versions: map[Version]string{}, reading: map[uint64]Version{}, bounds: bounds, mutation: mutation}
+	state := &modelState{versions: map[Version]string{}, pendingReads: map[uint64]Version{}, bounds: bounds, mutation: mutation}
 	var members []Member
 	for number := range modelMembers {
 		members = append(members, Member{ID: seedIdentity(modelAddress(number)), Address: modelAddress(number)})
@@ -114,7 +114,7 @@
 
 func modelAddress(number int) string { return string(rune('a' + number)) }
 
-func modelNumber(address string) int { return int(address[0] - 'a') }
+func modelIndex(address string) int { return int(address[0] - 'a') }
 
 func modelIdentity(number, disksLost int) string {
 	return fmt.Sprintf("%s#%d", modelAddress(number), disksLost)
@@ -124,12 +124,12 @@
 func (state *modelState) clone() *modelState {
 	cloned := *state
 	cloned.queue = slices.Clone(state.queue)
-	cloned.held = slices.Clone(state.held)
+	cloned.delayed = slices.Clone(state.delayed)
 	return &cloned
 }
 
 // own clones a process before it is changed.
-func (state *modelState) own(number int) *modelProcess {
+func (state *modelState) cloneProcess(number int) *modelProcess {
 	cloned := *state.processes[number]
 	if cloned.machine != nil {
 		cloned.machine = cloneMachine(cloned.machine)
@@ -140,11 +140,11 @@
 
 // cloneMachine copies what step changes in place. No answer may wait for a save.
 func cloneMachine(original *machine) *machine {
-	if len(original.waiting) > 0 || len(original.effects) > 0 {
+	if len(original.pendingAnswers) > 0 || len(original.effects) > 0 {
 		panic("a machine can only be cloned when its saves are synced and its effects taken")
 	}
 	cloned := *original
-	cloned.waiting = nil
+	cloned.pendingAnswers = nil
 	if original.campaign != nil {
 		copied := *original.campaign
 		copied.granted = maps.Clone(copied.granted)
@@ -160,9 +160,9 @@
 	cloned := *original
 	cloned.queue = slices.Clone(original.queue)
 	cloned.reads = slices.Clone(original.reads)
-	if original.change != nil {
-		copied := *original.change
-		cloned.change = &copied
+	if original.pendingChange != nil {
+		copied := *original.pendingChange
+		cloned.pendingChange = &copied
 	}
 	cloned.peers = make(map[string]*peer, len(original.peers))
 	for identity, known := range original.peers {
@@ -174,7 +174,7 @@
 
 // startMachine starts a process with a record.
 func (state *modelState) startMachine(number int, record Record, kind startKind) {
-	process := state.own(number)
+	process := state.cloneProcess(number)
 	process.incarnation++
 	process.identity = record.Identity
 	config := machineConfig{
@@ -188,7 +188,7 @@
 	if state.mutation.afterStart != nil {
 		state.mutation.afterStart(created)
 	}
-	state.carryOut(number, effects)
+	state.execute(number, effects)
 }
 
 // start starts a process that is down, with its disk or, after a loss, with an empty one.
@@ -211,15 +211,15 @@
 
 // stop ends a process. Answers to it are lost; its requests are not.
 func (state *modelState) stop(number int) {
-	process := state.own(number)
+	process := state.cloneProcess(number)
 	process.machine = nil
-	process.frozen = false
+	process.isPaused = false
 	process.incarnation++
 	toNobody := func(message modelMessage) bool {
 		return message.isAnswer() && message.to == number
 	}
 	state.queue = slices.DeleteFunc(state.queue, toNobody)
-	state.held = slices.DeleteFunc(state.held, toNobody)
+	state.delayed = slices.DeleteFunc(state.delayed, toNobody)
 }
 
 func (message modelMessage) isAnswer() bool {
@@ -227,78 +227,78 @@
 }
 
 // step feeds a machine, and syncs what it saves.
-func (state *modelState) step(number int, taken input) {
-	process := state.own(number)
+func (state *modelState) step(number int, event input) {
+	process := state.cloneProcess(number)
 	if state.mutation.beforeStep != nil {
-		taken = state.mutation.beforeStep(process.machine, taken)
+		event = state.mutation.beforeStep(process.machine, event)
 	}
-	state.feed(number, taken)
+	state.applyInput(number, event)
 }
 
-func (state *modelState) feed(number int, taken input) {
+func (state *modelState) applyInput(number int, event input) {
 	process := state.processes[number]
 	defer func() {
 		if recovered := recover(); recovered != nil {
 			state.violate("panic: %v", recovered)
 		}
 	}()
-	effects := process.machine.step(process.clock, taken)
+	effects := process.machine.step(process.clock, event)
 	if state.mutation.afterStep != nil {
 		state.mutation.afterStep(process.machine)
 		effects = append(effects, process.machine.takeEffects()...)
 	}
-	state.carryOut(number, effects)
+	state.execute(number, effects)
 }
 
 // stepUnsynced feeds a machine and ends its process before the disk has what it saved: no answer that waits for that is sent.
-func (state *modelState) stepUnsynced(number int, taken input) {
-	process := state.own(number)
-	effects := process.machine.step(process.clock, taken)
+func (state *modelState) stepUnsynced(number int, event input) {
+	process := state.cloneProcess(number)
+	effects := process.machine.step(process.clock, event)
 	isSave := func(wanted effect) bool {
 		_, isPersist := wanted.(persist)
 		return isPersist
 	}
-	state.carryOut(number, slices.DeleteFunc(effects, isSave))
-	process.machine.waiting = nil
+	state.execute(number, slices.DeleteFunc(effects, isSave))
+	process.machine.pendingAnswers = nil
 	state.stop(number)
 }
 
-// carryOut does what a machine wants done. Its newest save is synced last.
-func (state *modelState) carryOut(number int, effects []effect) {
+// execute does what a machine wants done. Its newest save is synced last.
+func (state *modelState) execute(number int, effects []effect) {
 	process := state.processes[number]
 	var newest *persist
-	for _, wanted := range effects {
-		switch wanted := wanted.(type) {
+	for _, requested := range effects {
+		switch requested := requested.(type) {
 		case sendVote:
-			state.send(number, wanted.address, modelMessage{vote: &wanted.request})
+			state.send(number, requested.address, modelMessage{vote: &requested.request})
 		case sendReplicate:
-			state.send(number, wanted.address, modelMessage{replicate: &wanted.request, sentAt: wanted.sentAt, round: wanted.round})
+			state.send(number, requested.address, modelMessage{replicate: &requested.request, sentAt: requested.sentAt, round: requested.round})
 		case answerVote, answerReplicate:
-			state.answer(number, wanted)
+			state.answer(number, requested)
 		case persist:
-			newest = &wanted
+			newest = &requested
 		case committed:
-			state.commit(wanted)
+			state.commit(requested)
 		case readDone:
-			state.endRead(number, wanted)
+			state.endRead(number, requested)
 		case proposalDone, becameLeader, steppedDown:
 		}
 	}
 	if newest != nil {
 		process.disk = &newest.record
-		state.feed(number, persisted{point: newest.point})
+		state.applyInput(number, persisted{point: newest.point})
 	}
 }
 
 func (state *modelState) send(from int, address string, message modelMessage) {
 	message.from = from
-	message.to = modelNumber(address)
+	message.to = modelIndex(address)
 	message.incarnation = state.processes[from].incarnation
 	state.queue = append(state.queue, message)
 }
 
 // answer sends an answer back to the request that is being handled.
-func (state *modelState) answer(number int, wanted effect) {
+func (state *modelState) answer(number int, requested effect) {
 	request := state.answering
 	answer := modelMessage{
 		from:        number,
@@ -309,11 +309,11 @@
 		sentAt:      request.sentAt,
 		round:       request.round,
 	}
-	switch wanted := wanted.(type) {
+	switch requested := requested.(type) {
 	case answerVote:
-		answer.voteReply = &wanted.reply
+		answer.voteReply = &requested.reply
 	case answerReplicate:
-		reply := wanted.reply
+		reply := requested.reply
 		if state.mutation.afterAnswer != nil {
 			reply = state.mutation.afterAnswer(*request.replicate, reply)
 		}
--- a/coord/failover/node.go
+++ b/coord/failover/node.go
@@ -74,16 +74,16 @@
 	cancel   context.CancelFunc
 	done     sync.WaitGroup
 
-	status      atomic.Pointer[Status]
-	servesUntil atomic.Int64 // nanoseconds since started; 0 where it does not serve
-	changed     chan struct{}
-	lastID      atomic.Uint64
+	status        atomic.Pointer[Status]
+	servesUntil   atomic.Int64 // nanoseconds since started; 0 where it does not serve
+	statusChanged chan struct{}
+	lastID        atomic.Uint64
 
 	// Owned by the goroutine of run.
-	machine      *machine
-	voteCalls    map[uint64]chan VoteReply
-	replicaCalls map[uint64]chan ReplicateReply
-	proposals    map[uint64]chan error // and reads
+	machine        *machine
+	voteCalls      map[uint64]chan VoteReply
+	replicateCalls map[uint64]chan ReplicateReply
+	proposals      map[uint64]chan error // and reads
 }
 
 // command is an input together with the channel that its answer goes to; at most one of the channels is set.
@@ -109,15 +109,15 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	node := &Node{
-		config:       config,
-		started:      time.Now(),
-		commands:     make(chan command, commandQueueLength),
-		ctx:          ctx,
-		cancel:       cancel,
-		changed:      make(chan struct{}, 1),
-		voteCalls:    make(map[uint64]chan VoteReply),
-		replicaCalls: make(map[uint64]chan ReplicateReply),
-		proposals:    make(map[uint64]chan error),
+		config:         config,
+		started:        time.Now(),
+		commands:       make(chan command, commandQueueLength),
+		ctx:            ctx,
+		cancel:         cancel,
+		statusChanged:  make(chan struct{}, 1),
+		voteCalls:      make(map[uint64]chan VoteReply),
+		replicateCalls: make(map[uint64]chan ReplicateReply),
+		proposals:      make(map[uint64]chan error),
 	}
 	node.saver = newSaver(config.Storage, config.Log)
 	machineConfig := machineConfig{
@@ -194,22 +194,22 @@
 func (node *Node) HandleVote(ctx context.Context, request VoteRequest) (VoteReply, error) {
 	answer := make(chan VoteReply, 1)
 	id := node.lastID.Add(1)
-	sent := command{input: voteCall{call: id, request: request}, id: id, vote: answer}
-	if err := node.send(ctx, sent); err != nil {
+	cmd := command{input: voteCall{call: id, request: request}, id: id, vote: answer}
+	if err := node.enqueue(ctx, cmd); err != nil {
 		return VoteReply{}, err
 	}
-	return await(ctx, node, answer)
+	return awaitReply(ctx, node, answer)
 }
 
 // HandleReplicate answers a request of the leader.
 func (node *Node) HandleReplicate(ctx context.Context, request ReplicateRequest) (ReplicateReply, error) {
 	answer := make(chan ReplicateReply, 1)
 	id := node.lastID.Add(1)
-	sent := command{input: replicateCall{call: id, request: request}, id: id, replicate: answer}
-	if err := node.send(ctx, sent); err != nil {
+	cmd := command{input: replicateCall{call: id, request: request}, id: id, replicate: answer}
+	if err := node.enqueue(ctx, cmd); err != nil {
 		return ReplicateReply{}, err
 	}
-	return await(ctx, node, answer)
+	return awaitReply(ctx, node, answer)
 }
 
 // Propose replaces the state by what change makes of the committed one. It returns nil once that is committed. Where
@@ -226,7 +226,7 @@
 // context's.
 func (node *Node) Read(ctx context.Context) error {
 	number := node.lastID.Add(1)
-	return node.ask(ctx, read{read: number}, number)
+	return node.submit(ctx, read{read: number}, number)
 }
 
 // ProposeMembers adds a voter, removes the one with the identity removeID, or exchanges one for the other in one step. A
@@ -242,16 +242,16 @@
 	return node.propose(ctx, propose{members: &change})
 }
 
-func (node *Node) propose(ctx context.Context, wanted propose) error {
-	wanted.proposal = node.lastID.Add(1)
-	return node.ask(ctx, wanted, wanted.proposal)
+func (node *Node) propose(ctx context.Context, proposed propose) error {
+	proposed.proposal = node.lastID.Add(1)
+	return node.submit(ctx, proposed, proposed.proposal)
 }
 
 // ask hands a proposal or a read to the machine and waits for its end.
-func (node *Node) ask(ctx context.Context, wanted input, number uint64) error {
+func (node *Node) submit(ctx context.Context, request input, number uint64) error {
 	answer := make(chan error, 1)
-	sent := command{input: wanted, id: number, proposal: answer}
-	if err := node.send(ctx, sent); err != nil {
+	cmd := command{input: request, id: number, proposal: answer}
+	if err := node.enqueue(ctx, cmd); err != nil {
 		return err
 	}
 	select {
@@ -266,8 +266,8 @@
 
 // abandon asks what became of a proposal whose context has ended.
 func (node *Node) abandon(proposal uint64, cause error, answer chan error) error {
-	sent := command{input: abandon{proposal: proposal, cause: cause}}
-	if err := node.send(node.ctx, sent); err != nil {
+	cmd := command{input: abandon{proposal: proposal, cause: cause}}
+	if err := node.enqueue(node.ctx, cmd); err != nil {
 		return OutcomeUnknownError{Reason: "the node was closed"}
 	}
 	select {
@@ -281,7 +281,7 @@
 // Resign gives the leadership up, if this member has it, so that another one is elected at once.
 func (node *Node) Resign() {
 	// The only error is that the node is closed, and then it does not lead.
-	_ = node.send(node.ctx, command{input: resign{}})
+	_ = node.enqueue(node.ctx, command{input: resign{}})
 }
 
 // Close stops the member without resigning. A save under way is finished first.
@@ -292,12 +292,12 @@
 
 func (node *Node) now() time.Duration { return time.Since(node.started) }
 
-func (node *Node) send(ctx context.Context, sent command) error {
+func (node *Node) enqueue(ctx context.Context, cmd command) error {
 	if node.ctx.Err() != nil {
 		return ClosedError{}
 	}
 	select {
-	case node.commands <- sent:
+	case node.commands <- cmd:
 		return nil
 	case <-node.ctx.Done():
 		return ClosedError{}
@@ -306,7 +306,7 @@
 	}
 }
 
-func await[Reply any](ctx context.Context, node *Node, answer chan Reply) (Reply, error) {
+func awaitReply[Reply any](ctx context.Context, node *Node, answer chan Reply) (Reply, error) {
 	var none Reply
 	select {
 	case reply := <-answer:
--- a/coord/failover/proposal.go
+++ b/coord/failover/proposal.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-func (machine *machine) handlePropose(now time.Duration, wanted propose) {
+func (machine *machine) handlePropose(now time.Duration, proposed propose) {
 	lead := machine.leadership
 	if lead == nil || !lead.isServing {
 		err := NotLeaderError{LeaderAddress: machine.leaderAddress(now)}
-		machine.emit(proposalDone{proposal: wanted.proposal, err: err})
+		machine.emit(proposalDone{proposal: proposed.proposal, err: err})
 		return
 	}
-	if wanted.members != nil {
-		machine.handleMemberChange(now, wanted)
+	if proposed.members != nil {
+		machine.handleMemberChange(now, proposed)
 		return
 	}
 	if len(lead.queue) >= machine.config.queueLimit {
 		err := OverloadedError{Limit: machine.config.queueLimit}
-		machine.emit(proposalDone{proposal: wanted.proposal, err: err})
+		machine.emit(proposalDone{proposal: proposed.proposal, err: err})
 		return
 	}
-	lead.queue = append(lead.queue, wanted)
-	machine.startProposal(now)
+	lead.queue = append(lead.queue, proposed)
+	machine.startNextProposal(now)
 }
 
 // handleAbandon ends a proposal or a read early. A proposal that is under way goes on, but nobody learns of its end.
@@ -44,8 +44,8 @@
 
 // dropQueued takes a proposal out of the queue, and reports whether it was there.
 func (lead *leadership) dropQueued(proposal uint64) bool {
-	isWanted := func(waiting propose) bool { return waiting.proposal == proposal }
-	position := slices.IndexFunc(lead.queue, isWanted)
+	isMatch := func(waiting propose) bool { return waiting.proposal == proposal }
+	position := slices.IndexFunc(lead.queue, isMatch)
 	if position < 0 {
 		return false
 	}
@@ -53,18 +53,18 @@
 	return true
 }
 
-// startProposal begins the first proposal that changes something, unless one is under way.
-func (machine *machine) startProposal(now time.Duration) {
+// startNextProposal begins the first proposal that changes something, unless one is under way.
+func (machine *machine) startNextProposal(now time.Duration) {
 	lead := machine.leadership
 	for lead.inFlight == nil && len(lead.queue) > 0 {
 		next := lead.queue[0]
 		lead.queue = slices.Delete(lead.queue, 0, 1)
 		contents, err := machine.proposedContents(next)
-		if err != nil || isSameContents(contents, machine.record.Contents) {
+		if err != nil || equalContents(contents, machine.record.Contents) {
 			if next.isMemberChange() {
-				lead.change = nil
+				lead.pendingChange = nil
 			}
-			machine.awaitRound(now, waitingRead{number: next.proposal, outcome: err})
+			machine.awaitRound(now, pendingRead{number: next.proposal, result: err})
 			continue
 		}
 		lead.inFlight = &next
@@ -75,14 +75,14 @@
 // writeVersion gives new contents the next version and sends them.
 func (machine *machine) writeVersion(now time.Duration, contents Contents) {
 	isChanged := !slices.Equal(contents.Members, machine.record.Contents.Members)
-	machine.leadership.same = Version{}
+	machine.leadership.inheritedVersion = Version{}
 	machine.record.Contents = contents
 	machine.record.Version.Seq++
 	if isChanged {
 		machine.leadership.jointSince = machine.record.Version
 	}
-	machine.changeRecord()
-	machine.broadcast(now)
+	machine.saveRecord()
+	machine.broadcastHeartbeat(now)
 }
 
 func (machine *machine) proposedContents(proposed propose) (Contents, error) {
@@ -99,7 +99,7 @@
 	return contents, err
 }
 
-func isSameContents(one, other Contents) bool {
+func equalContents(one, other Contents) bool {
 	return bytes.Equal(one.State, other.State) &&
 		slices.Equal(one.Members, other.Members) &&
 		slices.Equal(one.OldMembers, other.OldMembers)
--- a/coord/failover/read.go
+++ b/coord/failover/read.go
@@ -9,16 +9,16 @@
 // A proposal that makes no new version, because it is refused or changes nothing, ends in the same way: what it was
 // compared with was the newest state when it came.
 
-// waitingRead is a read, or a proposal without a new version, that waits for answers to a round or a later one.
-type waitingRead struct {
-	number  uint64 // of the read or proposal
-	round   uint64
-	outcome error // told once the round is answered
-	isRead  bool
+// pendingRead is a read, or a proposal without a new version, that waits for answers to a round or a later one.
+type pendingRead struct {
+	number uint64 // of the read or proposal
+	round  uint64
+	result error // told once the round is answered
+	isRead bool
 }
 
 // ended is the effect that tells of the end.
-func (waiting waitingRead) ended(err error) effect {
+func (waiting pendingRead) doneEffect(err error) effect {
 	if waiting.isRead {
 		return readDone{read: waiting.number, err: err}
 	}
@@ -26,27 +26,27 @@
 }
 
 // handleRead has a read wait for its round.
-func (machine *machine) handleRead(now time.Duration, wanted read) {
+func (machine *machine) handleRead(now time.Duration, requested read) {
 	lead := machine.leadership
 	if lead == nil || !lead.isServing {
 		err := NotLeaderError{LeaderAddress: machine.leaderAddress(now)}
-		machine.emit(readDone{read: wanted.read, err: err})
+		machine.emit(readDone{read: requested.read, err: err})
 		return
 	}
 	if len(lead.reads) >= machine.config.queueLimit {
-		machine.emit(readDone{read: wanted.read, err: OverloadedError{Limit: machine.config.queueLimit}})
+		machine.emit(readDone{read: requested.read, err: OverloadedError{Limit: machine.config.queueLimit}})
 		return
 	}
-	machine.awaitRound(now, waitingRead{number: wanted.read, isRead: true})
+	machine.awaitRound(now, pendingRead{number: requested.read, isRead: true})
 }
 
 // awaitRound begins a round, unless one is under way for an earlier read: the next one begins when that ends.
-func (machine *machine) awaitRound(now time.Duration, waiting waitingRead) {
+func (machine *machine) awaitRound(now time.Duration, pending pendingRead) {
 	lead := machine.leadership
-	waiting.round = lead.round + 1
-	lead.reads = append(lead.reads, waiting)
+	pending.round = lead.round + 1
+	lead.reads = append(lead.reads, pending)
 	if len(lead.reads) == 1 {
-		machine.broadcast(now)
+		machine.broadcastHeartbeat(now)
 		machine.finishReads(now)
 	}
 }
@@ -55,8 +55,8 @@
 func (machine *machine) finishReads(now time.Duration) {
 	lead := machine.leadership
 	finished := 0
-	for finished < len(lead.reads) && machine.isRoundAnswered(lead.reads[finished].round) {
-		machine.emit(lead.reads[finished].ended(lead.reads[finished].outcome))
+	for finished < len(lead.reads) && machine.isRoundConfirmed(lead.reads[finished].round) {
+		machine.emit(lead.reads[finished].doneEffect(lead.reads[finished].result))
 		finished++
 	}
 	if finished == 0 {
@@ -64,13 +64,13 @@
 	}
 	lead.reads = lead.reads[finished:]
 	if len(lead.reads) > 0 && lead.reads[0].round > lead.round {
-		machine.broadcast(now)
+		machine.broadcastHeartbeat(now)
 		machine.finishReads(now)
 	}
 }
 
-// isRoundAnswered reports whether a majority has answered a heartbeat of a round or of a later one.
-func (machine *machine) isRoundAnswered(round uint64) bool {
+// isRoundConfirmed reports whether a majority has answered a heartbeat of a round or of a later one.
+func (machine *machine) isRoundConfirmed(round uint64) bool {
 	if round > machine.leadership.round {
 		return false
 	}
@@ -78,20 +78,20 @@
 		if identity == machine.record.Identity {
 			return true
 		}
-		known := machine.leadership.peers[identity]
-		return known != nil && known.answeredRound >= round
+		progress := machine.leadership.peers[identity]
+		return progress != nil && progress.answeredRound >= round
 	})
 }
 
 // abandonRead forgets a read that nobody waits for any longer.
 func (machine *machine) abandonRead(abandoned abandon) bool {
 	lead := machine.leadership
-	for position, waiting := range lead.reads {
-		if waiting.number != abandoned.proposal {
+	for position, pending := range lead.reads {
+		if pending.number != abandoned.proposal {
 			continue
 		}
 		lead.reads = append(lead.reads[:position:position], lead.reads[position+1:]...)
-		machine.emit(waiting.ended(abandoned.cause))
+		machine.emit(pending.doneEffect(abandoned.cause))
 		return true
 	}
 	return false
--- a/coord/failover/record.go
+++ b/coord/failover/record.go
@@ -4,8 +4,8 @@
 
 // The first byte of an encoded record. A record of the first format has no old members.
 const (
-	recordFormatSimple = 1
-	recordFormat       = 2
+	recordFormatV1 = 1
+	recordFormatV2 = 2
 )
 
 // Record is all that a member keeps on its disk.
@@ -20,7 +20,7 @@
 // Encode returns the record as bytes for Storage. The bytes carry no checksum.
 func (record Record) Encode() []byte {
 	encoded := make([]byte, 0, 64+64*len(record.Contents.Members)+len(record.Contents.State))
-	encoded = append(encoded, recordFormat)
+	encoded = append(encoded, recordFormatV2)
 	encoded = appendString(encoded, record.Identity)
 	encoded = binary.AppendUvarint(encoded, record.VotedEpoch)
 	encoded = appendString(encoded, record.VotedFor)
@@ -43,7 +43,7 @@
 
 // DecodeRecord reads what Encode returned. The error is a CorruptRecordError.
 func DecodeRecord(encoded []byte) (Record, error) {
-	if len(encoded) == 0 || encoded[0] != recordFormat && encoded[0] != recordFormatSimple {
+	if len(encoded) == 0 || encoded[0] != recordFormatV2 && encoded[0] != recordFormatV1 {
 		return Record{}, CorruptRecordError{Reason: "unknown format"}
 	}
 	reader := recordReader{rest: encoded[1:]}
@@ -55,10 +55,10 @@
 	record.Version.Epoch = reader.number()
 	record.Version.Seq = reader.number()
 	record.Contents.Members = reader.members()
-	if encoded[0] == recordFormat {
+	if encoded[0] == recordFormatV2 {
 		record.Contents.OldMembers = reader.members()
 	}
-	if reader.broken {
+	if reader.isTruncated {
 		return Record{}, CorruptRecordError{Reason: "cut short"}
 	}
 	record.Contents.State = reader.rest
@@ -72,14 +72,14 @@
 
 // recordReader reads fields one after the other; after the first that is cut short it returns zero values.
 type recordReader struct {
-	rest   []byte
-	broken bool
+	rest        []byte
+	isTruncated bool
 }
 
 func (reader *recordReader) number() uint64 {
 	number, length := binary.Uvarint(reader.rest)
 	if length <= 0 {
-		reader.broken = true
+		reader.isTruncated = true
 		reader.rest = nil
 		return 0
 	}
@@ -89,7 +89,7 @@
 
 func (reader *recordReader) members() []Member {
 	var members []Member
-	for count := reader.number(); count > 0 && !reader.broken; count-- {
+	for count := reader.number(); count > 0 && !reader.isTruncated; count-- {
 		member := Member{ID: reader.string(), Address: reader.string(), Zone: reader.string()}
 		members = append(members, member)
 	}
@@ -99,7 +99,7 @@
 func (reader *recordReader) string() string {
 	length := reader.number()
 	if length > uint64(len(reader.rest)) {
-		reader.broken = true
+		reader.isTruncated = true
 		reader.rest = nil
 		return ""
 	}
--- a/coord/failover/saver.go
+++ b/coord/failover/saver.go
@@ -25,9 +25,9 @@
 }
 
 // save asks for a save and does not wait.
-func (saver *saver) save(wanted persist) {
+func (saver *saver) save(requested persist) {
 	saver.mutex.Lock()
-	saver.newest = &wanted
+	saver.newest = &requested
 	saver.mutex.Unlock()
 	select {
 	case saver.wake <- struct{}{}:
@@ -35,12 +35,12 @@
 	}
 }
 
-func (saver *saver) take() *persist {
+func (saver *saver) takeNewest() *persist {
 	saver.mutex.Lock()
 	defer saver.mutex.Unlock()
-	wanted := saver.newest
+	requested := saver.newest
 	saver.newest = nil
-	return wanted
+	return requested
 }
 
 // runSaver saves off the goroutine that owns the machine, so that a slow disk does not hold up heartbeats.
@@ -58,16 +58,16 @@
 
 // saveNewest saves until nothing newer is wanted.
 func (node *Node) saveNewest() {
-	for wanted := node.saver.take(); wanted != nil; wanted = node.saver.take() {
-		if !node.saveOne(*wanted) {
+	for requested := node.saver.takeNewest(); requested != nil; requested = node.saver.takeNewest() {
+		if !node.saveUntilSynced(*requested) {
 			return
 		}
 	}
 }
 
-// saveOne tries until the record is synced; it returns false where the node was closed before that.
-func (node *Node) saveOne(wanted persist) bool {
-	encoded := wanted.record.Encode()
+// saveUntilSynced tries until the record is synced; it returns false where the node was closed before that.
+func (node *Node) saveUntilSynced(requested persist) bool {
+	encoded := requested.record.Encode()
 	for err := node.saver.storage.Save(encoded); err != nil; err = node.saver.storage.Save(encoded) {
 		node.saver.log.Error(err, "the record was not saved; no vote and no acknowledgement until it is")
 		select {
@@ -76,5 +76,5 @@
 		case <-time.After(saveRetryDelay):
 		}
 	}
-	return node.send(node.ctx, command{input: persisted{point: wanted.point}}) == nil
+	return node.enqueue(node.ctx, command{input: persisted{point: requested.point}}) == nil
 }
--- a/coord/failover/simulation_test.go
+++ b/coord/failover/simulation_test.go
@@ -13,92 +13,92 @@
 )
 
 const (
-	troubledTime = 40 * time.Second
-	calmTime     = 15 * time.Second
+	faultPhase    = 40 * time.Second
+	recoveryPhase = 15 * time.Second
 )
 
-// walkSeeds can be raised for a long search.
-var walkSeeds = flag.Uint64("walks", 60, "random walks of each kind")
+// simulationSeeds can be raised for a long search.
+var simulationSeeds = flag.Uint64("walks", 60, "random walks of each kind")
 
 // walk plays one seed: trouble, then calm, in which the group must come back.
-func walk(seed uint64, members int, mutation mutation) *world {
-	return walkTroubledBy(seed, members, mutation, (*world).causeMixedTrouble)
-}
-
-// walkTroubledBy is walk with trouble of one kind.
-func walkTroubledBy(seed uint64, members int, mutation mutation, begin func(*world)) *world {
-	simulated := newWorld(seed, members, mutation)
-	simulated.repeat(20*time.Millisecond, 120*time.Millisecond, simulated.proposeSomewhere)
-	simulated.repeat(500*time.Millisecond, 4*time.Second, func() { simulated.isQuiet = !simulated.isQuiet })
-	simulated.repeat(200*time.Millisecond, 400*time.Millisecond, simulated.exchangeMembers)
-	simulated.repeat(10*time.Millisecond, 200*time.Millisecond, simulated.readSomewhere)
-	begin(simulated)
-	simulated.run(troubledTime)
-	simulated.heal()
-	before := len(simulated.checker.succeeded)
-	simulated.run(troubledTime + calmTime)
-	simulated.checker.checkEnd()
-	if len(simulated.checker.succeeded) == before {
-		simulated.checker.violate("nothing was committed after the trouble")
-	}
-	simulated.checkMembersAreCurrent()
-	return simulated
+func runSimulation(seed uint64, members int, mutation mutation) *simulator {
+	return runSimulationWithFaults(seed, members, mutation, (*simulator).scheduleRandomFaults)
+}
+
+// runSimulationWithFaults is walk with trouble of one kind.
+func runSimulationWithFaults(seed uint64, members int, mutation mutation, begin func(*simulator)) *simulator {
+	sim := newSimulator(seed, members, mutation)
+	sim.repeat(20*time.Millisecond, 120*time.Millisecond, sim.proposeSomewhere)
+	sim.repeat(500*time.Millisecond, 4*time.Second, func() { sim.isIdle = !sim.isIdle })
+	sim.repeat(200*time.Millisecond, 400*time.Millisecond, sim.replaceMembers)
+	sim.repeat(10*time.Millisecond, 200*time.Millisecond, sim.readSomewhere)
+	begin(sim)
+	sim.run(faultPhase)
+	sim.heal()
+	before := len(sim.checker.succeeded)
+	sim.run(faultPhase + recoveryPhase)
+	sim.checker.checkEnd()
+	if len(sim.checker.succeeded) == before {
+		sim.checker.violate("nothing was committed after the trouble")
+	}
+	sim.checkMembersAreCurrent()
+	return sim
 }
 
 // repeat lets something happen again and again, with random pauses.
-func (world *world) repeat(from, below time.Duration, happen func()) {
-	world.after(world.duration(from, below), func() {
-		happen()
-		world.repeat(from, below, happen)
+func (simulator *simulator) repeat(from, below time.Duration, action func()) {
+	simulator.schedule(simulator.duration(from, below), func() {
+		action()
+		simulator.repeat(from, below, action)
 	})
 }
 
 // proposeSomewhere proposes mostly at a leader, and now and then gives the proposal up early.
-func (world *world) proposeSomewhere() {
-	if world.isQuiet && world.now < troubledTime {
+func (simulator *simulator) proposeSomewhere() {
+	if simulator.isIdle && simulator.now < faultPhase {
 		return
 	}
-	target := world.processes[world.random.IntN(len(world.processes))]
-	for _, process := range world.processes {
-		if process.isLeading() && world.chance(0.8) {
+	target := simulator.processes[simulator.random.IntN(len(simulator.processes))]
+	for _, process := range simulator.processes {
+		if process.isLeading() && simulator.chance(0.8) {
 			target = process
 		}
 	}
-	if target.machine == nil || target.frozen {
+	if target.machine == nil || target.isPaused {
 		return
 	}
-	world.lastCall++
-	proposal := world.lastCall
+	simulator.lastCall++
+	proposal := simulator.lastCall
 	name := fmt.Sprintf("p%d", proposal)
-	world.checker.names[proposal] = name
+	simulator.checker.names[proposal] = name
 	change := func(old []byte) ([]byte, error) { return append(slices.Clone(old), name+","...), nil }
 	target.step(propose{proposal: proposal, change: change})
-	if world.chance(0.1) && target.machine != nil {
+	if simulator.chance(0.1) && target.machine != nil {
 		target.step(abandon{proposal: proposal, cause: fmt.Errorf("given up")})
 	}
 }
 
 // readSomewhere reads at every process that believes to lead.
-func (world *world) readSomewhere() {
-	for _, process := range world.processes {
-		if process.machine != nil && !process.frozen && process.machine.leadership != nil {
+func (simulator *simulator) readSomewhere() {
+	for _, process := range simulator.processes {
+		if process.machine != nil && !process.isPaused && process.machine.leadership != nil {
 			process.read()
 		}
 	}
 }
 
-// exchangeMembers does what the owner of the group does: at the leader, it removes identities that are gone for good
+// replaceMembers does what the owner of the group does: at the leader, it removes identities that are gone for good
 // and adds processes that are not members.
-func (world *world) exchangeMembers() {
-	for _, leader := range world.processes {
-		if leader.frozen || !leader.isLeading() {
+func (simulator *simulator) replaceMembers() {
+	for _, leader := range simulator.processes {
+		if leader.isPaused || !leader.isLeading() {
 			continue
 		}
-		if change, isWanted := world.wantedChange(leader.machine.record.Contents.Members); isWanted {
-			world.lastCall++
-			proposal := world.lastCall
+		if change, isWanted := simulator.requiredChange(leader.machine.record.Contents.Members); isWanted {
+			simulator.lastCall++
+			proposal := simulator.lastCall
 			leader.step(propose{proposal: proposal, members: &change})
-			world.after(changeTimeout, leader.atIncarnation(func() {
+			simulator.schedule(changeTimeout, leader.atIncarnation(func() {
 				leader.step(abandon{proposal: proposal, cause: errTakesLong})
 			}))
 		}
@@ -110,11 +110,11 @@
 
 var errTakesLong = errors.New("takes long")
 
-func (world *world) wantedChange(members []Member) (memberChange, bool) {
-	if world.mutation.swaps {
-		return world.wantedSwap(members)
+func (simulator *simulator) requiredChange(members []Member) (memberChange, bool) {
+	if simulator.mutation.replacesVoters {
+		return simulator.randomReplacement(members)
 	}
-	for _, process := range world.processes {
+	for _, process := range simulator.processes {
 		if process.identity == "" || hasMember(members, process.identity) {
 			continue
 		}
@@ -129,15 +129,15 @@
 	return memberChange{}, false
 }
 
-// wantedSwap exchanges a voter for a process that is none: one that is gone for good, else any.
-func (world *world) wantedSwap(members []Member) (memberChange, bool) {
-	for _, process := range world.processes {
+// randomReplacement exchanges a voter for a process that is none: one that is gone for good, else any.
+func (simulator *simulator) randomReplacement(members []Member) (memberChange, bool) {
+	for _, process := range simulator.processes {
 		if process.identity == "" || hasMember(members, process.identity) {
 			continue
 		}
-		removed := members[world.random.IntN(len(members))]
+		removed := members[simulator.random.IntN(len(members))]
 		for _, member := range members {
-			if world.find(member.Address).identity != member.ID {
+			if simulator.processAt(member.Address).identity != member.ID {
 				removed = member
 			}
 		}
@@ -146,133 +146,133 @@
 	return memberChange{}, false
 }
 
-// causeMixedTrouble begins random faults until the calm.
-func (world *world) causeMixedTrouble() {
-	world.repeat(100*time.Millisecond, 1200*time.Millisecond, func() {
-		if world.now < troubledTime {
-			world.causeTrouble()
+// scheduleRandomFaults begins random faults until the calm.
+func (simulator *simulator) scheduleRandomFaults() {
+	simulator.repeat(100*time.Millisecond, 1200*time.Millisecond, func() {
+		if simulator.now < faultPhase {
+			simulator.injectRandomFault()
 		}
 	})
 }
 
-// causeTrouble begins one random fault.
-func (world *world) causeTrouble() {
-	world.faults++
-	troubled := world.processes[world.random.IntN(len(world.processes))]
-	for _, process := range world.processes {
-		if process.isLeading() && world.chance(0.3) {
+// injectRandomFault begins one random fault.
+func (simulator *simulator) injectRandomFault() {
+	simulator.faults++
+	troubled := simulator.processes[simulator.random.IntN(len(simulator.processes))]
+	for _, process := range simulator.processes {
+		if process.isLeading() && simulator.chance(0.3) {
 			troubled = process
 		}
 	}
-	switch world.random.IntN(14) {
+	switch simulator.random.IntN(14) {
 	case 0, 1:
-		world.kill(troubled)
+		simulator.kill(troubled)
 	case 2:
-		for _, process := range world.processes {
-			world.kill(process)
+		for _, process := range simulator.processes {
+			simulator.kill(process)
 		}
 	case 3, 4:
-		world.freeze(troubled)
+		simulator.pause(troubled)
 	case 5:
-		world.cutRandomLinks()
+		simulator.cutRandomLinks()
 	case 6:
-		world.cutOff(troubled)
+		simulator.isolate(troubled)
 	case 7, 8:
-		clear(world.cuts)
-		world.lossRate = 0
+		clear(simulator.brokenLinks)
+		simulator.lossRate = 0
 	case 9:
-		world.lossRate = world.random.Float64() / 3
+		simulator.lossRate = simulator.random.Float64() / 3
 	case 10:
 		troubled.slowDisk = !troubled.slowDisk
-		if troubled.machine != nil && !troubled.frozen {
+		if troubled.machine != nil && !troubled.isPaused {
 			troubled.step(resign{})
 		}
 	case 11:
-		world.loseDisk(troubled)
+		simulator.loseDisk(troubled)
 	case 12, 13:
-		world.cutBetween(troubled)
+		simulator.disconnectPair(troubled)
 	}
 }
 
 // kill ends a process and starts it again with its disk.
-func (world *world) kill(killed *process) {
+func (simulator *simulator) kill(killed *process) {
 	if killed.machine == nil {
 		return
 	}
 	killed.stop()
 	incarnation := killed.incarnation
-	world.after(world.restartDelay(), func() {
+	simulator.schedule(simulator.restartDelay(), func() {
 		if killed.incarnation == incarnation {
 			killed.start(false)
 		}
 	})
 }
 
-func (world *world) restartDelay() time.Duration {
-	if world.chance(0.5) {
-		return world.duration(10*time.Millisecond, 200*time.Millisecond)
+func (simulator *simulator) restartDelay() time.Duration {
+	if simulator.chance(0.5) {
+		return simulator.duration(10*time.Millisecond, 200*time.Millisecond)
 	}
-	return world.duration(200*time.Millisecond, 3*time.Second)
+	return simulator.duration(200*time.Millisecond, 3*time.Second)
 }
 
-func (world *world) freeze(troubled *process) {
-	if troubled.machine == nil || troubled.frozen {
+func (simulator *simulator) pause(troubled *process) {
+	if troubled.machine == nil || troubled.isPaused {
 		return
 	}
-	troubled.frozen = true
+	troubled.isPaused = true
 	incarnation := troubled.incarnation
-	world.after(world.duration(100*time.Millisecond, 3*time.Second), func() {
+	simulator.schedule(simulator.duration(100*time.Millisecond, 3*time.Second), func() {
 		if troubled.incarnation == incarnation {
-			troubled.thaw()
+			troubled.resume()
 		}
 	})
 }
 
 // cutRandomLinks cuts single directions.
-func (world *world) cutRandomLinks() {
-	for _, from := range world.processes {
-		for _, to := range world.processes {
-			if from != to && world.chance(0.3) {
-				world.cuts[link{from.address, to.address}] = true
+func (simulator *simulator) cutRandomLinks() {
+	for _, from := range simulator.processes {
+		for _, to := range simulator.processes {
+			if from != to && simulator.chance(0.3) {
+				simulator.brokenLinks[link{from.address, to.address}] = true
 			}
 		}
 	}
 }
 
-func (world *world) cutOff(troubled *process) {
-	for _, other := range world.processes {
+func (simulator *simulator) isolate(troubled *process) {
+	for _, other := range simulator.processes {
 		if other != troubled {
-			world.cuts[link{troubled.address, other.address}] = true
-			world.cuts[link{other.address, troubled.address}] = true
+			simulator.brokenLinks[link{troubled.address, other.address}] = true
+			simulator.brokenLinks[link{other.address, troubled.address}] = true
 		}
 	}
 }
 
-// cutBetween cuts a process off from one other, and may kill the third, which comes back soon.
-func (world *world) cutBetween(troubled *process) {
-	position := slices.Index(world.processes, troubled)
-	other := world.processes[(position+1)%len(world.processes)]
-	third := world.processes[(position+2)%len(world.processes)]
-	world.cuts[link{troubled.address, other.address}] = true
-	world.cuts[link{other.address, troubled.address}] = true
-	if world.chance(0.5) {
-		world.after(world.duration(0, 1200*time.Millisecond), func() { world.kill(third) })
+// disconnectPair cuts a process off from one other, and may kill the third, which comes back soon.
+func (simulator *simulator) disconnectPair(troubled *process) {
+	position := slices.Index(simulator.processes, troubled)
+	other := simulator.processes[(position+1)%len(simulator.processes)]
+	third := simulator.processes[(position+2)%len(simulator.processes)]
+	simulator.brokenLinks[link{troubled.address, other.address}] = true
+	simulator.brokenLinks[link{other.address, troubled.address}] = true
+	if simulator.chance(0.5) {
+		simulator.schedule(simulator.duration(0, 1200*time.Millisecond), func() { simulator.kill(third) })
 	}
 }
 
 // loseDisk loses one disk at a time: only where all other voters, of the newest list and of those that are not committed yet,
 // are the processes that are there. A disk that replaces a lost one may be lost again at any time.
-func (world *world) loseDisk(troubled *process) {
-	if !world.areOthersCurrent(world.checker.newest.contents, troubled) {
+func (simulator *simulator) loseDisk(troubled *process) {
+	if !simulator.areOthersCurrent(simulator.checker.newest.contents, troubled) {
 		return
 	}
-	for _, process := range world.processes {
+	for _, process := range simulator.processes {
 		held := process.heldRecord()
-		if !held.Version.Less(world.checker.newest.version) && !world.areOthersCurrent(held.Contents, troubled) {
+		if !held.Version.Less(simulator.checker.newest.version) && !simulator.areOthersCurrent(held.Contents, troubled) {
 			return
 		}
 	}
-	world.kill(troubled)
+	simulator.kill(troubled)
 	troubled.disk = nil
 	troubled.diskLosses++
 	troubled.identity = ""
@@ -288,9 +288,9 @@
 }
 
 // areOthersCurrent reports whether all voters but one process are the processes that are there.
-func (world *world) areOthersCurrent(contents Contents, except *process) bool {
+func (simulator *simulator) areOthersCurrent(contents Contents, except *process) bool {
 	for _, member := range contents.voters() {
-		voter := world.find(member.Address)
+		voter := simulator.processAt(member.Address)
 		if voter != except && voter.identity != member.ID {
 			return false
 		}
@@ -298,17 +298,17 @@
 	return true
 }
 
-func (world *world) areMembersCurrent() bool {
-	members := world.checker.newest.contents.Members
-	wanted := len(world.processes)
-	if world.mutation.swaps {
+func (simulator *simulator) areMembersCurrent() bool {
+	members := simulator.checker.newest.contents.Members
+	wanted := len(simulator.processes)
+	if simulator.mutation.replacesVoters {
 		wanted--
 	}
-	if len(members) != wanted || world.checker.newest.contents.isJoint() && !world.mutation.swaps {
+	if len(members) != wanted || simulator.checker.newest.contents.isJoint() && !simulator.mutation.replacesVoters {
 		return false
 	}
 	for _, member := range members {
-		if world.find(member.Address).identity != member.ID {
+		if simulator.processAt(member.Address).identity != member.ID {
 			return false
 		}
 	}
@@ -316,53 +316,53 @@
 }
 
 // heal ends all trouble; processes that are down come back as planned.
-func (world *world) heal() {
-	clear(world.cuts)
-	world.lossRate = 0
-	for _, process := range world.processes {
+func (simulator *simulator) heal() {
+	clear(simulator.brokenLinks)
+	simulator.lossRate = 0
+	for _, process := range simulator.processes {
 		process.slowDisk = false
-		process.thaw()
+		process.resume()
 	}
 }
 
-func (world *world) checkMembersAreCurrent() {
-	if !world.areMembersCurrent() {
-		world.checker.violate("the members are not those that run: %v", world.checker.newest.contents.Members)
+func (simulator *simulator) checkMembersAreCurrent() {
+	if !simulator.areMembersCurrent() {
+		simulator.checker.violate("the members are not those that run: %v", simulator.checker.newest.contents.Members)
 	}
 }
 
 // hasty lets candidates begin soon, so that the end of a lease and the next election come close.
-var hasty = Timing{ElectionJitter: 20 * time.Millisecond}
+var shortJitter = Timing{ElectionJitter: 20 * time.Millisecond}
 
 func TestWalk(t *testing.T) {
-	checkWalks(t, 3, Timing{})
-	checkWalks(t, 4, Timing{})
-	checkWalks(t, 3, hasty)
+	checkSimulations(t, 3, Timing{})
+	checkSimulations(t, 4, Timing{})
+	checkSimulations(t, 3, shortJitter)
 }
 
 // TestSwapWalk exchanges voters that live for one another all the time.
 func TestSwapWalk(t *testing.T) {
 	changes := 0
-	for seed := range *walkSeeds {
-		simulated := walk(seed, 4, mutation{swaps: true})
-		must.EqOp(t, "", simulated.checker.violation, must.Sprintf("seed %d", seed))
-		changes += simulated.checker.memberChanges
+	for seed := range *simulationSeeds {
+		sim := runSimulation(seed, 4, mutation{replacesVoters: true})
+		must.EqOp(t, "", sim.checker.violation, must.Sprintf("seed %d", seed))
+		changes += sim.checker.memberChanges
 	}
 	t.Logf("%d lists of voters", changes)
-	must.Greater(t, int(*walkSeeds), changes)
+	must.Greater(t, int(*simulationSeeds), changes)
 }
 
-// twoVersions is a group in which every second process runs a version that counts on longer leases.
-var twoVersions = []time.Duration{defaultLease, time.Second}
+// mixedLeases is a group in which every second process runs a version that counts on longer leases.
+var mixedLeases = []time.Duration{defaultLease, time.Second}
 
 // TestVersionsWithOtherLeasesRunSideBySide has two versions lead in turn, each with its own length of the lease.
 func TestVersionsWithOtherLeasesRunSideBySide(t *testing.T) {
-	checkAlteredWalks(t, 3, mutation{leases: twoVersions})
-	checkAlteredWalks(t, 4, mutation{leases: twoVersions, timing: hasty})
+	checkSimulationsWith(t, 3, mutation{leases: mixedLeases})
+	checkSimulationsWith(t, 4, mutation{leases: mixedLeases, timing: shortJitter})
 }
 
-// countOwnLease has a follower grant leases of the length of its own version, whatever the leader counts on.
-func countOwnLease(process *process, taken input) input {
+// grantOwnLease has a follower grant leases of the length of its own version, whatever the leader counts on.
+func grantOwnLease(process *process, taken input) input {
 	if call, ok := taken.(replicateCall); ok {
 		call.request.Lease = process.machine.config.timing.Lease
 		return call
@@ -370,19 +370,19 @@
 	return taken
 }
 
-func checkWalks(t *testing.T, members int, timing Timing) {
-	checkAlteredWalks(t, members, mutation{timing: timing})
+func checkSimulations(t *testing.T, members int, timing Timing) {
+	checkSimulationsWith(t, members, mutation{timing: timing})
 }
 
-func checkAlteredWalks(t *testing.T, members int, altered mutation) {
+func checkSimulationsWith(t *testing.T, members int, altered mutation) {
 	committed, unknown, losses, reads := 0, 0, 0, 0
-	for seed := range *walkSeeds {
-		simulated := walk(seed, members, altered)
-		must.EqOp(t, "", simulated.checker.violation, must.Sprintf("members %d, seed %d", members, seed))
-		committed += len(simulated.checker.succeeded)
-		unknown += simulated.checker.unknown
-		reads += simulated.readsDone
-		for _, process := range simulated.processes {
+	for seed := range *simulationSeeds {
+		sim := runSimulation(seed, members, altered)
+		must.EqOp(t, "", sim.checker.violation, must.Sprintf("members %d, seed %d", members, seed))
+		committed += len(sim.checker.succeeded)
+		unknown += sim.checker.unknown
+		reads += sim.readsDone
+		for _, process := range sim.processes {
 			losses += process.diskLosses
 		}
 	}
@@ -399,23 +399,23 @@
 		mutation mutation
 	}{
 		{"a witness votes at once after a restart", mutation{
-			timing: hasty,
+			timing: shortJitter,
 			afterStart: func(process *process) {
 				process.machine.grant = grant{}
-				process.machine.electionAt = process.clock()
+				process.machine.campaignAt = process.clock()
 			},
 		}},
 		{"a witness forgets its grant", mutation{beforeStep: forgetGrant}},
-		{"a follower grants a lease of its own version's length", mutation{leases: twoVersions, timing: hasty, beforeStep: countOwnLease}},
+		{"a follower grants a lease of its own version's length", mutation{leases: mixedLeases, timing: shortJitter, beforeStep: grantOwnLease}},
 		{"the leader ignores the margin", mutation{
-			timing: Timing{Margin: time.Nanosecond, ElectionJitter: hasty.ElectionJitter},
+			timing: Timing{Margin: time.Nanosecond, ElectionJitter: shortJitter.ElectionJitter},
 		}},
 		{"a witness does not compare versions", mutation{beforeStep: pretendNewestVersion}},
-		{"votes and acknowledgements do not wait for the sync", mutation{unsynced: true}},
+		{"votes and acknowledgements do not wait for the sync", mutation{confirmsUnsynced: true}},
 		{"a process without its disk keeps its identity", mutation{keepIdentity: true}},
 		{"a version counts once a single member has it", mutation{beforeStep: pretendSynced}},
-		{"a read does not wait for its round", mutation{clockDrift: wildDrift, afterStep: endReadsAtOnce}},
-		{"voters are exchanged without a joint version", mutation{swaps: true, afterStep: dropOldMembers, afterEffect: withoutOldMembers}},
+		{"a read does not wait for its round", mutation{clockDrift: excessiveDrift, afterStep: endReadsAtOnce}},
+		{"voters are exchanged without a joint version", mutation{replacesVoters: true, afterStep: dropOldMembers, afterEffect: withoutOldMembers}},
 		{"a learner counts before it holds the contents", mutation{afterStep: countLearnerEarly}},
 		{"the new list stands alone before those added hold the joint version", mutation{beforeStep: pretendAddedHold}},
 	}
@@ -424,14 +424,14 @@
 			const maxSeeds = 300
 			for seed := range uint64(maxSeeds) {
 				members := 3
-				if altered.mutation.swaps {
+				if altered.mutation.replacesVoters {
 					members = 4
 				}
-				trouble := (*world).causeMixedTrouble
+				trouble := (*simulator).scheduleRandomFaults
 				if altered.mutation.clockDrift > 0 {
-					trouble = (*world).cutOffLeaders
+					trouble = (*simulator).isolateLeaders
 				}
-				violation := walkTroubledBy(seed, members, altered.mutation, trouble).checker.violation
+				violation := runSimulationWithFaults(seed, members, altered.mutation, trouble).checker.violation
 				if violation != "" {
 					t.Logf("seed %d: %s", seed, violation)
 					return
@@ -442,20 +442,20 @@
 	}
 }
 
-// wildDrift has the clock of a leader run so slowly that its lease outlasts the election of the next.
-const wildDrift = 0.7
+// excessiveDrift has the clock of a leader run so slowly that its lease outlasts the election of the next.
+const excessiveDrift = 0.7
 
-// cutOffLeaders cuts the leader off again and again, for long enough for the others to elect another.
-func (world *world) cutOffLeaders() {
-	world.repeat(time.Second, 4*time.Second, func() {
-		clear(world.cuts)
-		if world.now >= troubledTime {
+// isolateLeaders cuts the leader off again and again, for long enough for the others to elect another.
+func (simulator *simulator) isolateLeaders() {
+	simulator.repeat(time.Second, 4*time.Second, func() {
+		clear(simulator.brokenLinks)
+		if simulator.now >= faultPhase {
 			return
 		}
-		world.faults++
-		for _, process := range world.processes {
+		simulator.faults++
+		for _, process := range simulator.processes {
 			if process.isLeading() {
-				world.cutOff(process)
+				simulator.isolate(process)
 			}
 		}
 	})
@@ -465,10 +465,10 @@
 // the newest all the same.
 func TestReadsRestOnNoClock(t *testing.T) {
 	reads := 0
-	for seed := range *walkSeeds {
-		simulated := walkTroubledBy(seed, 3, mutation{clockDrift: wildDrift}, (*world).cutOffLeaders)
-		must.EqOp(t, "", simulated.checker.violation, must.Sprintf("seed %d", seed))
-		reads += simulated.readsDone
+	for seed := range *simulationSeeds {
+		sim := runSimulationWithFaults(seed, 3, mutation{clockDrift: excessiveDrift}, (*simulator).isolateLeaders)
+		must.EqOp(t, "", sim.checker.violation, must.Sprintf("seed %d", seed))
+		reads += sim.readsDone
 	}
 	t.Logf("%d reads", reads)
 	must.Positive(t, reads)
@@ -505,9 +505,9 @@
 
 func countLearnerEarly(process *process) {
 	lead := process.machine.leadership
-	if lead != nil && lead.change != nil && lead.change.learner != nil {
-		lead.change.learner = nil
-		process.machine.queueMemberChange(process.clock())
+	if lead != nil && lead.pendingChange != nil && lead.pendingChange.learner != nil {
+		lead.pendingChange.learner = nil
+		process.machine.queueJointVersion(process.clock())
 	}
 }
 
@@ -516,9 +516,9 @@
 	if lead == nil || !process.machine.record.Contents.isJoint() {
 		return taken
 	}
-	for _, added := range process.machine.record.Contents.added() {
+	for _, added := range process.machine.record.Contents.addedMembers() {
 		known := process.machine.peer(added.ID)
-		known.isKnown = true
+		known.isVersionKnown = true
 		if known.version.Less(lead.jointSince) {
 			known.version = lead.jointSince
 		}
@@ -546,7 +546,7 @@
 	if process.machine.leadership == nil {
 		return taken
 	}
-	for _, member := range process.machine.audience() {
+	for _, member := range process.machine.recipients() {
 		process.machine.peer(member.ID).version = process.machine.record.Version
 	}
 	return taken
--- a/coord/failover/timing.go
+++ b/coord/failover/timing.go
@@ -23,7 +23,7 @@
 	defaultLease           = 700 * time.Millisecond
 	defaultMargin          = 120 * time.Millisecond
 	defaultHeartbeat       = 175 * time.Millisecond
-	defaultElectionSpread  = 150 * time.Millisecond
+	defaultElectionJitter  = 150 * time.Millisecond
 	defaultCampaignTimeout = 250 * time.Millisecond
 	defaultContentsTimeout = 2 * time.Second
 )
@@ -33,7 +33,7 @@
 	setDefault(&timing.LongestLease, timing.Lease)
 	setDefault(&timing.Margin, defaultMargin)
 	setDefault(&timing.Heartbeat, defaultHeartbeat)
-	setDefault(&timing.ElectionJitter, defaultElectionSpread)
+	setDefault(&timing.ElectionJitter, defaultElectionJitter)
 	setDefault(&timing.CampaignTimeout, defaultCampaignTimeout)
 	setDefault(&timing.ContentsTimeout, defaultContentsTimeout)
 	return timing
