--- a/coord/failover/effect.go
+++ b/coord/failover/effect.go
@@ -2,65 +2,66 @@
 
 import "time"
 
-// effect is what a machine wants done. Its types are listed in this file.
+// effect is an action that a machine requests. All effects are defined in this file.
 type effect interface{ isEffect() }
 
-// sendVote sends a request; its outcome comes back as a voteResult, also where none arrives in time.
+// sendVote sends a vote request. The outcome returns as a voteResult, also if no reply arrives in time.
 type sendVote struct {
 	address string
 	request VoteRequest
 }
 
-// sendReplicate sends a request; its outcome comes back as a replicateResult, also where none arrives in time.
+// sendReplicate sends a heartbeat. The outcome returns as a replicateResult, also if no reply arrives in time.
 type sendReplicate struct {
 	address string
 	request ReplicateRequest
 	sentAt  time.Duration
-	round   uint64        // comes back with the outcome
-	timeout time.Duration // for the answer, where the request carries contents; 0 for that of a heartbeat
+	round   uint64        // heartbeat round; returned with the outcome
+	timeout time.Duration // timeout of a request with contents; 0 for a heartbeat without contents
 }
 
-// answerVote answers a voteCall.
+// answerVote answers the voteCall with the same number.
 type answerVote struct {
 	call  uint64
 	reply VoteReply
 }
 
-// answerReplicate answers a replicateCall.
+// answerReplicate answers the replicateCall with the same number.
 type answerReplicate struct {
 	call  uint64
 	reply ReplicateReply
 }
 
-// persist saves the record. Once it has been synced, its point comes back in a persisted. A newer save that has
-// been synced stands for all older ones.
+// persist saves the record. Once it has been synced, its save point returns as a persisted input. A save that has been
+// synced covers all older ones.
 type persist struct {
 	point  savePoint
 	record Record
 }
 
-// proposalDone ends a proposal. No error means that it is committed.
+// proposalDone completes a proposal. A nil error means that it is committed.
 type proposalDone struct {
 	proposal uint64
 	err      error
 }
 
-// readDone ends a read. No error means that the committed state holds all that was acknowledged before the read came.
+// readDone completes a read. A nil error means that the committed state includes everything that was acknowledged before
+// the read arrived.
 type readDone struct {
 	read uint64
 	err  error
 }
 
-// committed tells that a version is known to be committed.
+// committed reports that a version is known to be committed.
 type committed struct {
 	version  Version
 	contents Contents
 }
 
-// becameLeader tells that this member leads and serves from now on.
+// becameLeader reports that this member now serves as the leader.
 type becameLeader struct{ epoch uint64 }
 
-// steppedDown tells that this member does not lead any longer.
+// steppedDown reports that this member no longer leads.
 type steppedDown struct {
 	epoch  uint64
 	reason string
--- a/coord/failover/election.go
+++ b/coord/failover/election.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// deferDivisor is how many pauses of deferTo last as long as a CampaignTimeout.
+// deferDivisor is the number of delays set by deferTo that fit into one CampaignTimeout.
 const deferDivisor = 4
 
-// campaign is this member's candidacy. It asks first whether a majority would vote for it (pre-vote), so that a
-// member that was cut off does not raise the epoch of a group that has a leader.
+// campaign is the candidacy of this member. It starts with a pre-vote, which asks whether a majority would vote for this
+// member. Without it, a member that was partitioned would raise the epoch of a group that has a leader.
 type campaign struct {
 	epoch         uint64
 	isPreVote     bool
 	granted       map[string]bool // by identity
-	ownGeneration uint64          // the own vote counts once this has been synced
+	ownGeneration uint64          // generation of the record that must be synced before the own vote counts
 }
 
-// scheduleCampaign sets the next campaign. None begins before the grant has ended, since a candidate votes for itself.
+// scheduleCampaign sets the time of the next campaign. It starts after the grant has ended, because a candidate votes
+// for itself.
 func (machine *machine) scheduleCampaign(earliest, jitter time.Duration) {
 	machine.campaignAt = max(earliest, machine.grant.expiresAt) + jitter
 }
 
-// startCampaign asks whether a majority would vote for this member.
+// startCampaign starts a pre-vote.
 func (machine *machine) startCampaign(now time.Duration) {
 	machine.scheduleCampaign(now+machine.config.timing.CampaignTimeout, machine.electionJitter())
 	machine.continueRestartCampaign(now)
@@ -32,7 +33,7 @@
 	machine.countVotes(now)
 }
 
-// startElection votes for this member itself and asks for the votes of the others.
+// startElection records this member's vote for itself and requests the votes of the others.
 func (machine *machine) startElection(now time.Duration) {
 	machine.scheduleCampaign(now+machine.config.timing.CampaignTimeout, machine.electionJitter())
 	machine.record.VotedEpoch = machine.campaign.epoch
@@ -99,7 +100,7 @@
 	machine.startLeadership(now)
 }
 
-// handleVoteRequest is the witness.
+// handleVoteRequest answers a vote request. The answer to a vote that was granted waits until the vote has been synced.
 func (machine *machine) handleVoteRequest(now time.Duration, incoming voteCall) {
 	request := incoming.request
 	if request.Member != machine.record.Identity {
@@ -122,8 +123,8 @@
 	machine.answerOnceSaved(func() effect { return answerVote{call: incoming.call, reply: reply} })
 }
 
-// canVote reports whether the vote can be given without breaking a promise to another leader or candidate, or losing
-// a committed version.
+// canVote reports whether granting the vote would break neither a grant to another leader nor a vote for another
+// candidate, and could not lose a committed version.
 func (machine *machine) canVote(now time.Duration, request VoteRequest) bool {
 	candidateVersion := Version{Epoch: request.StateEpoch, Seq: request.StateSeq}
 	switch {
@@ -140,9 +141,9 @@
 	return isRepeated && !request.PreVote
 }
 
-// deferTo puts the own campaign off for a moment where another member's may succeed, so that votes are seldom split.
-// Where both ask at the same time, the one with the lower identity goes on. The pause is shorter than that between two
-// campaigns of the other, whose answers may all be lost.
+// deferTo delays this member's own campaign briefly if another campaign may succeed, which makes split votes rare. If
+// both members campaign at the same time, the one with the lower identity continues. The delay is shorter than the time
+// between two campaigns of the other member, because all answers to that member may be lost.
 func (machine *machine) deferTo(now time.Duration, candidate string) {
 	if machine.campaign != nil {
 		if machine.campaign.isPreVote && candidate < machine.record.Identity {
@@ -154,8 +155,8 @@
 	machine.campaignAt = max(machine.campaignAt, now+pause)
 }
 
-// vote records the vote. A campaign of this member's own ends. A grant stays as it is, also where the vote is for the
-// leader that has it: the request may be older than the grant.
+// recordVote records the vote and ends this member's own campaign. The grant remains unchanged even if the vote is for
+// the leader that holds it, because the request may be older than the grant.
 func (machine *machine) recordVote(now time.Duration, request VoteRequest) {
 	if request.Epoch == machine.record.VotedEpoch {
 		return
--- a/coord/failover/filestore.go
+++ b/coord/failover/filestore.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// Layout of a slot: checksum of all that follows, length of the record, number of the save, record.
+// Layout of a slot: checksum of all bytes that follow it, length of the record, number of the save, record.
 const (
 	slotChecksumAt = 0
 	slotLengthAt   = 4
@@ -21,41 +21,41 @@
 
 var slotChecksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// FileStore is a Storage that writes to two files in turn. A save overwrites the older one and syncs it once; a crash
-// during it leaves the newer one whole.
+// FileStore is a Storage that alternates between two files. Each save overwrites the older file and syncs it, so a crash
+// during a save leaves the newer file intact.
 type FileStore struct {
 	files      [slotCount]*os.File
-	lastNumber uint64 // of the newest save; its slot is lastNumber % slotCount
+	lastNumber uint64 // number of the newest save; its slot is lastNumber % slotCount
 }
 
-// OpenFileStore opens the files name.0 and name.1 in a folder that exists, and creates them where they are missing.
-func OpenFileStore(folder, name string) (*FileStore, error) {
+// OpenFileStore opens the files name.0 and name.1 in an existing directory, and creates them if they are missing.
+func OpenFileStore(directory, name string) (*FileStore, error) {
 	store := &FileStore{}
 	for position := range store.files {
-		path := filepath.Join(folder, name+"."+string(rune('0'+position)))
+		path := filepath.Join(directory, name+"."+string(rune('0'+position)))
 		file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 		if err != nil {
 			store.Close()
-			return nil, errors.Wrap(err, "open a file of the record")
+			return nil, errors.Wrap(err, "open record file")
 		}
 		store.files[position] = file
 	}
-	if err := syncFolder(folder); err != nil {
+	if err := syncDirectory(directory); err != nil {
 		store.Close()
 		return nil, err
 	}
 	return store, nil
 }
 
-// Load returns the newest record that was saved, or nothing where none ever was. It fails with CorruptRecordError where
-// both files hold something that can't be read back.
+// Load returns the newest saved record, or nothing if no record was ever saved. It returns a CorruptRecordError if both
+// files have contents that can't be decoded.
 func (store *FileStore) Load() ([]byte, error) {
 	var newest []byte
 	corruptSlots := 0
 	for _, file := range store.files {
 		content, err := readSynced(file)
 		if err != nil {
-			return nil, errors.Wrap(err, "read a file of the record")
+			return nil, errors.Wrap(err, "read record file")
 		}
 		record, number, isValid := decodeSlot(content)
 		if !isValid && len(content) > 0 {
@@ -72,21 +72,21 @@
 	return newest, nil
 }
 
-// Save writes the record over the older one and syncs it.
+// Save overwrites the older record and syncs it.
 func (store *FileStore) Save(record []byte) error {
 	number := store.lastNumber + 1
 	file := store.files[number%slotCount]
 	if _, err := file.WriteAt(encodeSlot(record, number), 0); err != nil {
-		return errors.Wrap(err, "write the record")
+		return errors.Wrap(err, "write record")
 	}
 	if err := file.Sync(); err != nil {
-		return errors.Wrap(err, "sync the record")
+		return errors.Wrap(err, "sync record")
 	}
 	store.lastNumber = number
 	return nil
 }
 
-// Close closes the files.
+// Close closes both files and returns the first error.
 func (store *FileStore) Close() error {
 	var firstError error
 	for _, file := range store.files {
@@ -110,7 +110,7 @@
 	return slot
 }
 
-// decodeSlot ignores what an older, longer record has left behind the newer one.
+// decodeSlot returns the record of a slot. It ignores trailing bytes of an older, longer record.
 func decodeSlot(content []byte) (record []byte, number uint64, isValid bool) {
 	if len(content) < slotHeaderSize {
 		return nil, 0, false
@@ -127,7 +127,8 @@
 	return slot[slotHeaderSize:], binary.LittleEndian.Uint64(slot[slotNumberAt:]), true
 }
 
-// readSynced syncs first: a process that was killed may have left a save that the disk does not hold yet.
+// readSynced syncs the file before reading it: a process that was killed may have left a save that isn't on disk yet, and
+// it must not be used until it is durable.
 func readSynced(file *os.File) ([]byte, error) {
 	if err := file.Sync(); err != nil {
 		return nil, err
@@ -138,12 +139,12 @@
 	return io.ReadAll(file)
 }
 
-// syncFolder makes the names of new files last.
-func syncFolder(path string) error {
-	folder, err := os.Open(path)
+// syncDirectory makes the directory entries of new files durable.
+func syncDirectory(path string) error {
+	directory, err := os.Open(path)
 	if err != nil {
-		return errors.Wrap(err, "open the folder of the record")
+		return errors.Wrap(err, "open record directory")
 	}
-	defer folder.Close()
-	return errors.Wrap(folder.Sync(), "sync the folder of the record")
+	defer directory.Close()
+	return errors.Wrap(directory.Sync(), "sync record directory")
 }
--- a/coord/failover/follower.go
+++ b/coord/failover/follower.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// handleReplicateRequest is the follower: it grants the leader its lease and takes its version.
+// handleReplicateRequest handles a heartbeat as a follower: it grants the lease and adopts the leader's version. The
+// answer waits until the record has been synced, if the request changed it or the disk doesn't name this leader yet.
 func (machine *machine) handleReplicateRequest(now time.Duration, incoming replicateCall) {
 	request := incoming.request
 	if request.Member != machine.record.Identity {
@@ -36,7 +37,7 @@
 	machine.answerOnceSaved(finish)
 }
 
-// canFollow reports whether the request is of a leader that this member has not moved on from.
+// canFollow reports whether the sender leads the newest epoch known to this member, and its lease may be granted.
 func (machine *machine) canFollow(now time.Duration, request ReplicateRequest) bool {
 	if now < machine.ackAfter {
 		return false
@@ -45,12 +46,12 @@
 		return false
 	}
 	if request.Lease > machine.config.timing.LongestLease {
-		return false // after a restart this member would not wait for its end
+		return false // after a restart this member wouldn't wait until such a lease has ended
 	}
 	return request.Epoch >= machine.record.VotedEpoch
 }
 
-// follow grants the lease, from now on.
+// followLeader grants the lease, starting now, and records the leader.
 func (machine *machine) followLeader(now time.Duration, request ReplicateRequest) {
 	machine.campaign = nil
 	machine.grant = grant{
@@ -67,7 +68,7 @@
 	machine.saveRecord()
 }
 
-// grantDuration is how long the leader of a request may count on its being answered.
+// grantDuration returns how long the sender of the request relies on the grant.
 func (machine *machine) grantDuration(request ReplicateRequest) time.Duration {
 	if request.Lease == 0 {
 		return machine.config.timing.LongestLease
@@ -75,12 +76,13 @@
 	return request.Lease
 }
 
-// isLeaderSaved reports whether the disk names the leader of the request, as it must before any acknowledgement.
+// isLeaderSaved reports whether the record on disk names the leader of the request, which any acknowledgement requires.
 func (machine *machine) isLeaderSaved(request ReplicateRequest) bool {
 	return machine.saved.votedEpoch == request.Epoch && machine.saved.votedFor == request.Leader
 }
 
-// adoptVersion takes the version of the request if it is newer and its contents are at hand.
+// adoptVersion adopts the version of the request if it is newer and its contents are available: they are either in the
+// request or the same as those of the current version. It reports whether it did.
 func (machine *machine) adoptVersion(request ReplicateRequest) bool {
 	offered := Version{Epoch: request.StateEpoch, Seq: request.StateSeq}
 	if !machine.record.Version.Less(offered) {
@@ -106,9 +108,9 @@
 	}
 }
 
-// handleLeaderResigned drops the grant, so that this member may vote and be elected at once. The sender will lead
-// neither the epoch of the request nor an older one again, and canFollow has seen that this member has accepted none
-// that is newer: so the grant is to what is over.
+// handleLeaderResigned drops the grant, so that this member may vote and be elected at once. The sender never again
+// leads the epoch of the request or an older one, and canFollow has checked that this member has accepted no newer
+// epoch, so the grant belongs to a leadership that has ended.
 func (machine *machine) handleLeaderResigned(now time.Duration, incoming replicateCall) {
 	if now < machine.grant.expiresAt && machine.grant.leader == incoming.request.Leader {
 		machine.grant = grant{}
@@ -117,7 +119,7 @@
 	machine.emit(answerReplicate{call: incoming.call, reply: machine.replicateReply()})
 }
 
-// replicateReply tells what has been synced.
+// replicateReply acknowledges the request and reports the version that has been synced.
 func (machine *machine) replicateReply() ReplicateReply {
 	return ReplicateReply{
 		Ok:          true,
--- a/coord/failover/input.go
+++ b/coord/failover/input.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// input is what a machine reacts to. Its types are listed in this file.
+// input is an event that a machine handles. All inputs are defined in this file.
 type input interface{ isInput() }
 
-// tick tells that time has passed; wakeAt says when one is due.
+// tick reports that time has passed; machine.wakeAt returns when the next one is due.
 type tick struct{}
 
-// voteCall is a VoteRequest that arrived. It is answered by an answerVote with the same call number.
+// voteCall is a received vote request. It is answered by an answerVote with the same call number.
 type voteCall struct {
 	call    uint64
 	request VoteRequest
@@ -18,10 +18,10 @@
 type voteResult struct {
 	request VoteRequest
 	reply   VoteReply
-	failed  bool // no reply came
+	failed  bool // no reply arrived
 }
 
-// replicateCall is a ReplicateRequest that arrived. It is answered by an answerReplicate with the same call number.
+// replicateCall is a received heartbeat. It is answered by an answerReplicate with the same call number.
 type replicateCall struct {
 	call    uint64
 	request ReplicateRequest
@@ -29,41 +29,41 @@
 
 // replicateResult is the outcome of a sendReplicate.
 type replicateResult struct {
-	member       string // identity that was asked
-	epoch        uint64 // of the request
+	member       string // identity of the receiver
+	epoch        uint64 // epoch of the request
 	sentAt       time.Duration
-	round        uint64 // of the heartbeat
+	round        uint64 // heartbeat round of the request
 	withContents bool
 	reply        ReplicateReply
-	failed       bool // no reply came
+	failed       bool // no reply arrived
 }
 
-// propose asks for a new version. Exactly one of change and members is set. A proposalDone with the same number
-// ends it.
+// propose requests a new version. Exactly one of change, members and leavesJoint is set. A proposalDone with the same
+// number completes it.
 type propose struct {
 	proposal    uint64
 	change      func(old []byte) ([]byte, error)
 	members     *memberChange
-	leavesJoint bool // of the leader itself: the end of a change of members
+	leavesJoint bool // written by the leader itself as the last step of a membership change
 }
 
-// isMemberChange reports whether a proposal is a step of a change of members, which ends with the last step.
+// isMemberChange reports whether the proposal is a step of a membership change, which completes only with its last step.
 func (proposed propose) isMemberChange() bool { return proposed.members != nil || proposed.leavesJoint }
 
-// read asks for the moment from which on the committed state of this member is the newest. A readDone with the same
-// number ends it.
+// read requests a confirmation that the committed state of this member is the newest. A readDone with the same number
+// completes it.
 type read struct{ read uint64 }
 
-// abandon ends a proposal or a read whose caller does not wait any longer.
+// abandon completes a proposal or a read whose caller has stopped waiting.
 type abandon struct {
 	proposal uint64
 	cause    error
 }
 
-// resign gives the leadership up.
+// resign makes the leader step down.
 type resign struct{}
 
-// persisted tells that a save has been synced.
+// persisted reports that a save has been synced.
 type persisted struct{ point savePoint }
 
 func (tick) isInput()            {}
--- a/coord/failover/leader.go
+++ b/coord/failover/leader.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// peer is what the leader knows of another member.
+// peer is what the leader knows about another member.
 type peer struct {
 	isVersionKnown   bool // it has answered in this epoch, and no transfer of contents has failed since
 	version          Version
 	hasGranted       bool
-	grantedSentAt    time.Duration // when the newest heartbeat that it answered was sent
-	answeredRound    uint64        // newest round of heartbeats that it answered
-	contentsRound    uint64        // round in which contents were sent last
-	contentsRetryAt  time.Duration // contents are on their way until then; 0 for none
-	contentsFailures int           // transfers of contents in a row that brought no answer in time
-	incarnation      uint64        // of the process that answered last; 0 where it did not tell
+	grantedSentAt    time.Duration // send time of the newest heartbeat that it acknowledged
+	answeredRound    uint64        // newest heartbeat round that it acknowledged
+	contentsRound    uint64        // heartbeat round of the newest transfer of contents
+	contentsRetryAt  time.Duration // end of the timeout of the transfer in progress; 0 if there is none
+	contentsFailures int           // number of consecutive transfers without an answer in time
+	incarnation      uint64        // incarnation in the newest reply; 0 if it reported none
 }
 
-// maxTimeoutDoublings bounds how often the time for a transfer of contents is doubled.
+// maxTimeoutDoublings bounds how often the timeout for transfers of contents is doubled.
 const maxTimeoutDoublings = 4
 
-// contentsTimeout is how long the next transfer of contents may take: twice as long after each that failed, so that large
-// contents come through a slow link at last.
+// contentsTimeout returns the timeout of the next transfer of contents. It doubles after each failure, so that large
+// contents eventually get through a slow link.
 func (progress *peer) contentsTimeout(timing Timing) time.Duration {
 	return timing.ContentsTimeout << min(progress.contentsFailures, maxTimeoutDoublings)
 }
 
-// endTransfer takes in how a transfer of contents ended. One that another has followed changes nothing.
+// endTransfer records the outcome of a transfer of contents. The outcome is ignored if a newer transfer has started.
 func (progress *peer) endTransfer(result replicateResult) {
 	if result.round != progress.contentsRound {
 		return
 	}
 	progress.contentsRetryAt = 0
-	progress.isVersionKnown = false // nothing is sent to it again before it has answered a heartbeat
+	progress.isVersionKnown = false // nothing more is sent until it has answered a heartbeat
 	if result.failed {
 		progress.contentsFailures++
 	} else {
@@ -38,7 +38,8 @@
 	}
 }
 
-// updateIncarnation gives up a transfer of contents to a process that has ended: its successor has not got them.
+// updateIncarnation abandons a transfer of contents to a process that has since restarted, because the new process
+// hasn't received them.
 func (progress *peer) updateIncarnation(result replicateResult) {
 	reported := result.reply.Incarnation
 	isLate := result.round < progress.answeredRound
@@ -52,23 +53,23 @@
 	progress.incarnation = reported
 }
 
-// leadership is the state of a leader. It serves once the version that it inherited is committed under its epoch.
+// leadership is the state of an elected leader. The leader serves once the inherited version is committed in its epoch.
 type leadership struct {
 	epoch            uint64
 	electedAt        time.Duration
 	heartbeatAt      time.Duration
 	peers            map[string]*peer // by identity
-	inheritedVersion Version          // an older version with the contents of the record
-	jointSince       Version          // where the record is joint: the version under which this leader first had it
+	inheritedVersion Version          // older version with the same contents as the record; zero if there is none
+	jointSince       Version          // while the record is joint: version in which this leader first held its lists of voters
 	isServing        bool
 	inFlight         *propose
 	queue            []propose
-	pendingChange    *pendingMemberChange // nil for none
-	round            uint64               // number of the newest round of heartbeats
-	reads            []pendingRead        // by rising round
+	pendingChange    *pendingMemberChange // nil if there is none
+	round            uint64               // number of the newest heartbeat round
+	reads            []pendingRead        // ordered by round
 }
 
-// startLeadership writes the inherited version anew under the own epoch.
+// startLeadership writes the inherited contents as a new version of the leader's own epoch.
 func (machine *machine) startLeadership(now time.Duration) {
 	machine.leadership = &leadership{
 		epoch:            machine.campaign.epoch,
@@ -84,7 +85,7 @@
 	machine.broadcastHeartbeat(now)
 }
 
-// broadcast sends a heartbeat to every other member, with the contents where they are known to be missing.
+// broadcastHeartbeat sends a heartbeat to every other member, with the contents if they are known to be missing.
 func (machine *machine) broadcastHeartbeat(now time.Duration) {
 	machine.leadership.round++
 	machine.leadership.heartbeatAt = now + machine.config.timing.Heartbeat
@@ -93,7 +94,7 @@
 	}
 }
 
-// audience lists the voters and the learner, without this member.
+// recipients returns the voters and the learner, except for this member.
 func (machine *machine) recipients() []Member {
 	var recipients []Member
 	for _, member := range machine.record.Contents.voters() {
@@ -115,7 +116,7 @@
 	send := sendReplicate{address: member.Address, request: request, sentAt: now, round: machine.leadership.round}
 	if isMissing && machine.canReceiveContents(member.ID) && now >= progress.contentsRetryAt {
 		if progress.contentsRetryAt != 0 {
-			progress.contentsFailures++ // the transfer before has brought no answer in time; its outcome will be late
+			progress.contentsFailures++ // the previous transfer got no answer in time; its failure is reported after the next one has started
 		}
 		send.timeout = progress.contentsTimeout(machine.config.timing)
 		progress.contentsRound = send.round
@@ -126,8 +127,9 @@
 	machine.emit(send)
 }
 
-// canReceiveContents reports whether a member may hold the newest version. A learner gets committed ones alone: if it held another,
-// it would refuse its vote to a member that is needed, and could not be elected itself.
+// canReceiveContents reports whether a member may be sent the newest version. A learner gets only committed versions: if
+// it held an uncommitted one, it would refuse its vote to a needed member with an older version, and as a non-voter it
+// couldn't be elected itself.
 func (machine *machine) canReceiveContents(identity string) bool {
 	return machine.record.Contents.hasVoter(identity) || machine.committedVersion == machine.record.Version
 }
@@ -196,7 +198,7 @@
 	}
 }
 
-// sendMissingContents sends the contents at once to a member that has turned out to lack them.
+// sendMissingContents sends the contents at once to a member that was found to lack them.
 func (machine *machine) sendMissingContents(now time.Duration, identity string) {
 	progress := machine.peer(identity)
 	isMissing := progress.version.Less(machine.record.Version) && machine.canReceiveContents(identity)
@@ -235,7 +237,8 @@
 	}
 }
 
-// completeInFlight ends the proposal whose version was committed. A change of members ends with its last version.
+// completeInFlight completes the proposal whose version was committed. A membership change completes only with its last
+// version.
 func (machine *machine) completeInFlight() {
 	lead := machine.leadership
 	ended := lead.inFlight
@@ -258,7 +261,7 @@
 	return progress != nil && progress.version == machine.record.Version
 }
 
-// leaseExpiry returns when the leader must have stopped.
+// leaseExpiry returns the time at which the leader must have stopped serving.
 func (machine *machine) leaseExpiry(now time.Duration) time.Duration {
 	start := machine.leadership.electedAt
 	if granted, isGranted := machine.quorumGrantTime(now); isGranted {
@@ -267,8 +270,8 @@
 	return start + machine.config.timing.Lease - machine.config.timing.Margin
 }
 
-// quorumGrantTime returns the latest moment since which a majority has answered heartbeats that were sent then or
-// later.
+// quorumGrantTime returns the latest time such that a majority has acknowledged heartbeats sent at that time or later,
+// and whether there is one.
 func (machine *machine) quorumGrantTime(now time.Duration) (time.Duration, bool) {
 	newest, isFound := time.Duration(0), false
 	consider := func(moment time.Duration) {
@@ -294,7 +297,7 @@
 	return progress != nil && progress.hasGranted && progress.grantedSentAt >= moment
 }
 
-// servesUntil returns when the lease of a leader that serves ends; 0 where this member does not serve.
+// servesUntil returns the time at which the lease of a serving leader expires, or 0 if this member doesn't serve.
 func (machine *machine) servesUntil(now time.Duration) time.Duration {
 	if machine.leadership == nil || !machine.leadership.isServing {
 		return 0
@@ -302,14 +305,14 @@
 	return machine.leaseExpiry(now)
 }
 
-// stepDownIfLeaseExpired steps down before anything else is done with a lease that has ended.
+// stepDownIfLeaseExpired must run before each input, so that no input is handled under an expired lease.
 func (machine *machine) stepDownIfLeaseExpired(now time.Duration) {
 	if machine.leadership != nil && now >= machine.leaseExpiry(now) {
-		machine.stepDown(now, "the lease has ended")
+		machine.stepDown(now, "the lease has expired")
 	}
 }
 
-// handleResign steps down and tells the others that they may elect another leader at once.
+// handleResign steps down and tells the other members that they may elect another leader at once.
 func (machine *machine) handleResign(now time.Duration) {
 	if machine.leadership == nil {
 		return
@@ -328,7 +331,7 @@
 	}
 }
 
-// stepDown ends the leadership. The proposal under way may or may not come into force; those that wait do not.
+// stepDown ends the leadership. The outcome of the proposal in flight is unknown; queued proposals take no effect.
 func (machine *machine) stepDown(now time.Duration, reason string) {
 	lead := machine.leadership
 	machine.leadership = nil
--- a/coord/failover/loop.go
+++ b/coord/failover/loop.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// run owns the machine: it feeds it commands and ticks, and carries its effects out.
+// run owns the machine: it passes commands and ticks to it and executes its effects.
 func (node *Node) run(effects []effect) {
 	defer node.done.Done()
 	defer node.servesUntil.Store(0)
@@ -33,7 +33,7 @@
 	timer.Reset(max(wait, 0))
 }
 
-// register remembers where the answer to a command goes.
+// register stores the channel for the answer to a command.
 func (node *Node) register(received command) {
 	switch {
 	case received.vote != nil:
@@ -45,7 +45,7 @@
 	}
 }
 
-// step publishes the outcome before it carries the effects out, so that whoever is answered sees it.
+// step publishes the new status before it executes the effects, so that a caller that gets an answer sees it.
 func (node *Node) step(event input) {
 	effects := node.machine.step(node.now(), event)
 	node.publish()
@@ -74,14 +74,15 @@
 		case becameLeader:
 			node.config.Log.Info("leads", "epoch", requested.epoch)
 		case steppedDown:
-			node.config.Log.Info("leads no longer", "epoch", requested.epoch, "reason", requested.reason)
+			node.config.Log.Info("stepped down", "epoch", requested.epoch, "reason", requested.reason)
 		case committed:
-			// publish has taken it from the machine.
+			// publish reads the committed version from the machine.
 		}
 	}
 }
 
-// completeProposal answers who proposed or read. An abandoned proposal that was under way ends a second time.
+// completeProposal answers the caller of a proposal or read. A second completion, of an abandoned proposal that was in
+// flight, is ignored.
 func (node *Node) completeProposal(number uint64, err error) {
 	answer := node.proposals[number]
 	if answer == nil {
@@ -96,7 +97,7 @@
 	defer cancel()
 	reply, err := node.config.Transport.Vote(ctx, requested.address, requested.request)
 	result := voteResult{request: requested.request, reply: reply, failed: err != nil}
-	// The only error is that the node is closed.
+	// The only possible error is that the node is closed.
 	_ = node.enqueue(node.ctx, command{input: result})
 }
 
@@ -113,11 +114,11 @@
 		reply:        reply,
 		failed:       err != nil,
 	}
-	// The only error is that the node is closed.
+	// The only possible error is that the node is closed.
 	_ = node.enqueue(node.ctx, command{input: result})
 }
 
-// publish makes the state of the machine visible, and tells of it where it has changed.
+// publish stores the current status and wakes the notifier if the status has changed.
 func (node *Node) publish() {
 	now := node.now()
 	node.servesUntil.Store(int64(node.machine.servesUntil(now)))
@@ -133,7 +134,7 @@
 	}
 }
 
-// status describes the machine.
+// status returns the status of the member. Until a committed version is known, it reports the voters in the record.
 func (machine *machine) status(now time.Duration) Status {
 	newest := machine.committedContents
 	if machine.committedVersion == (Version{}) {
@@ -153,7 +154,7 @@
 	}
 }
 
-// equalStatus compares the version instead of the state.
+// equalStatus compares versions in place of the state itself.
 func equalStatus(one, other Status) bool {
 	return one.Leader == other.Leader &&
 		one.LeaderAddress == other.LeaderAddress &&
@@ -165,7 +166,7 @@
 		slices.Equal(one.Members, other.Members)
 }
 
-// runNotifier calls OnChange with the newest status.
+// runNotifier calls OnChange with the newest status after changes.
 func (node *Node) runNotifier() {
 	defer node.done.Done()
 	for {
--- a/coord/failover/machine.go
+++ b/coord/failover/machine.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// never is a moment that does not come.
+// never is a time that is never reached.
 const never = time.Duration(1<<63 - 1)
 
-// machineConfig is what a machine is told at its start.
+// machineConfig configures a machine.
 type machineConfig struct {
-	address     string // of this member
-	incarnation uint64 // of this process, drawn at its start
+	address     string // address of this member
+	incarnation uint64 // random number of this process, drawn at its start
 	timing      Timing
-	queueLimit  int                     // proposals that may wait
-	random      func(below int64) int64 // uniform in [0, below)
+	queueLimit  int                     // maximum number of queued proposals, and of pending reads
+	random      func(below int64) int64 // returns a uniform number in [0, below)
 }
 
-// savePoint tells what a save covers.
+// savePoint describes what a save of the record covers.
 type savePoint struct {
-	generation uint64 // rises with every change of the record
+	generation uint64 // increases with every change of the record
 	votedEpoch uint64
 	votedFor   string
 	version    Version
 }
 
-// pendingAnswer is an answer that waits until the record of its generation has been synced.
+// pendingAnswer is an answer that must not be sent before the record of its generation has been synced.
 type pendingAnswer struct {
 	generation uint64
 	finish     func() effect
 }
 
-// machine is the reducer of one member: step takes the time and an input, and returns effects. Time is monotonic and
-// counts from any moment. It is not safe for concurrent use.
+// machine is the protocol state machine of one member: step takes the current time and an input, and returns the effects
+// to execute. Times are monotonic and have an arbitrary origin. A machine is not safe for concurrent use.
 type machine struct {
 	config         machineConfig
-	record         Record // may be ahead of the disk
-	generation     uint64 // of the record
+	record         Record // may be newer than the record on disk
+	generation     uint64 // generation of record
 	saved          savePoint
 	pendingAnswers []pendingAnswer
 	effects        []effect
 
-	ackAfter        time.Duration    // no acknowledgement before; only for a disk that was empty
-	grant           grant            // the newest
-	restartCampaign *restartCampaign // nil where the record names another leader, or none
-	campaignAt      time.Duration    // of the next campaign
-	highestEpoch    uint64           // seen in replies; not a promise
+	ackAfter        time.Duration    // no heartbeat is acknowledged earlier; set if the disk was empty and the group exists
+	grant           grant            // newest lease granted to a leader
+	restartCampaign *restartCampaign // nil unless the record on disk named this member itself
+	campaignAt      time.Duration    // start of the next campaign
+	highestEpoch    uint64           // newest epoch seen in replies; unlike VotedEpoch it isn't persisted
 	campaign        *campaign
 	leadership      *leadership
 
@@ -53,16 +53,16 @@
 	committedContents Contents
 }
 
-// startKind tells how a member came to its record.
+// startKind tells where the initial record of a member comes from.
 type startKind int
 
 const (
 	startRestarted startKind = iota // the record was on disk
-	startBootstrap                  // the disk was empty at the first start of the whole group
+	startBootstrap                  // the disk was empty, and the whole group starts for the first time
 	startJoining                    // the disk was empty, and the group exists already
 )
 
-// newMachine returns a machine and its first effects. A record that was not on disk is saved first.
+// newMachine returns a machine and its first effects. A record that wasn't loaded from disk is saved first.
 func newMachine(config machineConfig, record Record, kind startKind, now time.Duration) (*machine, []effect) {
 	config.timing = config.timing.withDefaults()
 	created := &machine{config: config, record: record}
@@ -80,7 +80,7 @@
 	return created, created.takeEffects()
 }
 
-// step takes one input.
+// step handles one input and returns the resulting effects. It panics if an invariant of the protocol is violated.
 func (machine *machine) step(now time.Duration, event input) []effect {
 	votedBefore, versionBefore := machine.record.VotedEpoch, machine.record.Version
 	machine.stepDownIfLeaseExpired(now)
@@ -112,7 +112,7 @@
 	return machine.takeEffects()
 }
 
-// wakeAt returns when the next tick is due.
+// wakeAt returns the time at which the next tick is due.
 func (machine *machine) wakeAt(now time.Duration) time.Duration {
 	if machine.leadership != nil {
 		return min(machine.leadership.heartbeatAt, machine.leaseExpiry(now))
@@ -138,7 +138,7 @@
 	}
 }
 
-// handlePersisted counts what has been synced.
+// handlePersisted processes a completed save: it sends the answers that waited for it and counts this member's own sync.
 func (machine *machine) handlePersisted(now time.Duration, point savePoint) {
 	if point.generation <= machine.saved.generation {
 		return
@@ -159,7 +159,7 @@
 	machine.leaveJoint(now)
 }
 
-// saveRecord must follow every change of the record: it asks for a save.
+// saveRecord requests a save of the record. It must be called after every change of the record.
 func (machine *machine) saveRecord() {
 	machine.generation++
 	point := savePoint{
@@ -171,7 +171,7 @@
 	machine.emit(persist{point: point, record: machine.record})
 }
 
-// answerOnceSaved emits an answer when the record as it stands has been synced.
+// answerOnceSaved emits an answer as soon as the current record has been synced.
 func (machine *machine) answerOnceSaved(finish func() effect) {
 	if machine.saved.generation >= machine.generation {
 		machine.emit(finish())
@@ -180,12 +180,13 @@
 	machine.pendingAnswers = append(machine.pendingAnswers, pendingAnswer{generation: machine.generation, finish: finish})
 }
 
-// isVoter reports whether this member is in a list that it holds.
+// isVoter reports whether this member is in one of the lists of voters in its record.
 func (machine *machine) isVoter() bool {
 	return machine.record.Contents.hasVoter(machine.record.Identity)
 }
 
-// leaderAddress returns the address of the leader that this member follows, or its own where it serves, or nothing.
+// leaderAddress returns the address of the leader that this member follows, its own address if it serves as the leader,
+// or an empty string if no leader is known.
 func (machine *machine) leaderAddress(now time.Duration) string {
 	switch {
 	case machine.leadership != nil && machine.leadership.isServing:
@@ -196,7 +197,7 @@
 	return ""
 }
 
-// setCommitted takes a version that is known to be committed.
+// setCommitted records a version that is known to be committed, unless a newer one is known already.
 func (machine *machine) setCommitted(version Version, contents Contents) {
 	if !machine.committedVersion.Less(version) {
 		return
@@ -218,13 +219,13 @@
 	return taken
 }
 
-// checkInvariants panics where a promise would be broken, since going on could lose what was acknowledged.
+// checkInvariants panics if a safety rule is violated, because continuing could lose acknowledged state.
 func (machine *machine) checkInvariants(now time.Duration, votedBefore uint64, versionBefore Version) {
 	switch {
 	case machine.record.VotedEpoch < votedBefore:
-		panic("failover: the voted epoch went back")
+		panic("failover: the voted epoch decreased")
 	case machine.record.Version.Less(versionBefore):
-		panic("failover: the version went back")
+		panic("failover: the version decreased")
 	case machine.record.Version.Epoch > machine.record.VotedEpoch:
 		panic("failover: a version is newer than the voted epoch")
 	case machine.record.Version.Less(machine.committedVersion):
--- a/coord/failover/memberchange.go
+++ b/coord/failover/memberchange.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// pendingMemberChange is the change of voters that a leader was asked for. Contents that are joint outlast it: whoever leads
-// finishes them.
+// pendingMemberChange is a membership change that was proposed to this leader. If the leader steps down, the joint version
+// remains, and the next leader completes the change.
 type pendingMemberChange struct {
 	proposal        uint64
 	requested       memberChange
-	learner         *Member // being sent the contents; nil once it has synced them, and where none is added
-	requiredVersion Version // what the learner must have synced
+	learner         *Member // receives the contents; nil once it has synced them, or if no voter is added
+	requiredVersion Version // version that the learner must have synced
 }
 
-// handleMemberChange begins a change of voters. A voter to be added is a learner first.
+// handleMemberChange starts a membership change. A voter to be added starts as a learner.
 func (machine *machine) handleMemberChange(now time.Duration, requested propose) {
 	lead := machine.leadership
 	if lead.pendingChange != nil {
@@ -30,7 +30,7 @@
 	}
 	lead.pendingChange = &pendingMemberChange{proposal: requested.proposal, requested: *requested.members, requiredVersion: machine.record.Version}
 	if isSame {
-		return // it is joint already, and ends when that does
+		return // the joint version is in progress already and completes this change as well
 	}
 	added := requested.members.add
 	if added == nil || machine.record.Contents.hasVoter(added.ID) {
@@ -41,7 +41,7 @@
 	machine.replicate(now, *added)
 }
 
-// advanceLearner goes on with the change once the learner has synced the contents.
+// advanceLearner queues the joint version once the learner has synced the contents.
 func (machine *machine) advanceLearner(now time.Duration) {
 	change := machine.leadership.pendingChange
 	if change == nil || change.learner == nil {
@@ -55,7 +55,7 @@
 	machine.queueJointVersion(now)
 }
 
-// queueJointVersion has the joint version written next.
+// queueJointVersion puts the joint version at the head of the proposal queue.
 func (machine *machine) queueJointVersion(now time.Duration) {
 	lead := machine.leadership
 	next := propose{proposal: lead.pendingChange.proposal, members: &lead.pendingChange.requested}
@@ -63,9 +63,9 @@
 	machine.startNextProposal(now)
 }
 
-// leaveJoint writes the new list alone, once the joint version is committed and those that it adds have synced it. A
-// leader that the new list does not name leaves that to another one: if it alone held the new list, it could neither be
-// elected by it nor vote for a member that holds the joint version.
+// leaveJoint writes a version with the new list alone once the joint version is committed and all added voters have
+// synced it. A leader that isn't in the new list resigns instead: if it alone held the version with the new list, it
+// could neither be elected under that list nor vote for a member that holds the joint version.
 func (machine *machine) leaveJoint(now time.Duration) {
 	lead := machine.leadership
 	if lead == nil || !lead.isServing || lead.inFlight != nil || !machine.record.Contents.isJoint() {
@@ -86,7 +86,7 @@
 	machine.writeVersion(now, contents)
 }
 
-// hasSyncedSince reports whether a member has synced a version or a newer one.
+// hasSyncedSince reports whether a member has synced the given version or a newer one.
 func (machine *machine) hasSyncedSince(identity string, version Version) bool {
 	if identity == machine.record.Identity {
 		return !machine.saved.version.Less(version)
@@ -95,7 +95,7 @@
 	return progress != nil && progress.isVersionKnown && !progress.version.Less(version)
 }
 
-// completeMemberChange tells the proposer that the new list is committed alone.
+// completeMemberChange reports to the proposer that the version with the new list alone is committed.
 func (machine *machine) completeMemberChange() {
 	lead := machine.leadership
 	if lead.pendingChange == nil {
@@ -105,7 +105,8 @@
 	lead.pendingChange = nil
 }
 
-// abandonMemberChange forgets the change that a proposal asked for. A joint version stays.
+// abandonMemberChange drops the pending change if it belongs to the abandoned proposal, and reports whether it does. A
+// joint version that was written already remains.
 func (machine *machine) abandonMemberChange(abandoned abandon) bool {
 	lead := machine.leadership
 	if lead.pendingChange == nil || lead.pendingChange.proposal != abandoned.proposal {
--- a/coord/failover/members.go
+++ b/coord/failover/members.go
@@ -2,27 +2,27 @@
 
 import "slices"
 
-// A change of voters is carried out in these steps, so that at no moment fewer losses are borne than before it:
+// A membership change runs in these steps, so that the group never tolerates fewer failures than before the change:
 //
-//  1. A voter that is added is a learner first: the leader sends it the contents, and it syncs them, but it counts
-//     for nothing.
-//  2. Once it has, the joint version is written: its contents name the old voters and the new ones. Elections, leases
-//     and commits need a majority of the old list and one of the new list from the moment a member holds it.
-//  3. Once the joint version is committed and those that were added have synced it, a version with the new list alone
-//     is written, by a leader that the new list names. Every majority that could elect a leader by an older version
-//     needs a member that holds a newer one.
+//  1. An added voter starts as a learner: the leader sends it the contents, and it syncs them, but it isn't counted in any
+//     majority.
+//  2. When it has synced them, the joint version is written. Its contents list the old and the new voters. As soon as a
+//     member holds it, elections, leases and commits need a majority of the old list and one of the new list.
+//  3. When the joint version is committed and all added voters have synced it, a leader that is in the new list writes a
+//     version with the new list alone. Every majority that could elect a leader with an older version includes a member
+//     that holds a newer one.
 //
-// A leader that inherits a joint version goes on with step 3. A change whose added voter is lost in the meantime is
-// replaced by another one: the old list stays, and the joint version names another new list. A new list that equals the
+// A leader that inherits a joint version continues with step 3. If the added voter is lost in the meantime, the change is
+// replaced by another one: the old list stays, and the joint version gets another new list. A new list that equals the
 // old one ends the change.
 
-// pendingChange adds one voter, removes one, or exchanges one for another.
+// memberChange adds one voter, removes one, or replaces one by another.
 type memberChange struct {
 	add      *Member // nil for none
 	removeID string  // identity; empty for none
 }
 
-// apply returns the new list. It is the old one where nothing is to be changed.
+// apply returns the new list, or the list passed in if there is nothing to change. Errors are InvalidMembersError.
 func (change memberChange) apply(members []Member) ([]Member, error) {
 	changed := members
 	if change.add != nil {
@@ -63,7 +63,7 @@
 	return slices.ContainsFunc(members, func(member Member) bool { return member.ID == identity })
 }
 
-// isMajority reports whether holds is true of more than half of the members.
+// isMajority reports whether holds returns true for more than half of the members.
 func isMajority(members []Member, holds func(identity string) bool) bool {
 	count := 0
 	for _, member := range members {
@@ -74,10 +74,11 @@
 	return count > len(members)/2
 }
 
-// isJoint reports whether voters are being changed.
+// isJoint reports whether a membership change is in progress.
 func (contents Contents) isJoint() bool { return len(contents.OldMembers) > 0 }
 
-// isQuorum reports whether holds is true of a majority of the voters, and of the old ones while they are changed.
+// isQuorum reports whether holds returns true for a majority of the voters and, in a joint version, also for a majority of
+// the old voters.
 func (contents Contents) isQuorum(holds func(identity string) bool) bool {
 	if !isMajority(contents.Members, holds) {
 		return false
@@ -85,7 +86,7 @@
 	return !contents.isJoint() || isMajority(contents.OldMembers, holds)
 }
 
-// voters lists the voters of both lists.
+// voters returns the voters of both lists without duplicates.
 func (contents Contents) voters() []Member {
 	if !contents.isJoint() {
 		return contents.Members
@@ -104,8 +105,8 @@
 	return hasMember(contents.Members, identity) || hasMember(contents.OldMembers, identity)
 }
 
-// withMembers returns the contents that lead to a new list: joint ones, or those with the list alone where that is the
-// one before the change.
+// withMembers returns the contents of the next step towards a new list: joint contents, or contents with the list alone
+// if it equals the list before the change.
 func (contents Contents) withMembers(members []Member) Contents {
 	before := contents.Members
 	if contents.isJoint() {
@@ -118,7 +119,7 @@
 	return contents
 }
 
-// added lists the voters that joint contents add.
+// addedMembers returns the voters of joint contents that are not in the old list.
 func (contents Contents) addedMembers() []Member {
 	isOld := func(member Member) bool { return hasMember(contents.OldMembers, member.ID) }
 	return slices.DeleteFunc(slices.Clone(contents.Members), isOld)
--- a/coord/failover/proposal.go
+++ b/coord/failover/proposal.go
@@ -26,7 +26,8 @@
 	machine.startNextProposal(now)
 }
 
-// handleAbandon ends a proposal or a read early. A proposal that is under way goes on, but nobody learns of its end.
+// handleAbandon completes a proposal or a read whose caller stopped waiting. A proposal in flight continues, but its
+// final outcome isn't reported.
 func (machine *machine) handleAbandon(abandoned abandon) {
 	lead := machine.leadership
 	if lead == nil || machine.abandonRead(abandoned) || machine.abandonMemberChange(abandoned) {
@@ -42,7 +43,7 @@
 	}
 }
 
-// dropQueued takes a proposal out of the queue, and reports whether it was there.
+// dropQueued removes a proposal from the queue and reports whether it was queued.
 func (lead *leadership) dropQueued(proposal uint64) bool {
 	isMatch := func(waiting propose) bool { return waiting.proposal == proposal }
 	position := slices.IndexFunc(lead.queue, isMatch)
@@ -53,7 +54,8 @@
 	return true
 }
 
-// startNextProposal begins the first proposal that changes something, unless one is under way.
+// startNextProposal starts the first queued proposal that changes the contents, unless a proposal is in flight. Queued
+// proposals that fail or change nothing end like reads, after a heartbeat round.
 func (machine *machine) startNextProposal(now time.Duration) {
 	lead := machine.leadership
 	for lead.inFlight == nil && len(lead.queue) > 0 {
@@ -72,7 +74,7 @@
 	}
 }
 
-// writeVersion gives new contents the next version and sends them.
+// writeVersion writes new contents as the next version and sends them to the other members.
 func (machine *machine) writeVersion(now time.Duration, contents Contents) {
 	isChanged := !slices.Equal(contents.Members, machine.record.Contents.Members)
 	machine.leadership.inheritedVersion = Version{}
--- a/coord/failover/read.go
+++ b/coord/failover/read.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// A read ends once a majority has answered a round of heartbeats that began after the read came. Each of them has then
-// voted for no newer leader since, so no newer leader was elected before the read came, and the committed state of this
-// one holds all that was acknowledged by then. This rests on no clock; the lease is a second guard.
+// A read completes once a majority has acknowledged a round of heartbeats that started after the read arrived (like
+// ReadIndex in Raft). The acknowledgements show that none of these members had voted in a newer epoch by then, so no newer
+// leader was elected before the read arrived, and the committed state of this leader includes everything that was
+// acknowledged by that time. This doesn't depend on clocks; the lease is a second safeguard.
 //
-// A proposal that makes no new version, because it is refused or changes nothing, ends in the same way: what it was
-// compared with was the newest state when it came.
+// A proposal that creates no new version, because it is refused or changes nothing, completes in the same way. This
+// confirms that the state on which it was evaluated was the newest when the proposal arrived.
 
-// pendingRead is a read, or a proposal without a new version, that waits for answers to a round or a later one.
+// pendingRead is a read, or a proposal without a new version, that waits until its heartbeat round or a later one is
+// acknowledged.
 type pendingRead struct {
-	number uint64 // of the read or proposal
+	number uint64 // number of the read or proposal
 	round  uint64
-	result error // told once the round is answered
+	result error // reported once the round is acknowledged
 	isRead bool
 }
 
-// ended is the effect that tells of the end.
+// doneEffect returns the effect that reports the completion.
 func (waiting pendingRead) doneEffect(err error) effect {
 	if waiting.isRead {
 		return readDone{read: waiting.number, err: err}
@@ -25,7 +27,7 @@
 	return proposalDone{proposal: waiting.number, err: err}
 }
 
-// handleRead has a read wait for its round.
+// handleRead starts a read. It fails at once if this member doesn't serve as the leader or too many reads are pending.
 func (machine *machine) handleRead(now time.Duration, requested read) {
 	lead := machine.leadership
 	if lead == nil || !lead.isServing {
@@ -40,7 +42,8 @@
 	machine.awaitRound(now, pendingRead{number: requested.read, isRead: true})
 }
 
-// awaitRound begins a round, unless one is under way for an earlier read: the next one begins when that ends.
+// awaitRound starts a heartbeat round, unless an earlier read waits for one. Reads that arrive during a round share the
+// next one, which starts when the current one has completed.
 func (machine *machine) awaitRound(now time.Duration, pending pendingRead) {
 	lead := machine.leadership
 	pending.round = lead.round + 1
@@ -51,7 +54,7 @@
 	}
 }
 
-// finishReads ends the reads whose round a majority has answered, and begins the round that the next ones wait for.
+// finishReads completes the reads whose round a majority has acknowledged, and starts the round for the remaining ones.
 func (machine *machine) finishReads(now time.Duration) {
 	lead := machine.leadership
 	finished := 0
@@ -69,7 +72,7 @@
 	}
 }
 
-// isRoundConfirmed reports whether a majority has answered a heartbeat of a round or of a later one.
+// isRoundConfirmed reports whether a majority has acknowledged a heartbeat of the round or of a later one.
 func (machine *machine) isRoundConfirmed(round uint64) bool {
 	if round > machine.leadership.round {
 		return false
@@ -83,7 +86,7 @@
 	})
 }
 
-// abandonRead forgets a read that nobody waits for any longer.
+// abandonRead removes a read whose caller stopped waiting, and reports whether it was pending.
 func (machine *machine) abandonRead(abandoned abandon) bool {
 	lead := machine.leadership
 	for position, pending := range lead.reads {
--- a/coord/failover/record.go
+++ b/coord/failover/record.go
@@ -2,22 +2,22 @@
 
 import "encoding/binary"
 
-// The first byte of an encoded record. A record of the first format has no old members.
+// Values of the first byte of an encoded record. The first format has no old members.
 const (
 	recordFormatV1 = 1
 	recordFormatV2 = 2
 )
 
-// Record is all that a member keeps on its disk.
+// Record is everything that a member persists.
 type Record struct {
 	Identity   string
-	VotedEpoch uint64 // newest epoch voted in, or accepted from a leader
-	VotedFor   string // identity of the leader accepted in it, else of the candidate voted for
+	VotedEpoch uint64 // newest epoch that the member has voted in, or accepted from a leader
+	VotedFor   string // identity of the leader accepted in VotedEpoch, otherwise of the candidate voted for
 	Version    Version
 	Contents   Contents
 }
 
-// Encode returns the record as bytes for Storage. The bytes carry no checksum.
+// Encode returns the binary form of the record for Storage. It has no checksum.
 func (record Record) Encode() []byte {
 	encoded := make([]byte, 0, 64+64*len(record.Contents.Members)+len(record.Contents.State))
 	encoded = append(encoded, recordFormatV2)
@@ -41,10 +41,10 @@
 	return encoded
 }
 
-// DecodeRecord reads what Encode returned. The error is a CorruptRecordError.
+// DecodeRecord decodes the result of Encode. Errors are CorruptRecordError.
 func DecodeRecord(encoded []byte) (Record, error) {
 	if len(encoded) == 0 || encoded[0] != recordFormatV2 && encoded[0] != recordFormatV1 {
-		return Record{}, CorruptRecordError{Reason: "unknown format"}
+		return Record{}, CorruptRecordError{Reason: "unknown record format"}
 	}
 	reader := recordReader{rest: encoded[1:]}
 	record := Record{
@@ -59,7 +59,7 @@
 		record.Contents.OldMembers = reader.members()
 	}
 	if reader.isTruncated {
-		return Record{}, CorruptRecordError{Reason: "cut short"}
+		return Record{}, CorruptRecordError{Reason: "truncated"}
 	}
 	record.Contents.State = reader.rest
 	return record, nil
@@ -70,7 +70,7 @@
 	return append(encoded, text...)
 }
 
-// recordReader reads fields one after the other; after the first that is cut short it returns zero values.
+// recordReader reads consecutive fields. After a field that is truncated it returns zero values.
 type recordReader struct {
 	rest        []byte
 	isTruncated bool
--- a/coord/failover/restartcampaign.go
+++ b/coord/failover/restartcampaign.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	restartCampaignsPerTimeout = 4  // campaigns in one CampaignTimeout
-	restartJitterDivisor       = 10 // of ElectionJitter
+	restartCampaignsPerTimeout = 4  // campaigns within one CampaignTimeout
+	restartJitterDivisor       = 10 // fraction of ElectionJitter
 )
 
-// restartCampaign makes a member that led or campaigned before its restart campaign at once, and often at first, since the
-// others may start a little later than it does.
+// restartCampaign makes a member that led or campaigned before its restart campaign at once, and frequently at first,
+// because the other members may start slightly later.
 //
-// It also tells the others that the epoch on its record is over, by the message of a leader that resigns. That holds
-// for good: an earlier life has ended, and since the epoch is on disk, this life and later ones campaign in newer
-// epochs only. The others then drop their grants, whoever is elected; it matters where this member can't be, because
-// another one holds a newer version.
+// It also announces that the epoch in its record has ended, by sending the message of a leader that resigns. This holds
+// permanently: the leadership ended with the restart, and since the epoch is on disk, this process and later ones campaign
+// only in newer epochs. The other members then drop their grants, whoever is elected. This matters if this member can't
+// be elected because another one holds a newer version.
 type restartCampaign struct {
 	epoch     uint64
-	expiresAt time.Duration // one lease after the start: then forgotten grants have ended by themselves
+	expiresAt time.Duration // one lease after the start, when forgotten grants have ended anyway
 }
 
 func (machine *machine) startRestartCampaign(now time.Duration) {
@@ -27,7 +27,8 @@
 	machine.scheduleCampaign(now, machine.restartCampaignJitter())
 }
 
-// continueRestartCampaign is called at every campaign.
+// continueRestartCampaign schedules the next frequent campaign and repeats the announcement. It is called at the start of
+// every campaign.
 func (machine *machine) continueRestartCampaign(now time.Duration) {
 	if machine.restartCampaign == nil {
 		return
--- a/coord/failover/saver.go
+++ b/coord/failover/saver.go
@@ -7,24 +7,24 @@
 	"github.com/go-logr/logr"
 )
 
-// saveRetryDelay is the pause after a save that failed.
+// saveRetryDelay is the delay before a failed save is retried.
 const saveRetryDelay = 200 * time.Millisecond
 
-// saver keeps the newest record that is to be saved. A record that is overtaken while another one is being synced is
-// never written.
+// saver holds the newest record to be saved. A record that is superseded while another one is being synced is never
+// written.
 type saver struct {
 	storage Storage
 	log     logr.Logger
 	wake    chan struct{}
 	mutex   sync.Mutex
-	newest  *persist // nil where nothing is to be saved
+	newest  *persist // nil if there is nothing to save
 }
 
 func newSaver(storage Storage, log logr.Logger) *saver {
 	return &saver{storage: storage, log: log, wake: make(chan struct{}, 1)}
 }
 
-// save asks for a save and does not wait.
+// save requests a save and returns at once.
 func (saver *saver) save(requested persist) {
 	saver.mutex.Lock()
 	saver.newest = &requested
@@ -43,7 +43,7 @@
 	return requested
 }
 
-// runSaver saves off the goroutine that owns the machine, so that a slow disk does not hold up heartbeats.
+// runSaver saves on a separate goroutine from the one that owns the machine, so that a slow disk doesn't delay heartbeats.
 func (node *Node) runSaver() {
 	defer node.done.Done()
 	for {
@@ -56,7 +56,7 @@
 	}
 }
 
-// saveNewest saves until nothing newer is wanted.
+// saveNewest saves until there is no newer record.
 func (node *Node) saveNewest() {
 	for requested := node.saver.takeNewest(); requested != nil; requested = node.saver.takeNewest() {
 		if !node.saveUntilSynced(*requested) {
@@ -65,11 +65,11 @@
 	}
 }
 
-// saveUntilSynced tries until the record is synced; it returns false where the node was closed before that.
+// saveUntilSynced retries until the record is synced. It returns false if the node was closed before that.
 func (node *Node) saveUntilSynced(requested persist) bool {
 	encoded := requested.record.Encode()
 	for err := node.saver.storage.Save(encoded); err != nil; err = node.saver.storage.Save(encoded) {
-		node.saver.log.Error(err, "the record was not saved; no vote and no acknowledgement until it is")
+		node.saver.log.Error(err, "failed to save the member record; votes and acknowledgements are withheld until it is saved")
 		select {
 		case <-node.ctx.Done():
 			return false
--- a/coord/failover/timing.go
+++ b/coord/failover/timing.go
@@ -6,19 +6,19 @@
 	"github.com/pkg/errors"
 )
 
-// Timing holds the durations of the protocol. Members may differ in Lease and Margin; the others must be the same. The zero value
-// of a field stands for its default.
+// Timing holds the durations of the protocol. Members may differ in Lease and Margin; all other fields must be the same at
+// every member. A field that is zero has its default value.
 type Timing struct {
-	Lease           time.Duration // a grant, from the moment a heartbeat arrived; default 700 ms
-	LongestLease    time.Duration // the longest Lease of any member, and what those count on that do not tell theirs; default Lease
-	Margin          time.Duration // by how much the leader stops earlier; bounds the drift of clocks; default 120 ms
-	Heartbeat       time.Duration // between heartbeats; default 175 ms
-	ElectionJitter  time.Duration // bound of the random wait before a campaign; default 150 ms
-	CampaignTimeout time.Duration // a campaign without a majority begins anew after it; default 250 ms
-	ContentsTimeout time.Duration // contents not answered are sent again after it, doubled after each failure; default 2 s
+	Lease           time.Duration // duration of a grant, counted from the arrival of the heartbeat; default 700 ms
+	LongestLease    time.Duration // longest Lease of any member, assumed for leaders that don't report theirs; default Lease
+	Margin          time.Duration // how long before the end of its grants the leader stops; must cover the drift of clocks; default 120 ms
+	Heartbeat       time.Duration // interval between heartbeats; default 175 ms
+	ElectionJitter  time.Duration // upper bound of the random delay before a campaign; default 150 ms
+	CampaignTimeout time.Duration // a campaign without a majority is restarted after this time; default 250 ms
+	ContentsTimeout time.Duration // timeout of a transfer of contents, doubled after each failure; default 2 s
 }
 
-// Defaults of Timing.
+// Default values of Timing.
 const (
 	defaultLease           = 700 * time.Millisecond
 	defaultMargin          = 120 * time.Millisecond
@@ -39,8 +39,8 @@
 	return timing
 }
 
-// validate reports durations with which no leader could keep its lease, or with which two leaders could serve at once. Defaults must have
-// been filled in.
+// validate returns an error for durations with which no leader could renew its lease in time, or with which two leaders
+// could serve at once. The defaults must have been set.
 func (timing Timing) validate() error {
 	switch {
 	case timing.Lease > timing.LongestLease:
