--- a/coord/failover/checker_test.go
+++ b/coord/failover/checker_test.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// checker watches what is committed and what proposers are told. The state is a list of names of proposals, each
+// checker checks the committed versions and the outcomes of proposals. The state is a list of proposal names, each
 // followed by a comma.
 type checker struct {
-	violation     string // the first one
+	violation     string // first violation
 	newest        committed
-	allowsDrift   bool    // clocks drift by more than the margin, so that a former leader may commit late what is in force
-	jointSince    Version // where the newest contents are joint: the first version with these lists
+	allowsDrift   bool    // clocks drift by more than the margin, so a former leader may commit a version that its successor already holds
+	jointSince    Version // first version with the newest lists, while the newest contents are joint
 	byVersion     map[Version]string
-	refused       []string // promised never to come into force
+	refused       []string // proposals that were reported not to take effect
 	names         map[uint64]string
 	succeeded     []string
-	memberChanges int // lists of voters that were committed
+	memberChanges int // number of committed lists of voters
 	unknown       int
 }
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// commit checks that a version has one state only, and that a new one continues the newest one before it.
+// commit checks that a version has only one state, and that a new version extends the newest one before it.
 func (checker *checker) commit(seen committed) {
 	state := string(seen.contents.State)
 	known, isKnown := checker.byVersion[seen.version]
@@ -46,7 +46,7 @@
 	checker.byVersion[seen.version] = state
 	if checker.allowsDrift && seen.version.Less(checker.newest.version) {
 		if !bytes.HasPrefix(checker.newest.contents.State, seen.contents.State) {
-			checker.violate("%v was committed and is not in %v", seen.version, checker.newest.version)
+			checker.violate("%v was committed but is not part of %v", seen.version, checker.newest.version)
 		}
 		return
 	}
@@ -54,9 +54,9 @@
 	case !checker.newest.version.Less(seen.version):
 		checker.violate("%v was committed after %v", seen.version, checker.newest.version)
 	case seen.version.Seq <= checker.newest.version.Seq:
-		checker.violate("seq went back from %v to %v", checker.newest.version, seen.version)
+		checker.violate("seq decreased from %v to %v", checker.newest.version, seen.version)
 	case !bytes.HasPrefix(seen.contents.State, checker.newest.contents.State):
-		checker.violate("%v lost what %v had", seen.version, checker.newest.version)
+		checker.violate("%v lacks state of %v", seen.version, checker.newest.version)
 	}
 	if !slices.Equal(seen.contents.Members, checker.newest.contents.Members) {
 		checker.memberChanges++
@@ -75,7 +75,7 @@
 	case nil:
 		checker.succeeded = append(checker.succeeded, name)
 		if !checker.isInForce(name) {
-			checker.violate("%s was acknowledged and is not in force", name)
+			checker.violate("%s was acknowledged but is not in the state", name)
 		}
 	case OutcomeUnknownError:
 		checker.unknown++
@@ -88,18 +88,18 @@
 	return strings.Contains(string(checker.newest.contents.State), ","+name+",")
 }
 
-// checkEnd checks every proposal against the last state.
+// checkEnd checks every completed proposal against the final state.
 func (checker *checker) checkEnd() {
 	names := strings.Split(string(checker.newest.contents.State), ",")
 	slices.Sort(names)
 	for _, name := range checker.succeeded {
 		if _, isFound := slices.BinarySearch(names, name); !isFound {
-			checker.violate("%s was acknowledged and is lost", name)
+			checker.violate("%s was acknowledged but lost", name)
 		}
 	}
 	for _, name := range checker.refused {
 		if _, isFound := slices.BinarySearch(names, name); isFound {
-			checker.violate("%s was refused and is in force", name)
+			checker.violate("%s was refused but is in the state", name)
 		}
 	}
 }
--- a/coord/failover/contestedelection_test.go
+++ b/coord/failover/contestedelection_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// runContestedSimulation restarts members while others contest the leadership: what a restarted member believes of the leader
-// matters most there.
+// runContestedSimulation restarts members while others contest the leadership. In this situation an election depends most
+// on what a restarted member assumes about the leader.
 func runContestedSimulation(seed uint64, mutation mutation) *simulator {
 	return runSimulationWithFaults(seed, 3, mutation, (*simulator).scheduleContests)
 }
@@ -22,7 +22,7 @@
 	})
 }
 
-// contestElection has the leader resign, while the two others may not hear each other.
+// contestElection makes the leader resign, with a chance that the other two can't reach each other.
 func (simulator *simulator) contestElection() {
 	simulator.faults++
 	clear(simulator.brokenLinks)
@@ -38,8 +38,8 @@
 	simulator.schedule(simulator.duration(200*time.Millisecond, 800*time.Millisecond), func() { simulator.isolateFormerLeader(first) })
 }
 
-// isolateFormerLeader cuts the former leader off from its successor and restarts the third member around the moment at which
-// the former leader may campaign.
+// isolateFormerLeader cuts the links between the former leader and its successor, and restarts the third member around the
+// time at which the former leader may campaign.
 func (simulator *simulator) isolateFormerLeader(first *process) {
 	clear(simulator.brokenLinks)
 	second := simulator.leader()
@@ -51,7 +51,7 @@
 	simulator.schedule(simulator.duration(600*time.Millisecond, 1600*time.Millisecond), func() { simulator.restartQuickly(third) })
 }
 
-// restartQuickly ends a process that is back within a fraction of the lease.
+// restartQuickly stops a process and restarts it within a fraction of the lease.
 func (simulator *simulator) restartQuickly(ended *process) {
 	if ended.machine == nil {
 		return
@@ -60,7 +60,7 @@
 	simulator.schedule(simulator.duration(minRestartDelay, maxRestartDelay), func() { ended.start(false) })
 }
 
-// leading returns a process that leads, or nil.
+// leader returns a process that leads, or nil.
 func (simulator *simulator) leader() *process {
 	for _, process := range simulator.processes {
 		if process.isLeading() {
@@ -95,15 +95,15 @@
 	}
 }
 
-// TestContestedWalkCatchesMutations shows that the checks notice a record that lacks the leader.
+// TestContestedWalkCatchesMutations checks that the simulation detects a record that doesn't name the leader.
 func TestContestedWalkCatchesMutations(t *testing.T) {
 	cases := []struct {
 		name     string
 		mutation mutation
 	}{
-		{"the leader of an accepted heartbeat is not written", mutation{beforeSave: keepOldLeader}},
-		{"the leader of the epoch voted in is not written", mutation{beforeSave: keepCandidate}},
-		{"a restarted witness assumes no grant", mutation{afterStart: assumeNoGrant}},
+		{"the leader of an accepted heartbeat is not saved", mutation{beforeSave: keepOldLeader}},
+		{"the leader of the epoch voted in is not saved", mutation{beforeSave: keepCandidate}},
+		{"a restarted voter assumes no grant", mutation{afterStart: assumeNoGrant}},
 	}
 	for _, altered := range cases {
 		altered.mutation.timing = shortJitter
@@ -116,12 +116,12 @@
 					return
 				}
 			}
-			t.Fatalf("not noticed in %d walks", maxSeeds)
+			t.Fatalf("not detected in %d simulations", maxSeeds)
 		})
 	}
 }
 
-// keepOldLeader leaves the leader out of what is written of an accepted heartbeat.
+// keepOldLeader doesn't save the leader of an accepted heartbeat.
 func keepOldLeader(process *process, record Record) Record {
 	if process.machine.grant.leader == record.VotedFor {
 		record.VotedFor = process.writtenVote().VotedFor
@@ -129,7 +129,7 @@
 	return record
 }
 
-// keepCandidate leaves the leader out where another candidate was voted for in its epoch.
+// keepCandidate doesn't save the leader if another candidate was voted for in the same epoch.
 func keepCandidate(process *process, record Record) Record {
 	written := process.writtenVote()
 	if written.VotedEpoch == record.VotedEpoch {
@@ -155,7 +155,7 @@
 	return Record{}
 }
 
-// assumeNoGrant lets a restarted member vote for anybody.
+// assumeNoGrant lets a restarted member vote for any candidate.
 func assumeNoGrant(process *process) {
 	process.machine.grant = grant{}
 	process.machine.campaignAt = process.clock()
--- a/coord/failover/follower.go
+++ b/coord/failover/follower.go
@@ -24,12 +24,12 @@
 		machine.stepDown(now, "another member leads a newer epoch")
 	}
 	machine.followLeader(now, request)
-	isVersionTaken := machine.adoptVersion(request)
+	isVersionAdopted := machine.adoptVersion(request)
 	machine.updateCommitted(request)
 	finish := func() effect {
 		return answerReplicate{call: incoming.call, reply: machine.replicateReply()}
 	}
-	mustWait := isVersionTaken || request.Contents != nil
+	mustWait := isVersionAdopted || request.Contents != nil
 	if !mustWait && machine.isLeaderSaved(request) {
 		machine.emit(finish())
 		return
@@ -101,6 +101,7 @@
 	return true
 }
 
+// updateCommitted applies the commit position of the leader, if this member holds a version of the leader's epoch.
 func (machine *machine) updateCommitted(request ReplicateRequest) {
 	held := machine.record.Version
 	if held.Epoch == request.Epoch && held.Seq <= request.CommittedSeq {
--- a/coord/failover/grant.go
+++ b/coord/failover/grant.go
@@ -26,16 +26,16 @@
 // A member whose record names itself has granted no valid lease: by the rules above it could only have granted one to
 // itself before the restart, and that leadership has ended. It delays neither its campaign nor votes for others.
 type grant struct {
-	leader    string
-	address   string // empty if the grant is assumed after a restart
-	expiresAt time.Duration
+	leader    string        // identity of the leader
+	address   string        // empty if the grant is assumed after a restart
+	expiresAt time.Duration // on the clock of this member
 }
 
 // assumeGrant sets the grant that may have been given before the start. A member with a new identity has given none but
 // waits as well.
 func (machine *machine) assumeGrant(now time.Duration, kind startKind) {
-	hasPromised := machine.record.VotedEpoch > 0 || machine.record.Version.Epoch > 0
-	if !hasPromised && kind != startJoining {
+	mayHaveGranted := machine.record.VotedEpoch > 0 || machine.record.Version.Epoch > 0
+	if !mayHaveGranted && kind != startJoining {
 		return
 	}
 	if machine.record.VotedFor == machine.record.Identity {
--- a/coord/failover/leader.go
+++ b/coord/failover/leader.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// peer is what the leader knows about another member.
-type peer struct {
-	isVersionKnown   bool // it has answered in this epoch, and no transfer of contents has failed since
-	version          Version
-	hasGranted       bool
+// peerProgress is what the leader knows about another member.
+type peerProgress struct {
+	isVersionKnown   bool          // it has answered in this epoch, and no transfer of contents has failed since
+	version          Version       // newest version that it has reported as synced
+	hasGranted       bool          // it has acknowledged a heartbeat of this leader
 	grantedSentAt    time.Duration // send time of the newest heartbeat that it acknowledged
 	answeredRound    uint64        // newest heartbeat round that it acknowledged
 	contentsRound    uint64        // heartbeat round of the newest transfer of contents
@@ -20,12 +20,12 @@
 
 // contentsTimeout returns the timeout of the next transfer of contents. It doubles after each failure, so that large
 // contents eventually get through a slow link.
-func (progress *peer) contentsTimeout(timing Timing) time.Duration {
+func (progress *peerProgress) contentsTimeout(timing Timing) time.Duration {
 	return timing.ContentsTimeout << min(progress.contentsFailures, maxTimeoutDoublings)
 }
 
 // endTransfer records the outcome of a transfer of contents. The outcome is ignored if a newer transfer has started.
-func (progress *peer) endTransfer(result replicateResult) {
+func (progress *peerProgress) endTransfer(result replicateResult) {
 	if result.round != progress.contentsRound {
 		return
 	}
@@ -40,7 +40,7 @@
 
 // updateIncarnation abandons a transfer of contents to a process that has since restarted, because the new process
 // hasn't received them.
-func (progress *peer) updateIncarnation(result replicateResult) {
+func (progress *peerProgress) updateIncarnation(result replicateResult) {
 	reported := result.reply.Incarnation
 	isLate := result.round < progress.answeredRound
 	if reported == 0 || isLate {
@@ -56,17 +56,17 @@
 // leadership is the state of an elected leader. The leader serves once the inherited version is committed in its epoch.
 type leadership struct {
 	epoch            uint64
-	electedAt        time.Duration
-	heartbeatAt      time.Duration
-	peers            map[string]*peer // by identity
-	inheritedVersion Version          // older version with the same contents as the record; zero if there is none
-	jointSince       Version          // while the record is joint: version in which this leader first held its lists of voters
-	isServing        bool
-	inFlight         *propose
-	queue            []propose
-	pendingChange    *pendingMemberChange // nil if there is none
-	round            uint64               // number of the newest heartbeat round
-	reads            []pendingRead        // ordered by round
+	electedAt        time.Duration            // the lease starts here until a majority has acknowledged a heartbeat
+	heartbeatAt      time.Duration            // time of the next heartbeat
+	peers            map[string]*peerProgress // by identity
+	inheritedVersion Version                  // older version with the same contents as the record; zero if there is none
+	jointSince       Version                  // while the record is joint: version in which this leader first held its lists of voters
+	isServing        bool                     // the inherited version is committed in this epoch
+	inFlight         *propose                 // written but not committed yet; nil if there is none
+	queue            []propose                // proposals that wait for the one in flight
+	pendingChange    *pendingMemberChange     // nil if there is none
+	round            uint64                   // number of the newest heartbeat round
+	reads            []pendingRead            // ordered by round
 }
 
 // startLeadership writes the inherited contents as a new version of the leader's own epoch.
@@ -74,7 +74,7 @@
 	machine.leadership = &leadership{
 		epoch:            machine.campaign.epoch,
 		electedAt:        now,
-		peers:            make(map[string]*peer),
+		peers:            make(map[string]*peerProgress),
 		inheritedVersion: machine.record.Version,
 	}
 	machine.campaign = nil
@@ -109,9 +109,11 @@
 	return recipients
 }
 
+// replicate sends a heartbeat to a member. It includes the contents if the member lacks them, may receive them and no
+// transfer to it is in progress.
 func (machine *machine) replicate(now time.Duration, member Member) {
 	request := machine.replicateRequest(member.ID)
-	progress := machine.peer(member.ID)
+	progress := machine.peerProgress(member.ID)
 	isMissing := progress.isVersionKnown && progress.version.Less(machine.record.Version)
 	send := sendReplicate{address: member.Address, request: request, sentAt: now, round: machine.leadership.round}
 	if isMissing && machine.canReceiveContents(member.ID) && now >= progress.contentsRetryAt {
@@ -152,10 +154,11 @@
 	return request
 }
 
-func (machine *machine) peer(identity string) *peer {
+// peerProgress returns the progress of a member and starts to track it if it is new.
+func (machine *machine) peerProgress(identity string) *peerProgress {
 	progress := machine.leadership.peers[identity]
 	if progress == nil {
-		progress = &peer{}
+		progress = &peerProgress{}
 		machine.leadership.peers[identity] = progress
 	}
 	return progress
@@ -165,7 +168,7 @@
 	if machine.leadership == nil || machine.leadership.epoch != result.epoch {
 		return
 	}
-	progress := machine.peer(result.member)
+	progress := machine.peerProgress(result.member)
 	if result.withContents {
 		progress.endTransfer(result)
 	}
@@ -200,7 +203,7 @@
 
 // sendMissingContents sends the contents at once to a member that was found to lack them.
 func (machine *machine) sendMissingContents(now time.Duration, identity string) {
-	progress := machine.peer(identity)
+	progress := machine.peerProgress(identity)
 	isMissing := progress.version.Less(machine.record.Version) && machine.canReceiveContents(identity)
 	if !isMissing || now < progress.contentsRetryAt {
 		return
@@ -274,10 +277,10 @@
 // and whether there is one.
 func (machine *machine) quorumGrantTime(now time.Duration) (time.Duration, bool) {
 	newest, isFound := time.Duration(0), false
-	consider := func(moment time.Duration) {
-		hasGranted := func(identity string) bool { return machine.hasGrantedSince(identity, moment) }
-		if (!isFound || moment > newest) && machine.record.Contents.isQuorum(hasGranted) {
-			newest, isFound = moment, true
+	consider := func(since time.Duration) {
+		hasGranted := func(identity string) bool { return machine.hasGrantedSince(identity, since) }
+		if (!isFound || since > newest) && machine.record.Contents.isQuorum(hasGranted) {
+			newest, isFound = since, true
 		}
 	}
 	consider(now)
@@ -289,12 +292,13 @@
 	return newest, isFound
 }
 
-func (machine *machine) hasGrantedSince(identity string, moment time.Duration) bool {
+// hasGrantedSince reports whether a member has acknowledged a heartbeat sent at the given time or later.
+func (machine *machine) hasGrantedSince(identity string, since time.Duration) bool {
 	if identity == machine.record.Identity {
 		return true
 	}
 	progress := machine.leadership.peers[identity]
-	return progress != nil && progress.hasGranted && progress.grantedSentAt >= moment
+	return progress != nil && progress.hasGranted && progress.grantedSentAt >= since
 }
 
 // servesUntil returns the time at which the lease of a serving leader expires, or 0 if this member doesn't serve.
--- a/coord/failover/machine.go
+++ b/coord/failover/machine.go
@@ -35,21 +35,21 @@
 // to execute. Times are monotonic and have an arbitrary origin. A machine is not safe for concurrent use.
 type machine struct {
 	config         machineConfig
-	record         Record // may be newer than the record on disk
-	generation     uint64 // generation of record
-	saved          savePoint
-	pendingAnswers []pendingAnswer
+	record         Record          // may be newer than the record on disk
+	generation     uint64          // generation of record
+	saved          savePoint       // newest save that was synced
+	pendingAnswers []pendingAnswer // in order of generation
 	effects        []effect
 
 	ackAfter        time.Duration    // no heartbeat is acknowledged earlier; set if the disk was empty and the group exists
 	grant           grant            // newest lease granted to a leader
 	restartCampaign *restartCampaign // nil unless the record on disk named this member itself
 	campaignAt      time.Duration    // start of the next campaign
-	highestEpoch    uint64           // newest epoch seen in replies; unlike VotedEpoch it isn't persisted
-	campaign        *campaign
-	leadership      *leadership
+	highestEpoch    uint64           // newest epoch seen in replies; unlike VotedEpoch it does not restrict votes
+	campaign        *campaign        // nil unless this member is a candidate
+	leadership      *leadership      // nil unless this member was elected
 
-	committedVersion  Version
+	committedVersion  Version // zero if no committed version is known
 	committedContents Contents
 }
 
--- a/coord/failover/machine_test.go
+++ b/coord/failover/machine_test.go
@@ -21,7 +21,7 @@
 	thirdID = seedIdentity(thirdAddress)
 )
 
-// bench drives one machine by hand. Saves are confirmed by confirm only.
+// harness drives one machine step by step. Saves are confirmed only by confirmSave.
 type harness struct {
 	t       *testing.T
 	machine *machine
@@ -46,15 +46,15 @@
 
 func (harness *harness) recordEffects(effects []effect) {
 	harness.effects = effects
-	for _, wanted := range effects {
-		if save, isSave := wanted.(persist); isSave {
+	for _, requested := range effects {
+		if save, isSave := requested.(persist); isSave {
 			harness.newest = &save
 		}
 	}
 }
 
-func (harness *harness) step(taken input) []effect {
-	harness.recordEffects(harness.machine.step(harness.now, taken))
+func (harness *harness) step(event input) []effect {
+	harness.recordEffects(harness.machine.step(harness.now, event))
 	return harness.effects
 }
 
@@ -70,14 +70,14 @@
 func effectsOf[Wanted effect](effects []effect) []Wanted {
 	var found []Wanted
 	for _, one := range effects {
-		if wanted, isWanted := one.(Wanted); isWanted {
-			found = append(found, wanted)
+		if match, isMatch := one.(Wanted); isMatch {
+			found = append(found, match)
 		}
 	}
 	return found
 }
 
-// lead makes the machine the leader of epoch 1, with the grant and the sync of the other member.
+// becomeLeader makes the machine the leader of epoch 1, with the votes and acknowledgements of one other member.
 func (harness *harness) becomeLeader() {
 	for _, askOnly := range []bool{true, false} {
 		if askOnly {
@@ -92,7 +92,7 @@
 	must.Positive(harness.t, harness.machine.servesUntil(harness.now))
 }
 
-// acknowledge tells that a member has synced the newest version.
+// acknowledge reports that a member has synced the newest version.
 func (harness *harness) acknowledge(identity string, sentAt time.Duration) []effect {
 	version := harness.machine.record.Version
 	return harness.step(replicateResult{
@@ -139,7 +139,7 @@
 	must.False(t, effectsOf[answerVote](harness.step(voteCall{request: request}))[0].reply.Granted)
 }
 
-func TestAskOnlyRecordsNothing(t *testing.T) {
+func TestPreVoteRecordsNothing(t *testing.T) {
 	harness := newSeedHarness(t)
 	answers := effectsOf[answerVote](harness.ask(VoteRequest{Member: selfID, Epoch: 7, PreVote: true}))
 	must.True(t, answers[0].reply.Granted)
@@ -165,7 +165,7 @@
 	must.True(t, effectsOf[answerVote](harness.confirmSave())[0].reply.Granted)
 }
 
-// A lease that this member would not wait out after a restart is not granted.
+// A lease that this member wouldn't wait out after a restart must not be granted.
 func TestLeaseLongerThanAnyKnownIsNotGranted(t *testing.T) {
 	harness := newSeedHarness(t)
 	request := ReplicateRequest{Member: selfID, Leader: "other", Epoch: 1, Lease: defaultLease + 1}
@@ -175,8 +175,8 @@
 	must.True(t, effectsOf[answerReplicate](harness.confirmSave())[0].reply.Ok)
 }
 
-// A leader of a version that does not tell its lease counts on the longest that is known.
-func TestLeaseThatIsNotToldIsTheLongest(t *testing.T) {
+// A leader whose requests don't report its lease is assumed to rely on the longest one.
+func TestUnreportedLeaseIsAssumedToBeTheLongest(t *testing.T) {
 	harness := newSeedHarness(t)
 	harness.machine.config.timing.LongestLease = 2 * defaultLease
 	harness.receiveHeartbeat(1)
@@ -195,7 +195,7 @@
 	must.True(t, effectsOf[answerVote](harness.confirmSave())[0].reply.Granted)
 }
 
-// What a member has forgotten may have been granted for as long as any version counts on, whatever its own does.
+// A grant that a member has forgotten may be as long as the longest lease of any member, whatever its own lease is.
 func TestMemberWaitsOutTheLongestLeaseThatItMayHaveForgotten(t *testing.T) {
 	timing := Timing{LongestLease: 2 * defaultLease}
 	for kind, record := range map[startKind]Record{
@@ -287,7 +287,7 @@
 	must.False(t, harness.machine.committedContents.isJoint())
 }
 
-// A leader that is removed never writes the list without itself.
+// A removed leader must not write the version whose list doesn't name it.
 func TestRemovedLeaderResignsInTheJointVersion(t *testing.T) {
 	harness := newSeedHarness(t)
 	harness.becomeLeader()
@@ -301,7 +301,7 @@
 	must.True(t, harness.machine.record.Contents.isJoint())
 }
 
-func TestLastMemberStays(t *testing.T) {
+func TestLastMemberCannotBeRemoved(t *testing.T) {
 	_, err := memberChange{removeID: selfID}.apply([]Member{{ID: selfID, Address: selfAddress}})
 	must.True(t, errors.As(err, &InvalidMembersError{}))
 }
@@ -327,7 +327,7 @@
 	must.True(t, errors.As(begun[0].err, &OutcomeUnknownError{}))
 }
 
-func TestContentsTravelOnlyWhereMissing(t *testing.T) {
+func TestContentsAreSentOnlyIfMissing(t *testing.T) {
 	harness := newSeedHarness(t)
 	harness.becomeLeader()
 	harness.now = defaultHeartbeat
@@ -341,8 +341,8 @@
 	must.NotNil(t, sent[0].request.Contents)
 }
 
-// TestRestartedMemberIsSentTheContentsAtOnce: what was on its way to the process before it is not waited for, and its late failure
-// stops nothing.
+// After a restart of a member, the leader must not wait for a transfer of contents to the previous process, and its late
+// failure must not affect the new transfer.
 func TestRestartedMemberIsSentTheContentsAtOnce(t *testing.T) {
 	harness := newSeedHarness(t)
 	harness.becomeLeader()
@@ -361,17 +361,18 @@
 	transfer := answer(before, 1)
 	must.SliceLen(t, 1, transfer)
 	must.NotNil(t, transfer[0].request.Contents)
-	must.SliceEmpty(t, answer(heartbeat(), 1)) // the contents are on their way
+	must.SliceEmpty(t, answer(heartbeat(), 1)) // the transfer is in progress
 	again := answer(heartbeat(), 2)
 	must.SliceLen(t, 1, again)
 	must.NotNil(t, again[0].request.Contents)
-	must.SliceEmpty(t, answer(before, 1)) // an answer of the former process that comes late
+	must.SliceEmpty(t, answer(before, 1)) // delayed answer of the previous process
 	harness.step(replicateResult{member: thirdID, epoch: 1, round: transfer[0].round, withContents: true, failed: true})
-	must.SliceEmpty(t, answer(heartbeat(), 2)) // the second transfer is on its way still
+	must.SliceEmpty(t, answer(heartbeat(), 2)) // the second transfer is still in progress
 }
 
-// TestTransferThatIsLateDoublesTheTimeOfTheNext, also where its failure is told after the next one has begun.
-func TestTransferThatIsLateDoublesTheTimeOfTheNext(t *testing.T) {
+// A transfer that times out doubles the timeout of the next one, also if its failure is reported after the next one has
+// started.
+func TestTimedOutTransferDoublesTheNextTimeout(t *testing.T) {
 	harness := newSeedHarness(t)
 	harness.becomeLeader()
 	transfersAfterHeartbeat := func() []sendReplicate {
@@ -397,7 +398,7 @@
 	}
 }
 
-func TestResignedLeaderFreesVotes(t *testing.T) {
+func TestResignationReleasesGrant(t *testing.T) {
 	harness := newSeedHarness(t)
 	harness.receiveHeartbeat(1)
 	harness.confirmSave()
@@ -406,8 +407,8 @@
 	must.True(t, effectsOf[answerVote](harness.ask(VoteRequest{Member: selfID, Epoch: 2, PreVote: true}))[0].reply.Granted)
 }
 
-// Until the new list stands alone, the one before counts as well, and operators are told.
-func TestStatusTellsOfAnExchange(t *testing.T) {
+// While a version is joint, the previous list counts as well, so the status must report the change to operators.
+func TestStatusReportsMembershipChange(t *testing.T) {
 	members := []Member{{ID: "a", Address: "a:1"}, {ID: "b", Address: "b:1"}, {ID: "c", Address: "c:1"}}
 	record := Record{Identity: "a", Contents: Contents{Members: members}}
 	config := machineConfig{address: "a:1", random: func(int64) int64 { return 0 }}
--- a/coord/failover/model_test.go
+++ b/coord/failover/model_test.go
@@ -9,13 +9,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// modelSteps and modelFaults have TestModel take one longer walk in place of the usual ones: it may take minutes and gigabytes.
+// modelSteps and modelFaults make TestModel run one longer exploration instead of the usual ones, which may take minutes and
+// gigabytes of memory.
 var (
-	modelSteps  = flag.Int("modelsteps", 0, "steps of time of a longer walk of the model, each a third of a lease")
-	modelFaults = flag.Int("modelfaults", 2, "faults of a longer walk of the model, in any combination")
+	modelSteps  = flag.Int("modelsteps", 0, "time steps of a longer model exploration, each a third of a lease")
+	modelFaults = flag.Int("modelfaults", 2, "faults of a longer model exploration, in any combination")
 )
 
-// modelTrace leads back from a state to the first one.
+// modelTrace is the path from the initial state to a state.
 type modelTrace struct {
 	action string
 	before *modelTrace
@@ -35,49 +36,49 @@
 	trace *modelTrace
 }
 
-// modelResult is the outcome of a walk.
+// modelResult is the result of an exploration.
 type modelResult struct {
 	states    int
-	depth     int    // actions to the farthest state
-	epoch     uint64 // the newest in which a version was committed
+	depth     int    // number of actions to the farthest state
+	epoch     uint64 // newest epoch in which a version was committed
 	replaced  bool   // a process that had lost its disk became a member again
 	violation string
 	trace     []string
 }
 
-// exploreModel visits every state within the bounds, the nearest first, and ends at the first violation.
+// exploreModel visits every reachable state within the bounds, breadth first, and stops at the first violation.
 func exploreModel(bounds modelBounds, mutation modelMutation) modelResult {
 	first := modelNode{state: initialModelState(&bounds, &mutation), trace: &modelTrace{}}
 	visited := map[modelKey]struct{}{first.state.key(): {}}
-	walked := modelResult{}
-	for level := []modelNode{first}; len(level) > 0; walked.depth++ {
+	result := modelResult{}
+	for level := []modelNode{first}; len(level) > 0; result.depth++ {
 		var following []modelNode
 		for position, node := range level {
 			level[position] = modelNode{}
 			for _, action := range node.state.actions() {
 				trace := &modelTrace{action: action.name, before: node.trace}
 				if action.next.violation != "" {
-					walked.states, walked.violation, walked.trace = len(visited), action.next.violation, trace.actions()
-					return walked
+					result.states, result.violation, result.trace = len(visited), action.next.violation, trace.actions()
+					return result
 				}
 				key := action.next.key()
 				if _, isKnown := visited[key]; isKnown {
 					continue
 				}
 				visited[key] = struct{}{}
-				walked.epoch = max(walked.epoch, action.next.newest.version.Epoch)
-				walked.replaced = walked.replaced || action.next.hasReplaced()
+				result.epoch = max(result.epoch, action.next.newest.version.Epoch)
+				result.replaced = result.replaced || action.next.hasReplaced()
 				following = append(following, modelNode{state: action.next, trace: trace})
 			}
 		}
 		level = following
 	}
-	walked.states = len(visited)
-	return walked
+	result.states = len(visited)
+	return result
 }
 
-// initialModelState is the state in which the first member leads and has committed a version, or that in which all have just
-// started for the first time.
+// initialModelState returns the state in which the first member leads and has committed a version, or, if bounds demand it,
+// the state right after the first start of all members.
 func initialModelState(bounds *modelBounds, mutation *modelMutation) *modelState {
 	state := newModelState(bounds, mutation)
 	if bounds.beforeElection {
@@ -92,16 +93,16 @@
 	return state
 }
 
-// checkModel walks under the protocol as it is.
+// checkModel explores the unmodified protocol and fails the test on a violation.
 func checkModel(t *testing.T, bounds modelBounds) modelResult {
 	begun := time.Now()
-	walked := exploreModel(bounds, modelMutation{})
-	must.EqOp(t, "", walked.violation, must.Sprint(walked.trace))
-	t.Logf("%d states up to %d actions away, epochs up to %d, in %v", walked.states, walked.depth, walked.epoch, time.Since(begun))
-	return walked
+	result := exploreModel(bounds, modelMutation{})
+	must.EqOp(t, "", result.violation, must.Sprint(result.trace))
+	t.Logf("%d states up to %d actions away, epochs up to %d, in %v", result.states, result.depth, result.epoch, time.Since(begun))
+	return result
 }
 
-// boundedFaults bounds a walk by the number of all faults alone.
+// boundedFaults bounds an exploration by the total number of faults, of any kind.
 func boundedFaults(steps, faults int) modelBounds {
 	return modelBounds{steps: steps, epochs: 3, proposals: 1, reads: 1, faults: faults, delays: faults, crashes: faults,
 		clockStalls: 1, diskLosses: 1, resignations: faults, pauses: faults, cuts: faults}
@@ -112,34 +113,34 @@
 		checkModel(t, boundedFaults(*modelSteps, *modelFaults))
 		return
 	}
-	fresh := boundedFaults(5, 1) // a process that joins acknowledges nothing for a lease
-	fresh.beforeElection = true
+	initial := boundedFaults(5, 1) // a joining process acknowledges nothing for the length of a lease
+	initial.beforeElection = true
 	cases := []struct {
 		name   string
 		bounds modelBounds
 	}{
-		{"first election", fresh},
+		{"first election", initial},
 		{"any fault", boundedFaults(8, 1)},
 		{"any two faults", boundedFaults(2, 2)},
 		{"every message may be lost", modelBounds{lossy: true, steps: 3, epochs: 3, proposals: 1}},
-		{"a leader whose clock stands still reads", readsUnderDrift()},
+		{"a leader with a stalled clock reads", readsUnderDrift()},
 	}
-	for _, walked := range cases {
-		t.Run(walked.name, func(t *testing.T) {
-			outcome := checkModel(t, walked.bounds)
-			must.Greater(t, 1, outcome.epoch) // else no second leader was reached
-			must.EqOp(t, walked.bounds.diskLosses > 0, outcome.replaced)
+	for _, testCase := range cases {
+		t.Run(testCase.name, func(t *testing.T) {
+			outcome := checkModel(t, testCase.bounds)
+			must.Greater(t, 1, outcome.epoch) // otherwise no second leader was reached
+			must.EqOp(t, testCase.bounds.diskLosses > 0, outcome.replaced)
 		})
 	}
 }
 
-// readsUnderDrift has clocks stand still for longer than the margin allows, so that only the round of a read bounds it.
+// readsUnderDrift lets clocks stall for longer than the margin allows, so that only heartbeat rounds protect reads.
 func readsUnderDrift() modelBounds {
 	return modelBounds{drift: true, steps: 4, epochs: 2, proposals: 1, reads: 1, faults: 4, cuts: 1, clockStalls: 3}
 }
 
-// TestModelCatchesMutations shows that the walk notices a protocol that lacks one of its rules, and that it is the
-// alteration which it notices.
+// TestModelCatchesMutations checks that the exploration detects a protocol that lacks one of its rules, and finds no violation
+// in the unmodified protocol within the same bounds.
 func TestModelCatchesMutations(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -150,7 +151,7 @@
 			modelMutation{beforeStep: followAnyEpoch, afterAnswer: answerInEpochOfRequest}},
 		{"the lease is not shortened by the margin", modelBounds{steps: 3, epochs: 2, faults: 2, clockStalls: 1, cuts: 1},
 			modelMutation{afterStart: func(machine *machine) { machine.config.timing.Margin = 0 }}},
-		{"a witness forgets its vote", modelBounds{beforeElection: true, epochs: 1, faults: 3, delays: 1, crashes: 1, cuts: 1},
+		{"a voter forgets its vote", modelBounds{beforeElection: true, epochs: 1, faults: 3, delays: 1, crashes: 1, cuts: 1},
 			modelMutation{beforeStart: forgetVote}},
 		{"a process without its disk keeps its identity", modelBounds{steps: 3, epochs: 2, proposals: 1, faults: 2, diskLosses: 1, cuts: 1},
 			modelMutation{keepIdentity: true}},
@@ -159,30 +160,30 @@
 	for _, altered := range cases {
 		t.Run(altered.name, func(t *testing.T) {
 			checkModel(t, altered.bounds)
-			walked := exploreModel(altered.bounds, altered.mutation)
-			must.NotEqOp(t, "", walked.violation)
-			t.Logf("noticed after %d states: %s, by %q", walked.states, walked.violation, walked.trace)
+			result := exploreModel(altered.bounds, altered.mutation)
+			must.NotEqOp(t, "", result.violation)
+			t.Logf("detected after %d states: %s, by %q", result.states, result.violation, result.trace)
 		})
 	}
 }
 
-// followAnyEpoch takes a heartbeat of an older epoch for one of the newest.
-func followAnyEpoch(machine *machine, taken input) input {
-	asked, isReplicate := taken.(replicateCall)
+// followAnyEpoch treats a heartbeat of an older epoch as one of the newest epoch.
+func followAnyEpoch(machine *machine, event input) input {
+	asked, isReplicate := event.(replicateCall)
 	if isReplicate && !asked.request.Resign {
 		asked.request.Epoch = max(asked.request.Epoch, machine.record.VotedEpoch)
 		return asked
 	}
-	return taken
+	return event
 }
 
-// answerInEpochOfRequest hides from an older leader that there is a newer epoch.
+// answerInEpochOfRequest hides newer epochs from an older leader.
 func answerInEpochOfRequest(request ReplicateRequest, reply ReplicateReply) ReplicateReply {
 	reply.Epoch = min(reply.Epoch, request.Epoch)
 	return reply
 }
 
-// countOlderRounds has a read end by answers to any round, also to those that began before it came.
+// countOlderRounds lets answers to any round complete a read, including rounds that started before it.
 func countOlderRounds(machine *machine) {
 	lead := machine.leadership
 	if lead == nil || len(lead.reads) == 0 {
@@ -194,7 +195,7 @@
 	machine.finishReads(0)
 }
 
-// forgetVote leaves the version and its contents of what was on disk.
+// forgetVote removes the vote from the record, but keeps the version and its contents.
 func forgetVote(record Record) Record {
 	record.VotedEpoch = record.Version.Epoch
 	record.VotedFor = ""
--- a/coord/failover/modelactions_test.go
+++ b/coord/failover/modelactions_test.go
@@ -7,13 +7,13 @@
 	"slices"
 )
 
-// modelAction is an edge of the walk.
+// modelAction is an edge of the explored graph.
 type modelAction struct {
 	name string
 	next *modelState
 }
 
-// actions returns all that may happen next. Messages that were sent just now come first, one after the other.
+// actions returns all possible next states. Messages that were just sent are handled first, one at a time.
 func (state *modelState) actions() []modelAction {
 	var actions []modelAction
 	add := func(name string, change func(next *modelState)) {
@@ -38,14 +38,14 @@
 
 type addAction func(name string, change func(next *modelState))
 
-// deliverForced delivers and loses what has a single fate.
+// deliverForced delivers or drops queued messages that have only one possible outcome.
 func (state *modelState) deliverForced() {
 	for len(state.queue) > 0 && state.violation == "" {
 		first := state.queue[0]
-		isLost := !state.processes[first.to].isAwake() || state.cut[first.from][first.to]
-		mayBeHeld := !state.cut[first.from][first.to] && state.canFault(state.consumed.delays, state.bounds.delays)
+		isLost := !state.processes[first.to].isRunning() || state.cut[first.from][first.to]
+		mayBeDelayed := !state.cut[first.from][first.to] && state.canFault(state.consumed.delays, state.bounds.delays)
 		mayEndOtherwise := state.bounds.lossy || state.canFault(state.consumed.crashes, state.bounds.crashes)
-		if mayBeHeld || !isLost && mayEndOtherwise {
+		if mayBeDelayed || !isLost && mayEndOtherwise {
 			return
 		}
 		state.queue = state.queue[1:]
@@ -55,20 +55,20 @@
 	}
 }
 
-// addMessageOutcomes are those of the first message in the queue, which reaches a process unless something happens to it.
+// addMessageOutcomes adds the possible outcomes of the first message in the queue.
 func (state *modelState) addMessageOutcomes(add addAction) {
 	first := state.queue[0]
 	if state.bounds.lossy {
 		add("lost: "+first.String(), func(next *modelState) { next.queue = next.queue[1:] })
 	}
 	if state.canFault(state.consumed.delays, state.bounds.delays) {
-		add("held: "+first.String(), func(next *modelState) {
+		add("delayed: "+first.String(), func(next *modelState) {
 			next.queue = next.queue[1:]
 			next.delayed = append(next.delayed, first)
 			next.consumed.delays++
 		})
 	}
-	if !state.processes[first.to].isAwake() {
+	if !state.processes[first.to].isRunning() {
 		add("lost: "+first.String(), func(next *modelState) { next.queue = next.queue[1:] })
 		return
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-// addProcessSteps are what processes do by themselves, and what arrives late.
+// addProcessSteps adds the steps that processes take on their own, and the arrival of delayed messages.
 func (state *modelState) addProcessSteps(add addAction) {
 	for number, process := range state.processes {
 		if process.machine == nil {
@@ -93,7 +93,7 @@
 			continue
 		}
 		if process.isPaused {
-			add("wake "+modelAddress(number), func(next *modelState) { next.cloneProcess(number).isPaused = false })
+			add("resume "+modelAddress(number), func(next *modelState) { next.cloneProcess(number).isPaused = false })
 			continue
 		}
 		if process.machine.wakeAt(process.clock) <= process.clock {
@@ -101,17 +101,17 @@
 		}
 	}
 	for position, message := range state.delayed {
-		if !state.processes[message.to].isAwake() {
+		if !state.processes[message.to].isRunning() {
 			continue
 		}
-		add("late: "+message.String(), func(next *modelState) {
+		add("arrived late: "+message.String(), func(next *modelState) {
 			next.delayed = slices.Delete(next.delayed, position, position+1)
 			next.deliver(message, next.step)
 		})
 	}
 }
 
-// addCommands are those to a leader that serves: a new version, the exchange of a member whose disk was lost, and to resign.
+// addCommands adds the commands to a serving leader: read, propose, replace a member whose disk was lost, and resign.
 func (state *modelState) addCommands(add addAction) {
 	for number, process := range state.processes {
 		if process.isPaused || !process.isServing() {
@@ -133,9 +133,9 @@
 				next.step(number, propose{proposal: uint64(next.consumed.proposals), change: appendProposal(next.consumed.proposals)})
 			})
 		}
-		change, isWanted := state.requiredChange(process.machine.record.Contents.Members)
-		if isWanted && process.machine.leadership.pendingChange == nil {
-			add("exchange members at "+address, func(next *modelState) { next.step(number, propose{members: &change}) })
+		change, isRequired := state.requiredChange(process.machine.record.Contents.Members)
+		if isRequired && process.machine.leadership.pendingChange == nil {
+			add("replace member at "+address, func(next *modelState) { next.step(number, propose{members: &change}) })
 		}
 		if state.canFault(state.consumed.resignations, state.bounds.resignations) {
 			add("resign "+address, func(next *modelState) {
@@ -150,10 +150,10 @@
 	return func(old []byte) ([]byte, error) { return fmt.Appendf(slices.Clone(old), "p%d,", number), nil }
 }
 
-// requiredChange exchanges one identity for another in one step, as the owner of the group does.
+// requiredChange replaces the previous identity of a member by its current one in one step, as the operator would.
 func (state *modelState) requiredChange(members []Member) (memberChange, bool) {
 	for number, process := range state.processes {
-		if !process.isAwake() || hasMember(members, process.identity) {
+		if !process.isRunning() || hasMember(members, process.identity) {
 			continue
 		}
 		address := modelAddress(number)
@@ -168,8 +168,8 @@
 	return memberChange{}, false
 }
 
-// addTime lets time pass. A leader that is awake sends its heartbeats when they are due; a candidate may wait as long as it
-// likes, as its wait is random.
+// addTime lets time pass, unless a running leader has a heartbeat due. A candidate may wait arbitrarily long, because its
+// delay is random.
 func (state *modelState) addTime(add addAction) {
 	if state.elapsed >= state.bounds.steps || slices.ContainsFunc(state.processes[:], (*modelProcess).isLeaderDue) {
 		return
@@ -179,7 +179,7 @@
 		return
 	}
 	for number := range state.processes {
-		add("time passes, but the clock stands still of "+modelAddress(number), func(next *modelState) {
+		add("time passes with a stalled clock at "+modelAddress(number), func(next *modelState) {
 			next.consumed.clockStalls++
 			next.passTime(number)
 		})
@@ -187,7 +187,7 @@
 }
 
 func (process *modelProcess) isLeaderDue() bool {
-	return process.isAwake() && process.machine.leadership != nil && process.machine.wakeAt(process.clock) <= process.clock
+	return process.isRunning() && process.machine.leadership != nil && process.machine.wakeAt(process.clock) <= process.clock
 }
 
 func (state *modelState) passTime(stalled int) {
@@ -209,14 +209,14 @@
 				next.stop(number)
 			})
 		}
-		if process.isAwake() && state.canFault(state.consumed.pauses, state.bounds.pauses) {
-			add("freeze "+address, func(next *modelState) {
+		if process.isRunning() && state.canFault(state.consumed.pauses, state.bounds.pauses) {
+			add("pause "+address, func(next *modelState) {
 				next.consumed.pauses++
 				next.cloneProcess(number).isPaused = true
 			})
 		}
 		if state.canFault(state.consumed.diskLosses, state.bounds.diskLosses) {
-			add("disk lost of "+address, func(next *modelState) {
+			add("lose disk of "+address, func(next *modelState) {
 				next.consumed.diskLosses++
 				next.stop(number)
 				process := next.cloneProcess(number)
@@ -227,23 +227,23 @@
 	}
 }
 
-// addCuts cuts a link in one direction or both, or a member off in one direction or both, and has all links come back.
+// addCuts adds actions that cut a link or isolate a member, in one or both directions, and one that restores all links.
 func (state *modelState) addCuts(add addAction) {
 	if state.cut != [modelMembers][modelMembers]bool{} {
-		add("all links come back", func(next *modelState) { next.cut = [modelMembers][modelMembers]bool{} })
+		add("restore all links", func(next *modelState) { next.cut = [modelMembers][modelMembers]bool{} })
 	}
 	if !state.canFault(state.consumed.cuts, state.bounds.cuts) {
 		return
 	}
 	for one := range modelMembers {
 		other, third := (one+1)%modelMembers, (one+2)%modelMembers
-		add("cut off "+modelAddress(one), func(next *modelState) {
+		add("isolate "+modelAddress(one), func(next *modelState) {
 			next.cutLinks([][2]int{{one, other}, {other, one}, {one, third}, {third, one}})
 		})
-		add("nothing leaves "+modelAddress(one), func(next *modelState) {
+		add("cut links from "+modelAddress(one), func(next *modelState) {
 			next.cutLinks([][2]int{{one, other}, {one, third}})
 		})
-		add("nothing reaches "+modelAddress(one), func(next *modelState) {
+		add("cut links to "+modelAddress(one), func(next *modelState) {
 			next.cutLinks([][2]int{{other, one}, {third, one}})
 		})
 		add("cut between "+modelAddress(one)+" and "+modelAddress(other), func(next *modelState) {
@@ -265,7 +265,7 @@
 	}
 }
 
-// canFault reports whether one more fault of a kind is within its own bound and within that of all kinds.
+// canFault reports whether one more fault of a kind is within the bound of that kind and of the total.
 func (state *modelState) canFault(used, bound int) bool {
 	spent := state.consumed
 	all := spent.delays + spent.crashes + spent.clockStalls + spent.diskLosses + spent.resignations + spent.pauses + spent.cuts
@@ -281,8 +281,8 @@
 	return true
 }
 
-// deliver hands a message to the process at its address. An answer reaches only the process that asked.
-func (state *modelState) deliver(message modelMessage, step func(number int, taken input)) {
+// deliver delivers a message to the process at its address. An answer reaches only the process that sent the request.
+func (state *modelState) deliver(message modelMessage, step func(number int, event input)) {
 	if message.isAnswer() && state.processes[message.to].incarnation != message.incarnation {
 		return
 	}
@@ -311,16 +311,16 @@
 }
 
 func (message modelMessage) String() string {
-	way := modelAddress(message.from) + ">" + modelAddress(message.to)
+	route := modelAddress(message.from) + ">" + modelAddress(message.to)
 	switch {
 	case message.voteReply != nil:
-		return fmt.Sprintf("%s answer to vote %+v", way, *message.voteReply)
+		return fmt.Sprintf("%s answer to vote %+v", route, *message.voteReply)
 	case message.replicated != nil:
-		return fmt.Sprintf("%s answer to replicate %+v", way, *message.replicated)
+		return fmt.Sprintf("%s answer to replicate %+v", route, *message.replicated)
 	case message.vote != nil:
-		return fmt.Sprintf("%s vote epoch %d, ask only %t", way, message.vote.Epoch, message.vote.PreVote)
+		return fmt.Sprintf("%s vote epoch %d, pre-vote %t", route, message.vote.Epoch, message.vote.PreVote)
 	}
-	return fmt.Sprintf("%s replicate epoch %d seq %d, resign %t", way, message.replicate.Epoch, message.replicate.StateSeq, message.replicate.Resign)
+	return fmt.Sprintf("%s replicate epoch %d seq %d, resign %t", route, message.replicate.Epoch, message.replicate.StateSeq, message.replicate.Resign)
 }
 
 func (process *modelProcess) isServing() bool {
@@ -343,7 +343,7 @@
 	}
 }
 
-// commit checks that a version has one state only, and that a new one continues the newest before it.
+// commit checks that a version has only one state, and that a new version extends the newest one before it.
 func (state *modelState) commit(seen committed) {
 	contents := string(seen.contents.State)
 	known, isKnown := state.versions[seen.version]
@@ -356,9 +356,9 @@
 	state.versions = maps.Clone(state.versions)
 	state.versions[seen.version] = contents
 	if state.bounds.drift && seen.version.Less(state.newest.version) {
-		// A leader that was replaced while its clock stood still may learn late what its successor holds already.
+		// A leader that was replaced while its clock stalled may commit late a version that its successor already holds.
 		if !bytes.HasPrefix(state.newest.contents.State, seen.contents.State) {
-			state.violate("%v was committed and is not in %v", seen.version, state.newest.version)
+			state.violate("%v was committed but is not part of %v", seen.version, state.newest.version)
 		}
 		return
 	}
@@ -366,19 +366,19 @@
 	case !state.newest.version.Less(seen.version):
 		state.violate("%v was committed after %v", seen.version, state.newest.version)
 	case !bytes.HasPrefix(seen.contents.State, state.newest.contents.State):
-		state.violate("%v lost what %v had", seen.version, state.newest.version)
+		state.violate("%v lacks state of %v", seen.version, state.newest.version)
 	}
 	state.newest = seen
 }
 
-// beginRead remembers what the read must see at least.
+// beginRead starts a read and records the version that it must see at least.
 func (state *modelState) beginRead(number int, id uint64) {
 	state.pendingReads = maps.Clone(state.pendingReads)
 	state.pendingReads[id] = state.newest.version
 	state.step(number, read{read: id})
 }
 
-// endRead checks that what is read holds all that was committed before the read came.
+// endRead checks that the read sees everything that was committed before it started.
 func (state *modelState) endRead(number int, done readDone) {
 	before := state.pendingReads[done.read]
 	state.pendingReads = maps.Clone(state.pendingReads)
@@ -389,7 +389,7 @@
 	}
 }
 
-// check holds in every state: one leader at most has a valid lease, and it serves the newest version.
+// check checks invariants of every state: at most one leader has a valid lease, and it serves the newest version.
 func (state *modelState) check() {
 	if state.bounds.drift {
 		return
--- a/coord/failover/modelkey_test.go
+++ b/coord/failover/modelkey_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// modelKey stands for a state. Two states of the same key have the same future; that two others share one by chance is
-// as likely as for any hash of 128 bits.
+// modelKey identifies a state. States with the same key have the same future. The probability that two other states share a
+// key is that of a collision of 128-bit hashes.
 type modelKey [2]uint64
 
 var modelSeeds = [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}
 
-// keyWriter collects what distinguishes a state. Times are told relative to the clock of their process, and those that are
-// over count as equal.
+// keyWriter encodes everything that distinguishes a state. Times are relative to the clock of their process, and all times
+// that have passed are encoded alike.
 type keyWriter struct {
 	written []byte
 	clock   time.Duration
@@ -60,12 +60,12 @@
 
 func (writer *keyWriter) version(version Version) { writer.numbers(version.Epoch, version.Seq) }
 
-// future is a moment that matters until it has come.
+// future encodes a time that matters until it is reached.
 func (writer *keyWriter) future(moment time.Duration) {
 	writer.numbers(uint64(max(moment-writer.clock, 0)))
 }
 
-// past is a moment that matters for the length of a lease.
+// past encodes a time that matters for the length of a lease.
 func (writer *keyWriter) past(moment time.Duration) {
 	writer.numbers(uint64(max(moment-writer.clock+modelTiming.Lease, 0)))
 }
@@ -106,7 +106,7 @@
 	}
 }
 
-// machine leaves out what is the same in all running processes of the model: the disk holds the record.
+// machine omits what is the same in all running processes of the model: the disk holds the record.
 func (writer *keyWriter) machine(machine *machine) {
 	writer.record(&machine.record)
 	writer.version(machine.committedVersion)
@@ -159,14 +159,14 @@
 	}
 	writer.numbers(uint64(len(lead.peers)))
 	for _, identity := range slices.Sorted(maps.Keys(lead.peers)) {
-		known := lead.peers[identity]
+		progress := lead.peers[identity]
 		writer.text(identity)
-		writer.flag(known.isVersionKnown)
-		writer.version(known.version)
-		writer.flag(known.hasGranted)
-		writer.past(known.grantedSentAt)
-		writer.future(known.contentsRetryAt)
-		writer.numbers(uint64(min(known.contentsFailures, maxTimeoutDoublings)))
+		writer.flag(progress.isVersionKnown)
+		writer.version(progress.version)
+		writer.flag(progress.hasGranted)
+		writer.past(progress.grantedSentAt)
+		writer.future(progress.contentsRetryAt)
+		writer.numbers(uint64(min(progress.contentsFailures, maxTimeoutDoublings)))
 	}
 }
 
@@ -183,7 +183,7 @@
 	writer.text(pendingChange.requested.removeID)
 }
 
-// reads tells of the reads that wait how far their rounds have come. No other number of a round matters.
+// reads encodes the progress of the rounds that reads wait for. Other round numbers don't matter.
 func (writer *keyWriter) reads(lead *leadership) {
 	writer.numbers(uint64(len(lead.reads)))
 	for _, waiting := range lead.reads {
@@ -195,7 +195,7 @@
 	}
 }
 
-// round tells of a heartbeat, or of the answer to one, for which reads it counts.
+// round encodes for which pending reads a heartbeat or an answer to it counts.
 func (writer *keyWriter) round(asker *modelProcess, round uint64) {
 	if asker.machine.leadership == nil {
 		return
@@ -212,7 +212,7 @@
 	}
 }
 
-// delayedMessages have no order.
+// delayedMessages encodes the delayed messages as a set, since they have no order.
 func (writer *keyWriter) delayedMessages(state *modelState) {
 	var encoded []string
 	for position := range state.delayed {
@@ -226,7 +226,7 @@
 	}
 }
 
-// message tells the moment of sending on the clock of the process that asked, where that still runs.
+// message encodes the send time on the clock of the process that sent the request, if that process still runs.
 func (writer *keyWriter) message(state *modelState, message *modelMessage) {
 	asking := message.from
 	if message.isAnswer() {
@@ -279,7 +279,7 @@
 	}
 }
 
-// history is what was committed.
+// history encodes the committed versions and the pending reads.
 func (writer *keyWriter) history(state *modelState) {
 	versions := slices.SortedFunc(maps.Keys(state.versions), func(one, other Version) int {
 		if one.Less(other) {
--- a/coord/failover/modelstate_test.go
+++ b/coord/failover/modelstate_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// The model walks over all states of three members whose reducers are those in service. Its time is counted in steps of a
-// third of a lease; the margin of a leader is one step. Saves are synced within the step that asked for them, except where a
-// process ends before the disk has them.
+// The model explores all states of three members that run the production state machine. Time advances in steps of a third of
+// a lease, and the margin is one step. Saves are synced within the step that requested them, unless the process crashes
+// before the sync.
 const (
-	modelStep    = 4 * time.Nanosecond // divisible by deferDivisor, as the reducer divides a CampaignTimeout
+	modelStep    = 4 * time.Nanosecond // divisible by deferDivisor, because the machine divides CampaignTimeout by it
 	modelMembers = 3
 )
 
@@ -19,79 +19,79 @@
 	Lease:           3 * modelStep,
 	Margin:          modelStep,
 	Heartbeat:       modelStep,
-	ElectionJitter:  1, // a candidate is free to wait anyway: each tick may come as late as it likes
+	ElectionJitter:  1, // ticks may be arbitrarily late anyway, so candidates need no random delay
 	CampaignTimeout: modelStep,
 	ContentsTimeout: modelStep,
 }
 
-// modelMutation alters the protocol, to show that the checks notice. The zero value alters nothing.
+// modelMutation alters the protocol, to show that the checks detect it. The zero value alters nothing.
 type modelMutation struct {
-	beforeStart func(record Record) Record // what a restarted process reads from its disk
+	beforeStart func(record Record) Record // alters the record that a restarted process loads
 	afterStart  func(machine *machine)
-	beforeStep  func(machine *machine, taken input) input
+	beforeStep  func(machine *machine, event input) input
 	afterAnswer func(request ReplicateRequest, reply ReplicateReply) ReplicateReply
 	afterStep   func(machine *machine)
 
-	keepIdentity bool // a process whose disk was lost comes back under its old identity
+	keepIdentity bool // a process whose disk was lost restarts under its previous identity
 }
 
-// modelBounds ends the walk.
+// modelBounds limits an exploration.
 type modelBounds struct {
-	beforeElection bool // the walk begins before the first election
-	lossy          bool // every message may be lost, in place of cuts
-	steps          int  // of time
+	beforeElection bool // the exploration starts before the first election
+	lossy          bool // any message may be lost; used instead of cuts
+	steps          int  // number of time steps
 	epochs         uint64
 	proposals      int
-	faults         int // of all kinds together
-	delays         int // of the faults: messages delivered late
-	crashes        int // of the faults: ends of a process, which may start again at any time
-	clockStalls    int // of the faults: clocks that stand still for a step, the margin's worth
-	diskLosses     int // of the faults: disks lost
-	resignations   int // of the faults: orders to the leader to give up
-	pauses         int // of the faults: processes that do nothing until they are woken, while their clocks go on
-	cuts           int // of the faults: links cut in one direction or both; they may come back at any time
+	faults         int // total number of faults
+	delays         int // number of faults that deliver a message late
+	crashes        int // number of faults that stop a process, which may restart at any time
+	clockStalls    int // number of faults that stall a clock for one step, which is as long as the margin
+	diskLosses     int // number of faults that lose a disk
+	resignations   int // number of faults that make the leader resign
+	pauses         int // number of faults that pause a process, whose clock continues, until it resumes at any time
+	cuts           int // number of faults that cut links in one or both directions until they are restored at any time
 	reads          int
-	drift          bool // stalls of clocks exceed the margin, so that leases bound nothing: what rests on them is not checked
+	drift          bool // clock stalls exceed the margin, so leases guarantee nothing and checks that rely on them are skipped
 }
 
-// modelMessage is a request or an answer on its way.
+// modelMessage is a request or an answer in transit.
 type modelMessage struct {
 	from, to    int
-	incarnation int // of the process that asked
+	incarnation int // incarnation of the process that sent the request
 	vote        *VoteRequest
 	replicate   *ReplicateRequest
-	sentAt      time.Duration // on the clock of the process that asked
-	round       uint64        // of a heartbeat
+	sentAt      time.Duration // on the clock of the process that sent the request
+	round       uint64        // heartbeat round
 	voteReply   *VoteReply    // set in an answer
 	replicated  *ReplicateReply
 }
 
-// modelProcess is what runs at one address. It is not modified in place: a state owns those that it has cloned.
+// modelProcess is the process at one address. States share it, so it must be cloned before it is modified.
 type modelProcess struct {
-	machine     *machine // nil while it does not run
+	machine     *machine // nil while the process doesn't run
 	clock       time.Duration
 	incarnation int
-	disk        *Record // nil after a loss
+	disk        *Record // nil after a disk loss
 	disksLost   int
 	identity    string
-	isPaused    bool // a message that reaches it is lost, unless it is held
+	isPaused    bool // a message that arrives is lost, unless it is delayed
 }
 
-// isAwake reports whether a process can take a step.
-func (process *modelProcess) isAwake() bool { return process.machine != nil && !process.isPaused }
+// isRunning reports whether the process can take a step.
+func (process *modelProcess) isRunning() bool { return process.machine != nil && !process.isPaused }
 
-// modelState is a node of the walk.
+// modelState is a node of the explored graph.
 type modelState struct {
 	processes    [modelMembers]*modelProcess
-	queue        []modelMessage                   // each is delivered, lost or held before anything else happens
+	queue        []modelMessage                   // each is delivered, lost or delayed before anything else happens
 	delayed      []modelMessage                   // delivered at any later time, or never
-	answering    modelMessage                     // the request that is being handled
+	answering    modelMessage                     // request that is being handled
 	cut          [modelMembers][modelMembers]bool // from, to
 	elapsed      int
 	consumed     modelBounds
-	versions     map[Version]string // committed, with their states
+	versions     map[Version]string // committed versions and their states
 	newest       committed
-	pendingReads map[uint64]Version // reads under way, with what was the newest version when they came
+	pendingReads map[uint64]Version // reads in progress, with the newest committed version when they started
 	violation    string
 	mutation     *modelMutation
 	bounds       *modelBounds
@@ -120,7 +120,7 @@
 	return fmt.Sprintf("%s#%d", modelAddress(number), disksLost)
 }
 
-// clone returns a state that can be changed: processes by own, everything else in place.
+// clone returns a state that can be modified. Its processes must be cloned by cloneProcess before they are modified.
 func (state *modelState) clone() *modelState {
 	cloned := *state
 	cloned.queue = slices.Clone(state.queue)
@@ -128,7 +128,7 @@
 	return &cloned
 }
 
-// own clones a process before it is changed.
+// cloneProcess clones a process of the state before it is modified.
 func (state *modelState) cloneProcess(number int) *modelProcess {
 	cloned := *state.processes[number]
 	if cloned.machine != nil {
@@ -138,7 +138,7 @@
 	return &cloned
 }
 
-// cloneMachine copies what step changes in place. No answer may wait for a save.
+// cloneMachine copies everything that step modifies in place. No answer may be waiting for a save.
 func cloneMachine(original *machine) *machine {
 	if len(original.pendingAnswers) > 0 || len(original.effects) > 0 {
 		panic("a machine can only be cloned when its saves are synced and its effects taken")
@@ -164,15 +164,15 @@
 		copied := *original.pendingChange
 		cloned.pendingChange = &copied
 	}
-	cloned.peers = make(map[string]*peer, len(original.peers))
-	for identity, known := range original.peers {
-		copied := *known
+	cloned.peers = make(map[string]*peerProgress, len(original.peers))
+	for identity, progress := range original.peers {
+		copied := *progress
 		cloned.peers[identity] = &copied
 	}
 	return &cloned
 }
 
-// startMachine starts a process with a record.
+// startMachine starts a process with the given record.
 func (state *modelState) startMachine(number int, record Record, kind startKind) {
 	process := state.cloneProcess(number)
 	process.incarnation++
@@ -191,7 +191,7 @@
 	state.execute(number, effects)
 }
 
-// start starts a process that is down, with its disk or, after a loss, with an empty one.
+// start starts a stopped process with its disk or, after a disk loss, with an empty one.
 func (state *modelState) start(number int) {
 	process := state.processes[number]
 	if process.disk != nil {
@@ -209,7 +209,7 @@
 	state.startMachine(number, record, startJoining)
 }
 
-// stop ends a process. Answers to it are lost; its requests are not.
+// stop stops a process. Answers to it are lost; requests that it sent are not.
 func (state *modelState) stop(number int) {
 	process := state.cloneProcess(number)
 	process.machine = nil
@@ -226,7 +226,7 @@
 	return message.voteReply != nil || message.replicated != nil
 }
 
-// step feeds a machine, and syncs what it saves.
+// step passes an input to a machine and syncs what it saves.
 func (state *modelState) step(number int, event input) {
 	process := state.cloneProcess(number)
 	if state.mutation.beforeStep != nil {
@@ -250,12 +250,12 @@
 	state.execute(number, effects)
 }
 
-// stepUnsynced feeds a machine and ends its process before the disk has what it saved: no answer that waits for that is sent.
+// stepUnsynced passes an input to a machine and stops its process before the sync, so answers that wait for it aren't sent.
 func (state *modelState) stepUnsynced(number int, event input) {
 	process := state.cloneProcess(number)
 	effects := process.machine.step(process.clock, event)
-	isSave := func(wanted effect) bool {
-		_, isPersist := wanted.(persist)
+	isSave := func(requested effect) bool {
+		_, isPersist := requested.(persist)
 		return isPersist
 	}
 	state.execute(number, slices.DeleteFunc(effects, isSave))
@@ -263,7 +263,7 @@
 	state.stop(number)
 }
 
-// execute does what a machine wants done. Its newest save is synced last.
+// execute executes the effects of a machine. Its newest save is synced last.
 func (state *modelState) execute(number int, effects []effect) {
 	process := state.processes[number]
 	var newest *persist
@@ -297,7 +297,7 @@
 	state.queue = append(state.queue, message)
 }
 
-// answer sends an answer back to the request that is being handled.
+// answer sends an answer to the request that is being handled.
 func (state *modelState) answer(number int, requested effect) {
 	request := state.answering
 	answer := modelMessage{
--- a/coord/failover/node_test.go
+++ b/coord/failover/node_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// testTiming keeps the proportions of the defaults.
+// testTiming has about the same ratios as the defaults.
 var testTiming = Timing{
 	Lease:           200 * time.Millisecond,
 	Margin:          30 * time.Millisecond,
@@ -20,7 +20,7 @@
 	CampaignTimeout: 60 * time.Millisecond,
 }
 
-// memoryStore is a Storage that lasts as long as the test.
+// memoryStore is a Storage in memory.
 type memoryStore struct {
 	mutex  sync.Mutex
 	record []byte
@@ -137,7 +137,7 @@
 	group.contentsSent++
 }
 
-// await waits until holds is true of some running node, and returns it.
+// await waits until holds returns true for the status of a running node, and returns that node.
 func (group *testGroup) await(holds func(status Status) bool) *Node {
 	group.mutex.Lock()
 	defer group.mutex.Unlock()
@@ -249,19 +249,19 @@
 	must.EqOp(t, "kept", string(group.awaitLeader().Status().State))
 }
 
-// stuckStore is a Storage whose saves wait while it is stuck.
+// stuckStore is a Storage whose saves block while the gate is locked.
 type stuckStore struct {
 	memoryStore
-	gate sync.Mutex
+	saveGate sync.Mutex
 }
 
 func (store *stuckStore) Save(record []byte) error {
-	store.gate.Lock()
-	defer store.gate.Unlock()
+	store.saveGate.Lock()
+	defer store.saveGate.Unlock()
 	return store.memoryStore.Save(record)
 }
 
-func TestNodeLeadsOnWithStuckDisk(t *testing.T) {
+func TestNodeKeepsLeadingWithStuckDisk(t *testing.T) {
 	group := newTestGroup(t)
 	stores := make(map[string]*stuckStore)
 	for _, address := range testSeeds {
@@ -270,7 +270,7 @@
 	}
 	leader := group.awaitLeader()
 	before := leader.Status()
-	gate := &stores[before.LeaderAddress].gate
+	gate := &stores[before.LeaderAddress].saveGate
 	gate.Lock()
 	defer gate.Unlock()
 	ended := time.Now().Add(3 * testTiming.Lease)
@@ -295,7 +295,7 @@
 	must.False(t, leader.LeaseValid())
 }
 
-func TestNodeProposalGivenUp(t *testing.T) {
+func TestNodeProposalAbandoned(t *testing.T) {
 	group := newTestGroup(t)
 	group.startAll()
 	leader := group.awaitLeader()
--- a/coord/failover/prevote_test.go
+++ b/coord/failover/prevote_test.go
@@ -6,20 +6,20 @@
 	"github.com/shoenig/test/must"
 )
 
-// grantPreVote has a member without a grant answer a pre-vote.
+// grantPreVote makes a member without a running grant answer a pre-vote.
 func (harness *harness) grantPreVote(candidate string) {
 	request := VoteRequest{Member: selfID, Candidate: candidate, Epoch: 1, StateEpoch: 9, PreVote: true}
 	must.True(harness.t, effectsOf[answerVote](harness.step(voteCall{request: request}))[0].reply.Granted)
 }
 
-func TestGrantedPreVotePutsTheOwnCampaignOff(t *testing.T) {
+func TestGrantedPreVoteDefersOwnCampaign(t *testing.T) {
 	harness := newSeedHarness(t)
 	must.Zero(t, harness.machine.wakeAt(0))
 	harness.grantPreVote(otherID)
 	must.EqOp(t, defaultCampaignTimeout/deferDivisor, harness.machine.wakeAt(0))
 }
 
-func TestOneOfTwoCandidatesGoesOn(t *testing.T) {
+func TestOneOfTwoCandidatesContinues(t *testing.T) {
 	harness := newSeedHarness(t)
 	harness.step(tick{})
 	harness.grantPreVote(otherID)
@@ -28,7 +28,7 @@
 	must.Nil(t, harness.machine.campaign)
 }
 
-func TestVotedCandidateDoesNotYield(t *testing.T) {
+func TestStartedElectionIsNotDeferred(t *testing.T) {
 	harness := newSeedHarness(t)
 	harness.step(tick{})
 	request := VoteRequest{Member: otherID, Epoch: 1, PreVote: true}
--- a/coord/failover/proposal.go
+++ b/coord/failover/proposal.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// handlePropose queues a proposal. It fails at once if this member doesn't serve as the leader or the queue is full.
 func (machine *machine) handlePropose(now time.Duration, proposed propose) {
 	lead := machine.leadership
 	if lead == nil || !lead.isServing {
@@ -87,6 +88,7 @@
 	machine.broadcastHeartbeat(now)
 }
 
+// proposedContents returns the contents that a proposal would write next.
 func (machine *machine) proposedContents(proposed propose) (Contents, error) {
 	contents := machine.record.Contents
 	if proposed.members != nil {
--- a/coord/failover/read.go
+++ b/coord/failover/read.go
@@ -20,11 +20,11 @@
 }
 
 // doneEffect returns the effect that reports the completion.
-func (waiting pendingRead) doneEffect(err error) effect {
-	if waiting.isRead {
-		return readDone{read: waiting.number, err: err}
+func (pending pendingRead) doneEffect(err error) effect {
+	if pending.isRead {
+		return readDone{read: pending.number, err: err}
 	}
-	return proposalDone{proposal: waiting.number, err: err}
+	return proposalDone{proposal: pending.number, err: err}
 }
 
 // handleRead starts a read. It fails at once if this member doesn't serve as the leader or too many reads are pending.
--- a/coord/failover/read_test.go
+++ b/coord/failover/read_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// answerRound has the other member answer a round of heartbeats.
+// answerRound makes the other member acknowledge a heartbeat round.
 func (harness *harness) answerRound(round uint64) []effect {
 	version := harness.machine.record.Version
 	return harness.step(replicateResult{
@@ -47,7 +47,7 @@
 	must.Eq(t, []readDone{{read: 2}, {read: 3}, {read: 4}}, effectsOf[readDone](harness.answerRound(round+1)))
 }
 
-// TestOutcomeWithoutANewVersionWaitsForARound proposes what changes nothing and what is refused.
+// A proposal that is refused or changes nothing completes only after a heartbeat round.
 func TestOutcomeWithoutANewVersionWaitsForARound(t *testing.T) {
 	refused := errors.New("refused")
 	for _, outcome := range []error{nil, refused} {
@@ -105,7 +105,7 @@
 	must.True(t, errors.As(follower.Read(t.Context()), &NotLeaderError{}))
 }
 
-// TestNodeKeepsItsVotersWhereALearnerIsBehind adds a member that nobody can reach.
+// TestNodeKeepsItsVotersWhereALearnerIsBehind adds a member that is unreachable.
 func TestNodeKeepsItsVotersWhereALearnerIsBehind(t *testing.T) {
 	group := newTestGroup(t)
 	group.startAll()
@@ -136,7 +136,7 @@
 	must.SliceEmpty(t, add(3, "e:1#0"))
 }
 
-// TestLearnerIsNoVoterUntilItHoldsTheContents walks through the steps of a change at the leader.
+// TestLearnerIsNoVoterUntilItHoldsTheContents runs the steps of a membership change at the leader.
 func TestLearnerIsNoVoterUntilItHoldsTheContents(t *testing.T) {
 	const learnerID, learnerAddress = "d:1#0", "d:1"
 	harness := newSeedHarness(t)
@@ -158,8 +158,8 @@
 	must.True(t, harness.machine.record.Contents.isJoint())
 	harness.confirmSave()
 	must.SliceEmpty(t, effectsOf[proposalDone](harness.acknowledge(otherID, harness.now)))
-	must.EqOp(t, harness.machine.record.Version, harness.machine.committedVersion) // a majority of each list has it
-	must.True(t, harness.machine.record.Contents.isJoint())                        // the learner has not
+	must.EqOp(t, harness.machine.record.Version, harness.machine.committedVersion) // a majority of each list has synced it
+	must.True(t, harness.machine.record.Contents.isJoint())                        // the learner hasn't
 	reply(harness.machine.record.Version)
 	must.False(t, harness.machine.record.Contents.isJoint())
 	harness.confirmSave()
@@ -167,7 +167,7 @@
 	must.False(t, hasMember(harness.machine.committedContents.Members, thirdID))
 }
 
-// TestRecordOfTheFirstFormatIsRead reads what was written before records had old members.
+// TestRecordOfTheFirstFormatIsRead decodes a record without old members, as the first format had it.
 func TestRecordOfTheFirstFormatIsRead(t *testing.T) {
 	record := Record{Identity: selfID, VotedEpoch: 4, VotedFor: otherID, Version: Version{Epoch: 3, Seq: 9}}
 	record.Contents = Contents{State: []byte("state"), Members: []Member{{ID: selfID, Address: selfAddress, Zone: "z"}}}
@@ -182,7 +182,7 @@
 	must.Eq(t, record, again)
 }
 
-// A learner that lacks an uncommitted version is sent nothing by its answers: the next heartbeat is soon enough.
+// Answers of a learner that lacks only an uncommitted version must not trigger requests; the next heartbeat suffices.
 func TestLearnerIsNotSentHeartbeatsByItsAnswers(t *testing.T) {
 	const learnerID = "d:1#0"
 	harness := newSeedHarness(t)
@@ -198,8 +198,7 @@
 	}
 }
 
-// A joint version counts once a majority of each list has synced it: the leader and the newcomer are a majority of the new list
-// alone.
+// A joint version needs a majority of each list: here the leader and the added voter are a majority of the new list alone.
 func TestJointVersionNeedsAMajorityOfEachList(t *testing.T) {
 	const learnerID = "d:1#0"
 	harness := newSeedHarness(t)
@@ -222,12 +221,12 @@
 	must.True(t, harness.machine.committedContents.hasVoter(learnerID))
 }
 
-// A member that holds a joint version is elected by a majority of each list.
+// A member that holds a joint version needs the votes of a majority of each list.
 func TestElectionInAJointVersionNeedsAMajorityOfEachList(t *testing.T) {
-	const newcomerID = "d:1#0"
+	const joiningID = "d:1#0"
 	record := bootstrapRecord(Config{Address: selfAddress, Seeds: testSeeds, State: []byte("first")})
 	record.Contents.OldMembers = record.Contents.Members
-	record.Contents.Members = []Member{record.Contents.Members[0], record.Contents.Members[1], {ID: newcomerID, Address: "d:1"}}
+	record.Contents.Members = []Member{record.Contents.Members[0], record.Contents.Members[1], {ID: joiningID, Address: "d:1"}}
 	harness := newHarness(t, record, startBootstrap)
 	asked := effectsOf[sendVote](harness.step(tick{}))
 	must.SliceLen(t, 3, asked)
@@ -235,11 +234,11 @@
 		request := VoteRequest{Member: identity, Epoch: 1, PreVote: true}
 		return effectsOf[sendVote](harness.step(voteResult{request: request, reply: VoteReply{Granted: true}}))
 	}
-	must.SliceEmpty(t, grant(newcomerID)) // with its own vote a majority of the new list alone
-	must.SliceLen(t, 3, grant(thirdID))   // the vote itself is asked for
+	must.SliceEmpty(t, grant(joiningID)) // with its own vote a majority of the new list alone
+	must.SliceLen(t, 3, grant(thirdID))  // requests for the actual votes
 }
 
-// A change of members goes on while other proposals are committed: none of them ends it.
+// Other proposals that are committed during a membership change must not complete it.
 func TestOtherProposalsDoNotEndAChangeOfMembers(t *testing.T) {
 	harness := newSeedHarness(t)
 	harness.becomeLeader()
--- a/coord/failover/record_test.go
+++ b/coord/failover/record_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestFileStoreTornSave damages the file of the newest save at every byte.
+// TestFileStoreTornSave corrupts the file of the newest save at every byte.
 func TestFileStoreTornSave(t *testing.T) {
 	folder := t.TempDir()
 	store := openStore(t, folder)
--- a/coord/failover/restart_test.go
+++ b/coord/failover/restart_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// newRestartedHarness drives a member whose record names a leader of epoch 3.
+// newRestartedHarness returns a member whose record names the given leader of epoch 3.
 func newRestartedHarness(t *testing.T, leader string) *harness {
 	record := bootstrapRecord(Config{Address: selfAddress, Seeds: testSeeds, State: []byte("first")})
 	record.VotedEpoch = 3
@@ -15,7 +15,7 @@
 	return newHarness(t, record, startRestarted)
 }
 
-func TestRestartedWitnessVotesForItsLeader(t *testing.T) {
+func TestRestartedVoterVotesForItsLeader(t *testing.T) {
 	harness := newRestartedHarness(t, otherID)
 	request := VoteRequest{Member: selfID, Candidate: otherID, Epoch: 4, StateEpoch: 3, StateSeq: 5}
 	harness.step(voteCall{request: request})
@@ -26,7 +26,7 @@
 	must.True(t, effectsOf[answerVote](harness.ask(VoteRequest{Member: selfID, Epoch: 5, PreVote: true}))[0].reply.Granted)
 }
 
-func TestRestartedWitnessDoesNotCampaignEarly(t *testing.T) {
+func TestRestartedVoterDoesNotCampaignEarly(t *testing.T) {
 	harness := newRestartedHarness(t, otherID)
 	must.GreaterEq(t, defaultLease, harness.machine.wakeAt(0))
 	request := VoteRequest{Member: selfID, Candidate: otherID, Epoch: 4, StateEpoch: 3, StateSeq: 5}
@@ -34,7 +34,7 @@
 	must.GreaterEq(t, defaultLease, harness.machine.wakeAt(0))
 }
 
-func TestRestartedWitnessFollowsAnotherLeader(t *testing.T) {
+func TestRestartedVoterFollowsAnotherLeader(t *testing.T) {
 	harness := newRestartedHarness(t, otherID)
 	request := ReplicateRequest{Member: selfID, Leader: thirdID, Epoch: 4, StateEpoch: 4, StateSeq: 6, SameEpoch: 3, SameSeq: 5}
 	harness.step(replicateCall{request: request})
@@ -43,7 +43,8 @@
 	must.False(t, effectsOf[answerVote](harness.step(voteCall{request: vote}))[0].reply.Granted)
 }
 
-// TestLeaderIsRecordedWhereAnotherWasVotedFor covers a candidate that lost the epoch in which it had the vote.
+// TestLeaderIsRecordedWhereAnotherWasVotedFor checks that the leader of an epoch is recorded although this member voted for
+// another candidate in it.
 func TestLeaderIsRecordedWhereAnotherWasVotedFor(t *testing.T) {
 	harness := newSeedHarness(t)
 	harness.ask(VoteRequest{Member: selfID, Epoch: 1})
@@ -73,15 +74,16 @@
 	must.SliceLen(t, 2, asked)
 	must.True(t, asked[0].request.PreVote)
 	must.EqOp(t, 4, asked[0].request.Epoch)
-	told := effectsOf[sendReplicate](effects)
-	must.SliceLen(t, 2, told)
-	must.True(t, told[0].request.Resign)
-	must.EqOp(t, 3, told[0].request.Epoch)
+	announced := effectsOf[sendReplicate](effects)
+	must.SliceLen(t, 2, announced)
+	must.True(t, announced[0].request.Resign)
+	must.EqOp(t, 3, announced[0].request.Epoch)
 	must.EqOp(t, defaultCampaignTimeout/restartCampaignsPerTimeout, harness.machine.wakeAt(0))
 }
 
-// TestFormerLeaderTellsOfItsOldEpochOnly has a campaign of the new life fail: that epoch may not be on disk.
-func TestFormerLeaderTellsOfItsOldEpochOnly(t *testing.T) {
+// TestFormerLeaderAnnouncesOnlyItsRecordedEpoch checks that a restarted leader announces the end of the epoch in its record, and not
+// that of a failed campaign since the restart, whose epoch may not be on disk.
+func TestFormerLeaderAnnouncesOnlyItsRecordedEpoch(t *testing.T) {
 	harness := newRestartedHarness(t, selfID)
 	harness.step(tick{})
 	request := VoteRequest{Member: otherID, Epoch: 4, PreVote: true}
@@ -100,8 +102,9 @@
 	must.SliceEmpty(t, effectsOf[sendReplicate](harness.step(tick{})))
 }
 
-// TestRestartOfLeaderFreesVotes covers running and restarted witnesses.
-func TestRestartOfLeaderFreesVotes(t *testing.T) {
+// TestRestartOfLeaderReleasesGrants checks that a restarted leader's announcement releases the grants of running and restarted
+// voters.
+func TestRestartOfLeaderReleasesGrants(t *testing.T) {
 	running := newSeedHarness(t)
 	running.receiveHeartbeat(3)
 	running.confirmSave()
@@ -115,8 +118,8 @@
 	}
 }
 
-// TestOldEndOfLeaderFreesNothing covers a message that was held up until its sender led again.
-func TestOldEndOfLeaderFreesNothing(t *testing.T) {
+// TestDelayedResignationReleasesNoGrant checks that a resignation that is delayed until its sender leads again releases nothing.
+func TestDelayedResignationReleasesNoGrant(t *testing.T) {
 	harness := newSeedHarness(t)
 	harness.receiveHeartbeat(3)
 	harness.confirmSave()
--- a/coord/failover/restartcampaign.go
+++ b/coord/failover/restartcampaign.go
@@ -15,8 +15,8 @@
 // only in newer epochs. The other members then drop their grants, whoever is elected. This matters if this member can't
 // be elected because another one holds a newer version.
 type restartCampaign struct {
-	epoch     uint64
-	expiresAt time.Duration // one lease after the start, when forgotten grants have ended anyway
+	epoch     uint64        // voted epoch in the record at the start
+	expiresAt time.Duration // LongestLease after the start, when forgotten grants have ended anyway
 }
 
 func (machine *machine) startRestartCampaign(now time.Duration) {
@@ -41,6 +41,7 @@
 	machine.announceEpochEnded(now)
 }
 
+// announceEpochEnded tells the other voters that the leadership of the epoch before the restart has ended.
 func (machine *machine) announceEpochEnded(now time.Duration) {
 	for _, member := range machine.record.Contents.voters() {
 		if member.ID == machine.record.Identity {
--- a/coord/failover/simulation_test.go
+++ b/coord/failover/simulation_test.go
@@ -17,35 +17,35 @@
 	recoveryPhase = 15 * time.Second
 )
 
-// simulationSeeds can be raised for a long search.
-var simulationSeeds = flag.Uint64("walks", 60, "random walks of each kind")
+// simulationSeeds can be raised for long test runs.
+var simulationSeeds = flag.Uint64("walks", 60, "simulations of each kind")
 
-// walk plays one seed: trouble, then calm, in which the group must come back.
+// runSimulation runs one seed: a phase with faults, then one without, in which the group must recover.
 func runSimulation(seed uint64, members int, mutation mutation) *simulator {
 	return runSimulationWithFaults(seed, members, mutation, (*simulator).scheduleRandomFaults)
 }
 
-// runSimulationWithFaults is walk with trouble of one kind.
-func runSimulationWithFaults(seed uint64, members int, mutation mutation, begin func(*simulator)) *simulator {
+// runSimulationWithFaults is like runSimulation with the faults that scheduleFaults schedules.
+func runSimulationWithFaults(seed uint64, members int, mutation mutation, scheduleFaults func(*simulator)) *simulator {
 	sim := newSimulator(seed, members, mutation)
-	sim.repeat(20*time.Millisecond, 120*time.Millisecond, sim.proposeSomewhere)
+	sim.repeat(20*time.Millisecond, 120*time.Millisecond, sim.proposeRandomly)
 	sim.repeat(500*time.Millisecond, 4*time.Second, func() { sim.isIdle = !sim.isIdle })
 	sim.repeat(200*time.Millisecond, 400*time.Millisecond, sim.replaceMembers)
-	sim.repeat(10*time.Millisecond, 200*time.Millisecond, sim.readSomewhere)
-	begin(sim)
+	sim.repeat(10*time.Millisecond, 200*time.Millisecond, sim.readAtLeaders)
+	scheduleFaults(sim)
 	sim.run(faultPhase)
 	sim.heal()
 	before := len(sim.checker.succeeded)
 	sim.run(faultPhase + recoveryPhase)
 	sim.checker.checkEnd()
 	if len(sim.checker.succeeded) == before {
-		sim.checker.violate("nothing was committed after the trouble")
+		sim.checker.violate("nothing was committed after the fault phase")
 	}
 	sim.checkMembersAreCurrent()
 	return sim
 }
 
-// repeat lets something happen again and again, with random pauses.
+// repeat repeats an action with random pauses.
 func (simulator *simulator) repeat(from, below time.Duration, action func()) {
 	simulator.schedule(simulator.duration(from, below), func() {
 		action()
@@ -53,8 +53,8 @@
 	})
 }
 
-// proposeSomewhere proposes mostly at a leader, and now and then gives the proposal up early.
-func (simulator *simulator) proposeSomewhere() {
+// proposeRandomly proposes, usually at a leader, and sometimes abandons the proposal early.
+func (simulator *simulator) proposeRandomly() {
 	if simulator.isIdle && simulator.now < faultPhase {
 		return
 	}
@@ -78,8 +78,8 @@
 	}
 }
 
-// readSomewhere reads at every process that believes to lead.
-func (simulator *simulator) readSomewhere() {
+// readAtLeaders reads at every process that considers itself the leader.
+func (simulator *simulator) readAtLeaders() {
 	for _, process := range simulator.processes {
 		if process.machine != nil && !process.isPaused && process.machine.leadership != nil {
 			process.read()
@@ -87,28 +87,28 @@
 	}
 }
 
-// replaceMembers does what the owner of the group does: at the leader, it removes identities that are gone for good
-// and adds processes that are not members.
+// replaceMembers acts as the operator of the group: at the leader, it removes identities that are permanently lost and
+// adds processes that are not members.
 func (simulator *simulator) replaceMembers() {
 	for _, leader := range simulator.processes {
 		if leader.isPaused || !leader.isLeading() {
 			continue
 		}
-		if change, isWanted := simulator.requiredChange(leader.machine.record.Contents.Members); isWanted {
+		if change, isRequired := simulator.requiredChange(leader.machine.record.Contents.Members); isRequired {
 			simulator.lastCall++
 			proposal := simulator.lastCall
 			leader.step(propose{proposal: proposal, members: &change})
 			simulator.schedule(changeTimeout, leader.atIncarnation(func() {
-				leader.step(abandon{proposal: proposal, cause: errTakesLong})
+				leader.step(abandon{proposal: proposal, cause: errChangeTimeout})
 			}))
 		}
 	}
 }
 
-// changeTimeout is after how long a change of members is given up.
+// changeTimeout is the time after which a membership change is abandoned.
 const changeTimeout = 2500 * time.Millisecond
 
-var errTakesLong = errors.New("takes long")
+var errChangeTimeout = errors.New("membership change timed out")
 
 func (simulator *simulator) requiredChange(members []Member) (memberChange, bool) {
 	if simulator.mutation.replacesVoters {
@@ -129,7 +129,7 @@
 	return memberChange{}, false
 }
 
-// randomReplacement exchanges a voter for a process that is none: one that is gone for good, else any.
+// randomReplacement replaces a voter by a process that isn't one: a voter that is permanently lost, otherwise a random one.
 func (simulator *simulator) randomReplacement(members []Member) (memberChange, bool) {
 	for _, process := range simulator.processes {
 		if process.identity == "" || hasMember(members, process.identity) {
@@ -146,7 +146,7 @@
 	return memberChange{}, false
 }
 
-// scheduleRandomFaults begins random faults until the calm.
+// scheduleRandomFaults injects random faults until the end of the fault phase.
 func (simulator *simulator) scheduleRandomFaults() {
 	simulator.repeat(100*time.Millisecond, 1200*time.Millisecond, func() {
 		if simulator.now < faultPhase {
@@ -155,46 +155,46 @@
 	})
 }
 
-// injectRandomFault begins one random fault.
+// injectRandomFault injects one random fault.
 func (simulator *simulator) injectRandomFault() {
 	simulator.faults++
-	troubled := simulator.processes[simulator.random.IntN(len(simulator.processes))]
+	target := simulator.processes[simulator.random.IntN(len(simulator.processes))]
 	for _, process := range simulator.processes {
 		if process.isLeading() && simulator.chance(0.3) {
-			troubled = process
+			target = process
 		}
 	}
 	switch simulator.random.IntN(14) {
 	case 0, 1:
-		simulator.kill(troubled)
+		simulator.kill(target)
 	case 2:
 		for _, process := range simulator.processes {
 			simulator.kill(process)
 		}
 	case 3, 4:
-		simulator.pause(troubled)
+		simulator.pause(target)
 	case 5:
 		simulator.cutRandomLinks()
 	case 6:
-		simulator.isolate(troubled)
+		simulator.isolate(target)
 	case 7, 8:
 		clear(simulator.brokenLinks)
 		simulator.lossRate = 0
 	case 9:
 		simulator.lossRate = simulator.random.Float64() / 3
 	case 10:
-		troubled.slowDisk = !troubled.slowDisk
-		if troubled.machine != nil && !troubled.isPaused {
-			troubled.step(resign{})
+		target.slowDisk = !target.slowDisk
+		if target.machine != nil && !target.isPaused {
+			target.step(resign{})
 		}
 	case 11:
-		simulator.loseDisk(troubled)
+		simulator.loseDisk(target)
 	case 12, 13:
-		simulator.disconnectPair(troubled)
+		simulator.disconnectPair(target)
 	}
 }
 
-// kill ends a process and starts it again with its disk.
+// kill stops a process and restarts it later with its disk.
 func (simulator *simulator) kill(killed *process) {
 	if killed.machine == nil {
 		return
@@ -215,20 +215,20 @@
 	return simulator.duration(200*time.Millisecond, 3*time.Second)
 }
 
-func (simulator *simulator) pause(troubled *process) {
-	if troubled.machine == nil || troubled.isPaused {
+func (simulator *simulator) pause(target *process) {
+	if target.machine == nil || target.isPaused {
 		return
 	}
-	troubled.isPaused = true
-	incarnation := troubled.incarnation
+	target.isPaused = true
+	incarnation := target.incarnation
 	simulator.schedule(simulator.duration(100*time.Millisecond, 3*time.Second), func() {
-		if troubled.incarnation == incarnation {
-			troubled.resume()
+		if target.incarnation == incarnation {
+			target.resume()
 		}
 	})
 }
 
-// cutRandomLinks cuts single directions.
+// cutRandomLinks cuts random links in one direction.
 func (simulator *simulator) cutRandomLinks() {
 	for _, from := range simulator.processes {
 		for _, to := range simulator.processes {
@@ -239,46 +239,46 @@
 	}
 }
 
-func (simulator *simulator) isolate(troubled *process) {
+func (simulator *simulator) isolate(target *process) {
 	for _, other := range simulator.processes {
-		if other != troubled {
-			simulator.brokenLinks[link{troubled.address, other.address}] = true
-			simulator.brokenLinks[link{other.address, troubled.address}] = true
+		if other != target {
+			simulator.brokenLinks[link{target.address, other.address}] = true
+			simulator.brokenLinks[link{other.address, target.address}] = true
 		}
 	}
 }
 
-// disconnectPair cuts a process off from one other, and may kill the third, which comes back soon.
-func (simulator *simulator) disconnectPair(troubled *process) {
-	position := slices.Index(simulator.processes, troubled)
+// disconnectPair cuts both directions between a process and one other, and may briefly kill the third.
+func (simulator *simulator) disconnectPair(target *process) {
+	position := slices.Index(simulator.processes, target)
 	other := simulator.processes[(position+1)%len(simulator.processes)]
 	third := simulator.processes[(position+2)%len(simulator.processes)]
-	simulator.brokenLinks[link{troubled.address, other.address}] = true
-	simulator.brokenLinks[link{other.address, troubled.address}] = true
+	simulator.brokenLinks[link{target.address, other.address}] = true
+	simulator.brokenLinks[link{other.address, target.address}] = true
 	if simulator.chance(0.5) {
 		simulator.schedule(simulator.duration(0, 1200*time.Millisecond), func() { simulator.kill(third) })
 	}
 }
 
-// loseDisk loses one disk at a time: only where all other voters, of the newest list and of those that are not committed yet,
-// are the processes that are there. A disk that replaces a lost one may be lost again at any time.
-func (simulator *simulator) loseDisk(troubled *process) {
-	if !simulator.areOthersCurrent(simulator.checker.newest.contents, troubled) {
+// loseDisk loses the disk of a process, unless another voter has lost its disk and hasn't been replaced yet, in the newest
+// committed lists or in uncommitted ones. A replaced disk may be lost again at any time.
+func (simulator *simulator) loseDisk(target *process) {
+	if !simulator.areOthersCurrent(simulator.checker.newest.contents, target) {
 		return
 	}
 	for _, process := range simulator.processes {
 		held := process.heldRecord()
-		if !held.Version.Less(simulator.checker.newest.version) && !simulator.areOthersCurrent(held.Contents, troubled) {
+		if !held.Version.Less(simulator.checker.newest.version) && !simulator.areOthersCurrent(held.Contents, target) {
 			return
 		}
 	}
-	simulator.kill(troubled)
-	troubled.disk = nil
-	troubled.diskLosses++
-	troubled.identity = ""
+	simulator.kill(target)
+	target.disk = nil
+	target.diskLosses++
+	target.identity = ""
 }
 
-// heldRecord returns the record of a process, or that on its disk while it is down.
+// heldRecord returns the record of a process, or the record on its disk while it is stopped.
 func (process *process) heldRecord() Record {
 	if process.machine != nil {
 		return process.machine.record
@@ -287,7 +287,7 @@
 	return held
 }
 
-// areOthersCurrent reports whether all voters but one process are the processes that are there.
+// areOthersCurrent reports whether all voters other than one process have the identity of the process at their address.
 func (simulator *simulator) areOthersCurrent(contents Contents, except *process) bool {
 	for _, member := range contents.voters() {
 		voter := simulator.processAt(member.Address)
@@ -300,11 +300,11 @@
 
 func (simulator *simulator) areMembersCurrent() bool {
 	members := simulator.checker.newest.contents.Members
-	wanted := len(simulator.processes)
+	expected := len(simulator.processes)
 	if simulator.mutation.replacesVoters {
-		wanted--
+		expected--
 	}
-	if len(members) != wanted || simulator.checker.newest.contents.isJoint() && !simulator.mutation.replacesVoters {
+	if len(members) != expected || simulator.checker.newest.contents.isJoint() && !simulator.mutation.replacesVoters {
 		return false
 	}
 	for _, member := range members {
@@ -315,7 +315,7 @@
 	return true
 }
 
-// heal ends all trouble; processes that are down come back as planned.
+// heal ends all faults. Stopped processes restart as scheduled.
 func (simulator *simulator) heal() {
 	clear(simulator.brokenLinks)
 	simulator.lossRate = 0
@@ -327,11 +327,11 @@
 
 func (simulator *simulator) checkMembersAreCurrent() {
 	if !simulator.areMembersCurrent() {
-		simulator.checker.violate("the members are not those that run: %v", simulator.checker.newest.contents.Members)
+		simulator.checker.violate("the members differ from the running processes: %v", simulator.checker.newest.contents.Members)
 	}
 }
 
-// hasty lets candidates begin soon, so that the end of a lease and the next election come close.
+// shortJitter makes candidates start early, so that the end of a lease and the next election are close together.
 var shortJitter = Timing{ElectionJitter: 20 * time.Millisecond}
 
 func TestWalk(t *testing.T) {
@@ -340,7 +340,7 @@
 	checkSimulations(t, 3, shortJitter)
 }
 
-// TestSwapWalk exchanges voters that live for one another all the time.
+// TestSwapWalk replaces running voters by one another continuously.
 func TestSwapWalk(t *testing.T) {
 	changes := 0
 	for seed := range *simulationSeeds {
@@ -348,26 +348,27 @@
 		must.EqOp(t, "", sim.checker.violation, must.Sprintf("seed %d", seed))
 		changes += sim.checker.memberChanges
 	}
-	t.Logf("%d lists of voters", changes)
+	t.Logf("%d committed lists of voters", changes)
 	must.Greater(t, int(*simulationSeeds), changes)
 }
 
-// mixedLeases is a group in which every second process runs a version that counts on longer leases.
+// mixedLeases is a group in which every second process is configured with a longer lease.
 var mixedLeases = []time.Duration{defaultLease, time.Second}
 
-// TestVersionsWithOtherLeasesRunSideBySide has two versions lead in turn, each with its own length of the lease.
+// TestVersionsWithOtherLeasesRunSideBySide runs members with different lease durations, as during a rolling upgrade that
+// changes the lease, so that leaders with either duration alternate.
 func TestVersionsWithOtherLeasesRunSideBySide(t *testing.T) {
 	checkSimulationsWith(t, 3, mutation{leases: mixedLeases})
 	checkSimulationsWith(t, 4, mutation{leases: mixedLeases, timing: shortJitter})
 }
 
-// grantOwnLease has a follower grant leases of the length of its own version, whatever the leader counts on.
-func grantOwnLease(process *process, taken input) input {
-	if call, ok := taken.(replicateCall); ok {
+// grantOwnLease makes a follower grant leases of its own configured duration instead of the one in the request.
+func grantOwnLease(process *process, event input) input {
+	if call, ok := event.(replicateCall); ok {
 		call.request.Lease = process.machine.config.timing.Lease
 		return call
 	}
-	return taken
+	return event
 }
 
 func checkSimulations(t *testing.T, members int, timing Timing) {
@@ -392,32 +393,32 @@
 	must.Positive(t, losses)
 }
 
-// TestWalkCatchesMutations shows that the checks notice a protocol that lacks one of its rules.
+// TestWalkCatchesMutations checks that the simulation detects a protocol that lacks one of its rules.
 func TestWalkCatchesMutations(t *testing.T) {
 	cases := []struct {
 		name     string
 		mutation mutation
 	}{
-		{"a witness votes at once after a restart", mutation{
+		{"a voter votes at once after a restart", mutation{
 			timing: shortJitter,
 			afterStart: func(process *process) {
 				process.machine.grant = grant{}
 				process.machine.campaignAt = process.clock()
 			},
 		}},
-		{"a witness forgets its grant", mutation{beforeStep: forgetGrant}},
-		{"a follower grants a lease of its own version's length", mutation{leases: mixedLeases, timing: shortJitter, beforeStep: grantOwnLease}},
+		{"a voter forgets its grant", mutation{beforeStep: forgetGrant}},
+		{"a follower grants a lease of its own duration", mutation{leases: mixedLeases, timing: shortJitter, beforeStep: grantOwnLease}},
 		{"the leader ignores the margin", mutation{
 			timing: Timing{Margin: time.Nanosecond, ElectionJitter: shortJitter.ElectionJitter},
 		}},
-		{"a witness does not compare versions", mutation{beforeStep: pretendNewestVersion}},
+		{"a voter does not compare versions", mutation{beforeStep: pretendNewestVersion}},
 		{"votes and acknowledgements do not wait for the sync", mutation{confirmsUnsynced: true}},
 		{"a process without its disk keeps its identity", mutation{keepIdentity: true}},
-		{"a version counts once a single member has it", mutation{beforeStep: pretendSynced}},
+		{"a version is committed once a single member holds it", mutation{beforeStep: pretendSynced}},
 		{"a read does not wait for its round", mutation{clockDrift: excessiveDrift, afterStep: endReadsAtOnce}},
-		{"voters are exchanged without a joint version", mutation{replacesVoters: true, afterStep: dropOldMembers, afterEffect: withoutOldMembers}},
-		{"a learner counts before it holds the contents", mutation{afterStep: countLearnerEarly}},
-		{"the new list stands alone before those added hold the joint version", mutation{beforeStep: pretendAddedHold}},
+		{"voters are replaced without a joint version", mutation{replacesVoters: true, afterStep: dropOldMembers, afterEffect: withoutOldMembers}},
+		{"a learner becomes a voter before it holds the contents", mutation{afterStep: countLearnerEarly}},
+		{"the new list alone is written before added voters hold the joint version", mutation{beforeStep: pretendAddedHold}},
 	}
 	for _, altered := range cases {
 		t.Run(altered.name, func(t *testing.T) {
@@ -427,25 +428,25 @@
 				if altered.mutation.replacesVoters {
 					members = 4
 				}
-				trouble := (*simulator).scheduleRandomFaults
+				scheduleFaults := (*simulator).scheduleRandomFaults
 				if altered.mutation.clockDrift > 0 {
-					trouble = (*simulator).isolateLeaders
+					scheduleFaults = (*simulator).isolateLeaders
 				}
-				violation := runSimulationWithFaults(seed, members, altered.mutation, trouble).checker.violation
+				violation := runSimulationWithFaults(seed, members, altered.mutation, scheduleFaults).checker.violation
 				if violation != "" {
 					t.Logf("seed %d: %s", seed, violation)
 					return
 				}
 			}
-			t.Fatalf("not noticed in %d walks", maxSeeds)
+			t.Fatalf("not detected in %d simulations", maxSeeds)
 		})
 	}
 }
 
-// excessiveDrift has the clock of a leader run so slowly that its lease outlasts the election of the next.
+// excessiveDrift makes the clock of a leader so slow that its lease outlasts the election of its successor.
 const excessiveDrift = 0.7
 
-// isolateLeaders cuts the leader off again and again, for long enough for the others to elect another.
+// isolateLeaders repeatedly isolates the leader for long enough that the others elect another one.
 func (simulator *simulator) isolateLeaders() {
 	simulator.repeat(time.Second, 4*time.Second, func() {
 		clear(simulator.brokenLinks)
@@ -461,8 +462,8 @@
 	})
 }
 
-// TestReadsRestOnNoClock has clocks drift by far more than the margin: there may be two leaders then, but what is read is
-// the newest all the same.
+// TestReadsRestOnNoClock lets clocks drift by far more than the margin. There may be two leaders then, but reads must still
+// return the newest state.
 func TestReadsRestOnNoClock(t *testing.T) {
 	reads := 0
 	for seed := range *simulationSeeds {
@@ -487,20 +488,20 @@
 
 func dropOldMembers(process *process) { process.machine.record.Contents.OldMembers = nil }
 
-func withoutOldMembers(wanted effect) effect {
-	switch wanted := wanted.(type) {
+func withoutOldMembers(requested effect) effect {
+	switch requested := requested.(type) {
 	case persist:
-		wanted.record.Contents.OldMembers = nil
-		return wanted
+		requested.record.Contents.OldMembers = nil
+		return requested
 	case sendReplicate:
-		if wanted.request.Contents != nil {
-			contents := *wanted.request.Contents
+		if requested.request.Contents != nil {
+			contents := *requested.request.Contents
 			contents.OldMembers = nil
-			wanted.request.Contents = &contents
+			requested.request.Contents = &contents
 		}
-		return wanted
+		return requested
 	}
-	return wanted
+	return requested
 }
 
 func countLearnerEarly(process *process) {
@@ -511,43 +512,43 @@
 	}
 }
 
-func pretendAddedHold(process *process, taken input) input {
+func pretendAddedHold(process *process, event input) input {
 	lead := process.machine.leadership
 	if lead == nil || !process.machine.record.Contents.isJoint() {
-		return taken
+		return event
 	}
 	for _, added := range process.machine.record.Contents.addedMembers() {
-		known := process.machine.peer(added.ID)
-		known.isVersionKnown = true
-		if known.version.Less(lead.jointSince) {
-			known.version = lead.jointSince
+		progress := process.machine.peerProgress(added.ID)
+		progress.isVersionKnown = true
+		if progress.version.Less(lead.jointSince) {
+			progress.version = lead.jointSince
 		}
 	}
-	return taken
+	return event
 }
 
-func forgetGrant(process *process, taken input) input {
-	if _, isVote := taken.(voteCall); isVote {
+func forgetGrant(process *process, event input) input {
+	if _, isVote := event.(voteCall); isVote {
 		process.machine.grant = grant{}
 	}
-	return taken
+	return event
 }
 
-func pretendNewestVersion(_ *process, taken input) input {
-	asked, isVote := taken.(voteCall)
+func pretendNewestVersion(_ *process, event input) input {
+	asked, isVote := event.(voteCall)
 	if !isVote {
-		return taken
+		return event
 	}
 	asked.request.StateEpoch = math.MaxUint64
 	return asked
 }
 
-func pretendSynced(process *process, taken input) input {
+func pretendSynced(process *process, event input) input {
 	if process.machine.leadership == nil {
-		return taken
+		return event
 	}
 	for _, member := range process.machine.recipients() {
-		process.machine.peer(member.ID).version = process.machine.record.Version
+		process.machine.peerProgress(member.ID).version = process.machine.record.Version
 	}
-	return taken
+	return event
 }
--- a/coord/failover/simulator_test.go
+++ b/coord/failover/simulator_test.go
@@ -8,45 +8,45 @@
 	"time"
 )
 
-// world simulates processes, disks, clocks and links. All of it follows from the seed.
+// simulator simulates processes, disks, clocks and links in virtual time. A run is determined by its seed.
 type simulator struct {
 	random       *rand.Rand
 	mutation     mutation
-	now          time.Duration // true time
+	now          time.Duration // true time, which no process sees
 	events       eventHeap
 	lastEvent    uint64
 	processes    []*process
 	brokenLinks  map[link]bool
 	lossRate     float64
-	isIdle       bool                    // nothing is proposed
-	pendingCalls map[uint64]func(effect) // ways back of the answers
+	isIdle       bool                    // no proposals are made
+	pendingCalls map[uint64]func(effect) // delivers the answer to a call
 	lastCall     uint64
 	steps        int                // of all machines
-	pendingReads map[uint64]Version // reads under way, with what was the newest version when they came
+	pendingReads map[uint64]Version // reads in progress, with the newest committed version when they started
 	readsDone    int
 	checker      checker
 	faults       int
 }
 
-// mutation alters the protocol, to show that the checks notice. The zero value alters nothing.
+// mutation alters the protocol or the environment, to show that the checks detect it. The zero value alters nothing.
 type mutation struct {
 	timing           Timing
-	beforeStep       func(process *process, taken input) input
+	beforeStep       func(process *process, event input) input
 	afterStart       func(process *process)
 	beforeSave       func(process *process, record Record) Record
 	afterStep        func(process *process)
-	afterEffect      func(wanted effect) effect
-	leases           []time.Duration // lengths of versions, which processes take in turn; nil for that of timing
-	replacesVoters   bool            // voters that live are exchanged again and again, so that one process is none
-	clockDrift       float64         // the first process's clock runs slower by this; what rests on leases is not checked then
+	afterEffect      func(requested effect) effect
+	leases           []time.Duration // lease durations, assigned to the processes in turn; nil for that of timing
+	replacesVoters   bool            // running voters are replaced again and again, so that one process is always a non-voter
+	clockDrift       float64         // the clock of the first process is slower by this fraction; checks that rely on leases are then skipped
 	confirmsUnsynced bool            // saves are confirmed before they are synced
-	keepIdentity     bool            // a process whose disk was lost comes back under its old name
+	keepIdentity     bool            // a process whose disk was lost restarts under its previous identity
 }
 
 // link is one direction between two addresses.
 type link struct{ from, to string }
 
-// event happens at a true time; events of the same time happen in the order in which they were planned.
+// event happens at a true time. Events at the same time happen in the order in which they were scheduled.
 type event struct {
 	at     time.Duration
 	number uint64
@@ -73,28 +73,28 @@
 	return popped
 }
 
-// process is what runs at one address.
+// process is the process at one address.
 type process struct {
 	simulator   *simulator
 	address     string
 	clockRate   float64
 	clockOffset time.Duration
 	incarnation int
-	machine     *machine // nil while it does not run
+	machine     *machine // nil while the process doesn't run
 	identity    string
-	disk        []byte // synced
+	disk        []byte // synced record
 	diskLosses  int
 	slowDisk    bool
-	saving      *persist // under way
+	saving      *persist // save in progress
 	nextSave    *persist
 	isPaused    bool
-	deferred    []func() // while frozen
+	deferred    []func() // events received while paused
 	tickNumber  uint64
 }
 
 const (
 	simulatedCallTimeout = 500 * time.Millisecond
-	clockDrift           = 0.05 // a clock runs faster or slower by this, or exactly
+	clockDrift           = 0.05 // each clock is exact, or faster or slower by this fraction
 )
 
 func newSimulator(seed uint64, members int, mutation mutation) *simulator {
@@ -122,7 +122,7 @@
 	return sim
 }
 
-// clockRate is that of a process: within the margin or, where the mutation says so, that of the first far below it.
+// clockRate returns the clock rate of a process: within the safety margin, or as far outside it as the mutation demands.
 func (simulator *simulator) clockRate(number int) float64 {
 	switch {
 	case simulator.mutation.clockDrift == 0:
@@ -134,7 +134,7 @@
 	}
 }
 
-// timing is that of the version of the process.
+// timing returns the timing that the process is configured with.
 func (process *process) timing() Timing {
 	mutation := process.simulator.mutation
 	timing := mutation.timing
@@ -167,7 +167,7 @@
 	heap.Push(&simulator.events, event{at: simulator.now + wait, number: simulator.lastEvent, action: action})
 }
 
-// run lets time pass until a moment or the first violation.
+// run processes events until the given time or the first violation.
 func (simulator *simulator) run(until time.Duration) {
 	for len(simulator.events) > 0 && simulator.checker.violation == "" && simulator.events[0].at <= until {
 		next := heap.Pop(&simulator.events).(event)
@@ -224,7 +224,7 @@
 	return fmt.Sprintf("%s#lost%d", process.address, process.diskLosses+1)
 }
 
-// stop kills the process. A save under way may have reached the disk or not.
+// stop kills the process. A save in progress may or may not have reached the disk.
 func (process *process) stop() {
 	if process.saving != nil && process.simulator.chance(0.5) {
 		process.disk = process.saving.record.Encode()
@@ -235,7 +235,7 @@
 	process.deferred = nil
 }
 
-// atIncarnation wraps an event so that it only reaches the process that planned it, and waits while that is frozen.
+// atIncarnation wraps an event so that it is dropped after a restart of the process, and deferred while it is paused.
 func (process *process) atIncarnation(action func()) func() {
 	incarnation := process.incarnation
 	var guarded func()
@@ -264,7 +264,7 @@
 	}
 }
 
-// step feeds the machine and checks the invariants after it.
+// step passes an input to the machine and checks the invariants afterwards.
 func (process *process) step(event input) {
 	simulator := process.simulator
 	if simulator.checker.violation != "" {
@@ -289,7 +289,7 @@
 	process.scheduleTick()
 }
 
-// scheduleTick plans the next tick and forgets the one planned before.
+// scheduleTick schedules the next tick and invalidates the one scheduled before.
 func (process *process) scheduleTick() {
 	process.tickNumber++
 	number := process.tickNumber
@@ -363,7 +363,7 @@
 	}
 }
 
-// send carries a request there and its answer back; one of the outcomes reaches the sender.
+// send delivers a request and its answer. The sender gets exactly one result: the answer or a timeout.
 func (simulator *simulator) send(from *process, address string, request func(call uint64) input, result func(answer effect) input) {
 	isEnded := false
 	finish := func(answer effect) func() {
@@ -387,7 +387,7 @@
 	}
 }
 
-// arrival hands a request to whatever process runs at the address by then.
+// arrival delivers a request to the process that runs at the address at that time.
 func (simulator *simulator) arrival(from *process, address string, request func(call uint64) input, finish func(effect) func()) func() {
 	return func() {
 		to := simulator.processAt(address)
@@ -419,7 +419,7 @@
 	return simulator.brokenLinks[link{from, to}] || simulator.chance(simulator.lossRate)
 }
 
-// delay is short most of the time, and long enough to overtake others now and then.
+// delay returns the delay of a message. It is usually short, and occasionally long enough to reorder messages.
 func (simulator *simulator) delay() time.Duration {
 	if simulator.chance(0.03) {
 		return simulator.duration(20*time.Millisecond, 1500*time.Millisecond)
@@ -427,7 +427,7 @@
 	return simulator.duration(time.Millisecond/2, 8*time.Millisecond)
 }
 
-// save syncs one record at a time; of those that wait only the newest is kept.
+// save syncs one record at a time. Of the records that wait only the newest is kept.
 func (process *process) save(requested persist) {
 	if process.simulator.mutation.confirmsUnsynced {
 		process.simulator.schedule(0, process.atIncarnation(func() { process.step(persisted{point: requested.point}) }))
@@ -448,7 +448,7 @@
 	return process.simulator.duration(time.Millisecond, 10*time.Millisecond)
 }
 
-// endSave writes the disk also where the process is frozen.
+// endSave writes the disk, also while the process is paused.
 func (process *process) endSave(incarnation int, requested persist) {
 	if process.incarnation != incarnation {
 		return
@@ -463,7 +463,7 @@
 	process.atIncarnation(func() { process.step(persisted{point: requested.point}) })()
 }
 
-// read begins a read, and remembers what it must see at least.
+// read starts a read and records the version that it must see at least.
 func (process *process) read() {
 	simulator := process.simulator
 	simulator.lastCall++
@@ -471,7 +471,7 @@
 	process.step(read{read: simulator.lastCall})
 }
 
-// endRead checks that what is read holds all that was committed before the read came.
+// endRead checks that the read sees everything that was committed before it started.
 func (process *process) endRead(done readDone) {
 	simulator := process.simulator
 	before := simulator.pendingReads[done.read]
@@ -485,8 +485,8 @@
 	}
 }
 
-// checkAddedMembersHoldContents looks at the disks of the voters that are being added, at each step of a change: they hold the
-// contents before the joint version is written, and the joint version before the new list stands alone.
+// checkAddedMembersHoldContents checks the disks of added voters at each step of a membership change: they must hold the
+// contents before the joint version is written, and the joint version before the new list alone is written.
 func (simulator *simulator) checkAddedMembersHoldContents(seen committed) {
 	before := simulator.checker.newest
 	if !before.version.Less(seen.version) {
@@ -504,19 +504,19 @@
 	for _, added := range joining.addedMembers() {
 		joined := simulator.processAt(added.Address)
 		if joined.identity != added.ID {
-			continue // its disk was lost meanwhile
+			continue // its disk has been lost since
 		}
 		held := Record{}
 		if len(joined.disk) > 0 {
 			held, _ = DecodeRecord(joined.disk)
 		}
 		if held.Version.Less(least) {
-			simulator.checker.violate("%s holds %v and counts in %v", added.ID, held.Version, seen.version)
+			simulator.checker.violate("%s holds only %v but is a voter in %v", added.ID, held.Version, seen.version)
 		}
 	}
 }
 
-// checkSingleLeader counts the processes that hold a valid lease at this true time, frozen ones as well.
+// checkSingleLeader checks that at most one process, paused ones included, holds a valid lease at this true time.
 func (simulator *simulator) checkSingleLeader() {
 	if simulator.checker.allowsDrift {
 		return
--- a/coord/failover/timetoleader_test.go
+++ b/coord/failover/timetoleader_test.go
@@ -13,26 +13,27 @@
 	warmUp           = 3 * time.Second
 	leaderTimeout    = 10 * time.Second
 	timingStep       = time.Millisecond
-	maxPowerOnSkew   = 300 * time.Millisecond // between the first and the last process that starts
+	maxPowerOnSkew   = 300 * time.Millisecond // between the starts of the first and the last process
 	minRestartDelay  = 10 * time.Millisecond  // after a kill
 	maxRestartDelay  = 200 * time.Millisecond
 	minProposalPause = 20 * time.Millisecond
 	maxProposalPause = 120 * time.Millisecond
 )
 
-// leaderTimes are the times that a group of three was without a leader, one for each seed.
+// leaderTimes holds the time that a group of three was without a leader, for each seed.
 type leaderTimes []time.Duration
 
 func (times leaderTimes) at(share float64) time.Duration {
 	return times[int(share*float64(len(times)-1))].Round(timingStep)
 }
 
-// measureLeaderTimes interrupts a settled group; interrupt returns when the time without a leader began.
+// measureLeaderTimes interrupts a settled group and measures the time until it has a leader again. interrupt returns the
+// time at which the interruption began.
 func measureLeaderTimes(t *testing.T, name string, interrupt func(*simulator) time.Duration) leaderTimes {
 	var times leaderTimes
 	for seed := range uint64(timingSeeds) {
 		sim := newSimulator(seed, 3, mutation{})
-		sim.repeat(minProposalPause, maxProposalPause, sim.proposeSomewhere)
+		sim.repeat(minProposalPause, maxProposalPause, sim.proposeRandomly)
 		sim.run(warmUp)
 		sim.awaitLeader(t)
 		begin := interrupt(sim)
@@ -40,11 +41,11 @@
 		times = append(times, sim.now-begin)
 	}
 	slices.Sort(times)
-	t.Logf("%s: median %v, nine of ten within %v, worst %v", name, times.at(0.5), times.at(0.9), times.at(1))
+	t.Logf("%s: median %v, p90 %v, max %v", name, times.at(0.5), times.at(0.9), times.at(1))
 	return times
 }
 
-// awaitLeader lets time pass until a member serves, having committed the inherited version under its epoch.
+// awaitLeader runs until a member serves as the leader, that is, has committed the inherited version in its epoch.
 func (simulator *simulator) awaitLeader(t *testing.T) {
 	limit := simulator.now + leaderTimeout
 	for simulator.leader() == nil {
@@ -54,7 +55,7 @@
 	}
 }
 
-// powerOnAll stops every process and starts each again within maxPowerOnSkew.
+// powerOnAll stops every process and restarts each within maxPowerOnSkew.
 func powerOnAll(sim *simulator) time.Duration {
 	for _, process := range sim.processes {
 		process.stop()
@@ -63,7 +64,7 @@
 	return sim.now
 }
 
-// powerOnAllButLeader leaves the machine of the former leader without power.
+// powerOnAllButLeader does the same, but the machine of the former leader stays off.
 func powerOnAllButLeader(sim *simulator) time.Duration {
 	leader := sim.leader()
 	for _, process := range sim.processes {
@@ -75,7 +76,7 @@
 	return sim.now
 }
 
-// killLeader ends the process of the leader, which comes back soon.
+// killLeader kills the leader's process, which restarts within maxRestartDelay.
 func killLeader(sim *simulator) time.Duration {
 	leader := sim.leader()
 	leader.stop()
@@ -83,7 +84,7 @@
 	return sim.now
 }
 
-// loseLeader ends the process of the leader for good.
+// loseLeader stops the leader's process permanently.
 func loseLeader(sim *simulator) time.Duration {
 	sim.leader().stop()
 	return sim.now
--- a/coord/failover/voterreplacement_test.go
+++ b/coord/failover/voterreplacement_test.go
@@ -8,33 +8,33 @@
 	"github.com/shoenig/test/must"
 )
 
-// The tests of this file exchange a voter that lives for a process that joins, and strike between any two steps of any
-// member, with each member in turn.
+// The tests in this file replace a running voter by a joining process, and inject a fault into each member in turn between
+// any two steps of the replacement.
 
 const (
-	replacementProcesses = 4 // three voters and the one that joins
-	replacedPosition     = 2 // position of the voter that is exchanged
+	replacementProcesses = 4 // three voters and the joining process
+	replacedPosition     = 2 // position of the voter that is replaced
 	joiningPosition      = 3
 	replacementTimeout   = 4 * time.Second
 )
 
-// strike is what happens in the middle of an exchange.
+// faultKind is a fault that occurs during a replacement.
 type faultKind int
 
 const (
 	faultDiskLoss               faultKind = iota // one member loses its disk
-	faultDiskAndPowerLoss                        // one member loses its disk, and all others lose power at the same moment
-	faultPowerLoss                               // all lose power
-	faultPermanentStop                           // one member never comes back
-	faultPermanentStopAndReturn                  // one member never comes back, and the voter that is exchanged was cut off before and returns
+	faultDiskAndPowerLoss                        // one member loses its disk, and all others lose power at the same time
+	faultPowerLoss                               // all members lose power
+	faultPermanentStop                           // one member stops permanently
+	faultPermanentStopAndReturn                  // one member stops permanently; the replaced voter was isolated before and reconnects
 )
 
 var faultNames = map[faultKind]string{
-	faultDiskLoss: "disk lost", faultDiskAndPowerLoss: "disk lost, others lose power", faultPowerLoss: "all lose power",
-	faultPermanentStop: "gone for good", faultPermanentStopAndReturn: "gone for good while the exchanged one was cut off",
+	faultDiskLoss: "disk loss", faultDiskAndPowerLoss: "disk loss, others lose power", faultPowerLoss: "all lose power",
+	faultPermanentStop: "permanent stop", faultPermanentStopAndReturn: "permanent stop while the replaced voter was isolated",
 }
 
-// newSettledSimulator is a group of three voters that has a leader and has acknowledged a proposal, and a fourth process.
+// newSettledSimulator returns a group of three voters with a leader and an acknowledged proposal, and a fourth process.
 func newSettledSimulator(t *testing.T, seed uint64, altered mutation) *simulator {
 	sim := newSimulator(seed, replacementProcesses, altered)
 	for limit := 0; len(sim.checker.succeeded) == 0; limit++ {
@@ -42,11 +42,11 @@
 		sim.run(sim.now + 10*time.Millisecond)
 		sim.proposeAtLeader()
 	}
-	sim.run(sim.now + 3*time.Second) // the fourth one acknowledges by now
+	sim.run(sim.now + 3*time.Second) // by now the fourth process acknowledges heartbeats
 	return sim
 }
 
-// proposeAtLeader proposes where a process leads, and returns it.
+// proposeAtLeader proposes at the leader and returns it, or nil if there is none.
 func (simulator *simulator) proposeAtLeader() *process {
 	for _, leader := range simulator.processes {
 		if leader.isPaused || !leader.isLeading() {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// beginReplacement exchanges the third voter for the newcomer at the leader.
+// beginReplacement proposes at the leader to replace the third voter by the joining process.
 func (simulator *simulator) beginReplacement() {
 	removed, added := simulator.processes[replacedPosition], simulator.processes[joiningPosition]
 	change := memberChange{add: &Member{ID: added.identity, Address: added.address}, removeID: removed.identity}
@@ -75,13 +75,13 @@
 	}
 }
 
-// hasReplaced reports whether the new list stands alone.
+// isReplaced reports whether the newest committed contents have the new list alone.
 func (simulator *simulator) isReplaced() bool {
 	contents := simulator.checker.newest.contents
 	return !contents.isJoint() && hasMember(contents.Members, simulator.processes[joiningPosition].identity)
 }
 
-// runSteps lets so many steps of members happen, or as many as come until a moment.
+// runSteps runs until the members have taken the given number of steps. It returns false if that takes longer than until.
 func (simulator *simulator) runSteps(steps int, until time.Duration) bool {
 	for last := simulator.steps + steps; simulator.steps < last; {
 		if len(simulator.events) == 0 || simulator.events[0].at > until || simulator.checker.violation != "" {
@@ -92,105 +92,105 @@
 	return true
 }
 
-// injectFault strikes a member. Those that lose power come back; one that is gone for good does not.
-func (simulator *simulator) injectFault(kind faultKind, position int) {
-	struck := simulator.processes[position]
-	switch kind {
+// injectFault injects a fault into a member. Members that lose power restart; one that stops permanently doesn't.
+func (simulator *simulator) injectFault(fault faultKind, position int) {
+	target := simulator.processes[position]
+	switch fault {
 	case faultDiskLoss:
-		simulator.restartWithEmptyDisk(struck)
+		simulator.restartWithEmptyDisk(target)
 	case faultDiskAndPowerLoss:
 		for _, other := range simulator.processes {
-			if other != struck {
+			if other != target {
 				simulator.kill(other)
 			}
 		}
-		simulator.restartWithEmptyDisk(struck)
+		simulator.restartWithEmptyDisk(target)
 	case faultPowerLoss:
 		for _, process := range simulator.processes {
 			simulator.kill(process)
 		}
 	case faultPermanentStop, faultPermanentStopAndReturn:
-		struck.stop()
+		target.stop()
 	}
 }
 
-// wipe ends a process and has it come back with an empty disk.
-func (simulator *simulator) restartWithEmptyDisk(struck *process) {
-	simulator.kill(struck)
-	struck.disk = nil
-	struck.diskLosses++
-	struck.identity = ""
+// restartWithEmptyDisk stops a process and restarts it with an empty disk.
+func (simulator *simulator) restartWithEmptyDisk(target *process) {
+	simulator.kill(target)
+	target.disk = nil
+	target.diskLosses++
+	target.identity = ""
 }
 
-// runReplacement strikes a member so many steps after an exchange began. It reports whether the exchange went on for that
-// long, and what was violated.
-func runReplacement(t *testing.T, altered mutation, kind faultKind, position, after int) (wentOn bool, violation string) {
+// runReplacement injects a fault the given number of steps after the start of a replacement. It reports whether the
+// replacement was still in progress then, and the first violation.
+func runReplacement(t *testing.T, altered mutation, fault faultKind, position, after int) (wasInProgress bool, violation string) {
 	sim := newSettledSimulator(t, uint64(position), altered)
-	victim := sim.processes[replacedPosition]
-	if kind == faultPermanentStopAndReturn {
-		sim.isolate(victim)
-		sim.run(sim.now + 3*time.Second) // if it led, another one does now
+	replacedVoter := sim.processes[replacedPosition]
+	if fault == faultPermanentStopAndReturn {
+		sim.isolate(replacedVoter)
+		sim.run(sim.now + 3*time.Second) // if it led, another voter leads by now
 	}
 	sim.beginReplacement()
 	if !sim.runSteps(after, sim.now+replacementTimeout) || sim.isReplaced() {
 		return false, sim.checker.violation
 	}
-	sim.injectFault(kind, position)
+	sim.injectFault(fault, position)
 	sim.heal()
 	before := len(sim.checker.succeeded)
 	sim.repeat(50*time.Millisecond, 100*time.Millisecond, func() { sim.proposeAtLeader() })
 	sim.run(sim.now + 12*time.Second)
 	if len(sim.checker.succeeded) == before {
-		sim.checker.violate("nothing was committed after the loss")
+		sim.checker.violate("nothing was committed after the fault")
 	}
 	sim.checker.checkEnd()
 	return true, sim.checker.violation
 }
 
-// runReplacements plays an exchange with a strike after each of its steps, and returns the number of moments and the
-// first violation.
-func runReplacements(t *testing.T, altered mutation) (moments int, violation string) {
-	for kind := faultDiskLoss; kind <= faultPermanentStopAndReturn; kind++ {
+// runReplacements runs a replacement once for each fault, member and step, and returns the number of runs and the first
+// violation.
+func runReplacements(t *testing.T, altered mutation) (runs int, violation string) {
+	for fault := faultDiskLoss; fault <= faultPermanentStopAndReturn; fault++ {
 		for position := range replacementProcesses {
-			if kind == faultPermanentStopAndReturn && position == replacedPosition {
+			if fault == faultPermanentStopAndReturn && position == replacedPosition {
 				continue
 			}
 			for after := 1; ; after++ {
-				wentOn, violation := runReplacement(t, altered, kind, position, after)
+				wasInProgress, violation := runReplacement(t, altered, fault, position, after)
 				if violation != "" {
-					return moments, fmt.Sprintf("%s: member %d, after %d steps: %s", faultNames[kind], position, after, violation)
+					return runs, fmt.Sprintf("%s: member %d, after %d steps: %s", faultNames[fault], position, after, violation)
 				}
-				if !wentOn {
+				if !wasInProgress {
 					break
 				}
-				moments++
+				runs++
 			}
 		}
 	}
-	return moments, ""
+	return runs, ""
 }
 
-// TestExchangeBearsALossAtEachMoment loses each member in turn at each moment of an exchange. The group goes on, and
-// nothing that was acknowledged is lost.
-func TestExchangeBearsALossAtEachMoment(t *testing.T) {
-	moments, violation := runReplacements(t, mutation{})
+// TestReplacementToleratesAFaultAtEachStep checks that the group keeps working and loses nothing that was acknowledged, with a
+// fault in each member at each step of a replacement.
+func TestReplacementToleratesAFaultAtEachStep(t *testing.T) {
+	runs, violation := runReplacements(t, mutation{})
 	must.EqOp(t, "", violation)
-	t.Logf("%d moments", moments)
-	must.Greater(t, 100, moments)
+	t.Logf("%d runs", runs)
+	must.Greater(t, 100, runs)
 }
 
-// TestExchangeInTwoStepsIsCaught shows that the moments above notice an exchange that removes a voter first.
-func TestExchangeInTwoStepsIsCaught(t *testing.T) {
+// TestReplacementCatchesRemovalFirst checks that the test above detects a replacement that removes the old voter first.
+func TestReplacementCatchesRemovalFirst(t *testing.T) {
 	_, violation := runReplacements(t, mutation{beforeStep: removeFirst})
 	must.NotEqOp(t, "", violation)
 	t.Log(violation)
 }
 
-// removeFirst begins an exchange by removing the old voter, and adds the new one once that is committed.
-func removeFirst(process *process, taken input) input {
-	wanted, isProposal := taken.(propose)
+// removeFirst starts a replacement by removing the old voter, and adds the new one afterwards.
+func removeFirst(process *process, event input) input {
+	wanted, isProposal := event.(propose)
 	if !isProposal || wanted.members == nil || wanted.members.add == nil || wanted.members.removeID == "" {
-		return taken
+		return event
 	}
 	added := *wanted.members.add
 	simulator := process.simulator
