--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -98,7 +98,7 @@
 		Voter:            known.Voter,
 		ConfigVersion:    state.ConfigVersion,
 		MapVersion:       state.MapVersion,
-		Streams:          s.hub.Subscribers(),
+		Streams:          s.hub.SubscriberCount(),
 		ControlAddresses: s.controlAddresses(),
 		Partitions:       make(map[string]int),
 		Retirements:      make(map[string]string),
--- a/internal/controlplane/transport.go
+++ b/internal/controlplane/transport.go
@@ -43,7 +43,7 @@
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := dialer.DialContext(ctx, network, address)
 		if err == nil {
-			watch.BoundUnacknowledged(connection, peerUserTimeout)
+			watch.SetUserTimeout(connection, peerUserTimeout)
 		}
 		return connection, err
 	}
