--- a/coord/failover/modelkey_test.go
+++ b/coord/failover/modelkey_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// modelKey stands for a state. Two states of the same key have the same future; that two others share one by chance is
-// as likely as for any hash of 128 bits.
+// modelKey identifies a state. States with the same key have the same future. The probability that two other states share a
+// key is that of a collision of 128-bit hashes.
 type modelKey [2]uint64
 
 var modelSeeds = [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}
 
-// keyWriter collects what distinguishes a state. Times are told relative to the clock of their process, and those that are
-// over count as equal.
+// keyWriter encodes everything that distinguishes a state. Times are relative to the clock of their process, and all times
+// that have passed are encoded alike.
 type keyWriter struct {
 	written []byte
 	clock   time.Duration
@@ -27,12 +27,12 @@
 		writer.process(process)
 	}
 	writer.messages(state, state.queue)
-	writer.numbers(uint64(len(state.held)))
-	writer.heldMessages(state)
+	writer.numbers(uint64(len(state.delayed)))
+	writer.delayedMessages(state)
 	writer.history(state)
-	used := state.used
-	writer.numbers(uint64(state.elapsed), uint64(used.proposals), uint64(used.holds), uint64(used.crashes),
-		uint64(used.stalls), uint64(used.losses), uint64(used.resigns), uint64(used.cuts), uint64(used.freezes),
+	used := state.consumed
+	writer.numbers(uint64(state.elapsed), uint64(used.proposals), uint64(used.delays), uint64(used.crashes),
+		uint64(used.clockStalls), uint64(used.diskLosses), uint64(used.resignations), uint64(used.cuts), uint64(used.pauses),
 		uint64(used.reads))
 	for _, row := range state.cut {
 		for _, isCut := range row {
@@ -60,12 +60,12 @@
 
 func (writer *keyWriter) version(version Version) { writer.numbers(version.Epoch, version.Seq) }
 
-// future is a moment that matters until it has come.
+// future encodes a time that matters until it is reached.
 func (writer *keyWriter) future(moment time.Duration) {
 	writer.numbers(uint64(max(moment-writer.clock, 0)))
 }
 
-// past is a moment that matters for the length of a lease.
+// past encodes a time that matters for the length of a lease.
 func (writer *keyWriter) past(moment time.Duration) {
 	writer.numbers(uint64(max(moment-writer.clock+modelTiming.Lease, 0)))
 }
@@ -95,7 +95,7 @@
 	writer.clock = process.clock
 	writer.numbers(uint64(process.disksLost))
 	writer.flag(process.machine != nil)
-	writer.flag(process.frozen)
+	writer.flag(process.isPaused)
 	if process.machine != nil {
 		writer.machine(process.machine)
 		return
@@ -106,27 +106,27 @@
 	}
 }
 
-// machine leaves out what is the same in all running processes of the model: the disk holds the record.
+// machine omits what is the same in all running processes of the model: the disk holds the record.
 func (writer *keyWriter) machine(machine *machine) {
 	writer.record(&machine.record)
 	writer.version(machine.committedVersion)
 	writer.numbers(machine.highestEpoch)
 	writer.future(machine.ackAfter)
-	if machine.grant.ends > writer.clock {
+	if machine.grant.expiresAt > writer.clock {
 		writer.text(machine.grant.leader)
 	}
-	writer.future(machine.grant.ends)
-	writer.flag(machine.formerTerm != nil)
-	if machine.formerTerm != nil {
-		writer.numbers(machine.formerTerm.epoch)
-		writer.future(machine.formerTerm.ends)
+	writer.future(machine.grant.expiresAt)
+	writer.flag(machine.restartCampaign != nil)
+	if machine.restartCampaign != nil {
+		writer.numbers(machine.restartCampaign.epoch)
+		writer.future(machine.restartCampaign.expiresAt)
 	}
 	writer.flag(machine.leadership != nil)
 	if machine.leadership != nil {
 		writer.leadership(machine.leadership)
 		return
 	}
-	writer.future(machine.electionAt)
+	writer.future(machine.campaignAt)
 	writer.flag(machine.campaign != nil)
 	if machine.campaign != nil {
 		writer.campaign(machine.campaign)
@@ -135,7 +135,7 @@
 
 func (writer *keyWriter) campaign(campaign *campaign) {
 	writer.numbers(campaign.epoch)
-	writer.flag(campaign.askOnly)
+	writer.flag(campaign.isPreVote)
 	writer.numbers(uint64(len(campaign.granted)))
 	for _, identity := range slices.Sorted(maps.Keys(campaign.granted)) {
 		writer.text(identity)
@@ -146,8 +146,8 @@
 	writer.numbers(lead.epoch)
 	writer.past(lead.electedAt)
 	writer.future(lead.heartbeatAt)
-	writer.version(lead.same)
-	writer.change(lead.change)
+	writer.version(lead.inheritedVersion)
+	writer.pendingChange(lead.pendingChange)
 	if lead.isServing {
 		writer.version(lead.jointSince)
 	}
@@ -159,31 +159,31 @@
 	}
 	writer.numbers(uint64(len(lead.peers)))
 	for _, identity := range slices.Sorted(maps.Keys(lead.peers)) {
-		known := lead.peers[identity]
+		progress := lead.peers[identity]
 		writer.text(identity)
-		writer.flag(known.isKnown)
-		writer.version(known.version)
-		writer.flag(known.hasGranted)
-		writer.past(known.grantedSentAt)
-		writer.future(known.contentsRetryAt)
-		writer.numbers(uint64(min(known.contentsFailed, contentsDoublings)))
+		writer.flag(progress.isVersionKnown)
+		writer.version(progress.version)
+		writer.flag(progress.hasGranted)
+		writer.past(progress.grantedSentAt)
+		writer.future(progress.contentsRetryAt)
+		writer.numbers(uint64(min(progress.contentsFailures, maxTimeoutDoublings)))
 	}
 }
 
-func (writer *keyWriter) change(change *changeUnderWay) {
-	writer.flag(change != nil)
-	if change == nil {
+func (writer *keyWriter) pendingChange(pendingChange *pendingMemberChange) {
+	writer.flag(pendingChange != nil)
+	if pendingChange == nil {
 		return
 	}
-	writer.flag(change.learner != nil)
-	if change.learner != nil {
-		writer.text(change.learner.ID)
-		writer.version(change.needs)
+	writer.flag(pendingChange.learner != nil)
+	if pendingChange.learner != nil {
+		writer.text(pendingChange.learner.ID)
+		writer.version(pendingChange.requiredVersion)
 	}
-	writer.text(change.wanted.removeID)
+	writer.text(pendingChange.requested.removeID)
 }
 
-// reads tells of the reads that wait how far their rounds have come. No other number of a round matters.
+// reads encodes the progress of the rounds that reads wait for. Other round numbers don't matter.
 func (writer *keyWriter) reads(lead *leadership) {
 	writer.numbers(uint64(len(lead.reads)))
 	for _, waiting := range lead.reads {
@@ -195,7 +195,7 @@
 	}
 }
 
-// round tells of a heartbeat, or of the answer to one, for which reads it counts.
+// round encodes for which pending reads a heartbeat or an answer to it counts.
 func (writer *keyWriter) round(asker *modelProcess, round uint64) {
 	if asker.machine.leadership == nil {
 		return
@@ -212,21 +212,21 @@
 	}
 }
 
-// heldMessages have no order.
-func (writer *keyWriter) heldMessages(state *modelState) {
-	var told []string
-	for position := range state.held {
+// delayedMessages encodes the delayed messages as a set, since they have no order.
+func (writer *keyWriter) delayedMessages(state *modelState) {
+	var encoded []string
+	for position := range state.delayed {
 		single := keyWriter{}
-		single.message(state, &state.held[position])
-		told = append(told, string(single.written))
+		single.message(state, &state.delayed[position])
+		encoded = append(encoded, string(single.written))
 	}
-	slices.Sort(told)
-	for _, message := range told {
+	slices.Sort(encoded)
+	for _, message := range encoded {
 		writer.text(message)
 	}
 }
 
-// message tells the moment of sending on the clock of the process that asked, where that still runs.
+// message encodes the send time on the clock of the process that sent the request, if that process still runs.
 func (writer *keyWriter) message(state *modelState, message *modelMessage) {
 	asking := message.from
 	if message.isAnswer() {
@@ -265,7 +265,7 @@
 	writer.text(request.Member)
 	writer.text(request.Candidate)
 	writer.numbers(request.Epoch, request.StateEpoch, request.StateSeq)
-	writer.flag(request.AskOnly)
+	writer.flag(request.PreVote)
 }
 
 func (writer *keyWriter) replicateRequest(request *ReplicateRequest) {
@@ -279,7 +279,7 @@
 	}
 }
 
-// history is what was committed.
+// history encodes the committed versions and the pending reads.
 func (writer *keyWriter) history(state *modelState) {
 	versions := slices.SortedFunc(maps.Keys(state.versions), func(one, other Version) int {
 		if one.Less(other) {
@@ -292,10 +292,10 @@
 		writer.version(version)
 		writer.text(state.versions[version])
 	}
-	reading := slices.Sorted(maps.Keys(state.reading))
+	reading := slices.Sorted(maps.Keys(state.pendingReads))
 	writer.numbers(uint64(len(reading)))
 	for _, number := range reading {
 		writer.numbers(number)
-		writer.version(state.reading[number])
+		writer.version(state.pendingReads[number])
 	}
 }
--- a/coord/failover/proposal.go
+++ b/coord/failover/proposal.go
@@ -6,34 +6,36 @@
 	"time"
 )
 
-func (machine *machine) handlePropose(now time.Duration, wanted propose) {
+// handlePropose queues a proposal. It fails at once if this member doesn't serve as the leader or the queue is full.
+func (machine *machine) handlePropose(now time.Duration, proposed propose) {
 	lead := machine.leadership
 	if lead == nil || !lead.isServing {
-		err := NotLeader{LeaderAddress: machine.leaderAddress(now)}
-		machine.emit(proposalDone{proposal: wanted.proposal, err: err})
+		err := NotLeaderError{LeaderAddress: machine.leaderAddress(now)}
+		machine.emit(proposalDone{proposal: proposed.proposal, err: err})
 		return
 	}
-	if wanted.members != nil {
-		machine.handleMemberChange(now, wanted)
+	if proposed.members != nil {
+		machine.handleMemberChange(now, proposed)
 		return
 	}
 	if len(lead.queue) >= machine.config.queueLimit {
-		err := Overloaded{Limit: machine.config.queueLimit}
-		machine.emit(proposalDone{proposal: wanted.proposal, err: err})
+		err := OverloadedError{Limit: machine.config.queueLimit}
+		machine.emit(proposalDone{proposal: proposed.proposal, err: err})
 		return
 	}
-	lead.queue = append(lead.queue, wanted)
-	machine.startProposal(now)
+	lead.queue = append(lead.queue, proposed)
+	machine.startNextProposal(now)
 }
 
-// handleAbandon ends a proposal or a read early. A proposal that is under way goes on, but nobody learns of its end.
+// handleAbandon completes a proposal or a read whose caller stopped waiting. A proposal in flight continues, but its
+// final outcome isn't reported.
 func (machine *machine) handleAbandon(abandoned abandon) {
 	lead := machine.leadership
 	if lead == nil || machine.abandonRead(abandoned) || machine.abandonMemberChange(abandoned) {
 		return
 	}
 	if lead.inFlight != nil && lead.inFlight.proposal == abandoned.proposal {
-		err := OutcomeUnknown{Reason: abandoned.cause.Error()}
+		err := OutcomeUnknownError{Reason: abandoned.cause.Error()}
 		machine.emit(proposalDone{proposal: abandoned.proposal, err: err})
 		return
 	}
@@ -42,10 +44,10 @@
 	}
 }
 
-// dropQueued takes a proposal out of the queue, and reports whether it was there.
+// dropQueued removes a proposal from the queue and reports whether it was queued.
 func (lead *leadership) dropQueued(proposal uint64) bool {
-	isWanted := func(waiting propose) bool { return waiting.proposal == proposal }
-	position := slices.IndexFunc(lead.queue, isWanted)
+	isMatch := func(waiting propose) bool { return waiting.proposal == proposal }
+	position := slices.IndexFunc(lead.queue, isMatch)
 	if position < 0 {
 		return false
 	}
@@ -53,18 +55,19 @@
 	return true
 }
 
-// startProposal begins the first proposal that changes something, unless one is under way.
-func (machine *machine) startProposal(now time.Duration) {
+// startNextProposal starts the first queued proposal that changes the contents, unless a proposal is in flight. Queued
+// proposals that fail or change nothing end like reads, after a heartbeat round.
+func (machine *machine) startNextProposal(now time.Duration) {
 	lead := machine.leadership
 	for lead.inFlight == nil && len(lead.queue) > 0 {
 		next := lead.queue[0]
 		lead.queue = slices.Delete(lead.queue, 0, 1)
 		contents, err := machine.proposedContents(next)
-		if err != nil || isSameContents(contents, machine.record.Contents) {
+		if err != nil || equalContents(contents, machine.record.Contents) {
 			if next.isMemberChange() {
-				lead.change = nil
+				lead.pendingChange = nil
 			}
-			machine.awaitRound(now, waitingRead{number: next.proposal, outcome: err})
+			machine.awaitRound(now, pendingRead{number: next.proposal, result: err})
 			continue
 		}
 		lead.inFlight = &next
@@ -72,19 +75,20 @@
 	}
 }
 
-// writeVersion gives new contents the next version and sends them.
+// writeVersion writes new contents as the next version and sends them to the other members.
 func (machine *machine) writeVersion(now time.Duration, contents Contents) {
 	isChanged := !slices.Equal(contents.Members, machine.record.Contents.Members)
-	machine.leadership.same = Version{}
+	machine.leadership.inheritedVersion = Version{}
 	machine.record.Contents = contents
 	machine.record.Version.Seq++
 	if isChanged {
 		machine.leadership.jointSince = machine.record.Version
 	}
-	machine.changeRecord()
-	machine.broadcast(now)
+	machine.saveRecord()
+	machine.broadcastHeartbeat(now)
 }
 
+// proposedContents returns the contents that a proposal would write next.
 func (machine *machine) proposedContents(proposed propose) (Contents, error) {
 	contents := machine.record.Contents
 	if proposed.members != nil {
@@ -99,7 +103,7 @@
 	return contents, err
 }
 
-func isSameContents(one, other Contents) bool {
+func equalContents(one, other Contents) bool {
 	return bytes.Equal(one.State, other.State) &&
 		slices.Equal(one.Members, other.Members) &&
 		slices.Equal(one.OldMembers, other.OldMembers)
--- a/coord/failover/read.go
+++ b/coord/failover/read.go
@@ -2,61 +2,64 @@
 
 import "time"
 
-// A read ends once a majority has answered a round of heartbeats that began after the read came. Each of them has then
-// voted for no newer leader since, so no newer leader was elected before the read came, and the committed state of this
-// one holds all that was acknowledged by then. This rests on no clock; the lease is a second guard.
+// A read completes once a majority has acknowledged a round of heartbeats that started after the read arrived (like
+// ReadIndex in Raft). The acknowledgements show that none of these members had voted in a newer epoch by then, so no newer
+// leader was elected before the read arrived, and the committed state of this leader includes everything that was
+// acknowledged by that time. This doesn't depend on clocks; the lease is a second safeguard.
 //
-// A proposal that makes no new version, because it is refused or changes nothing, ends in the same way: what it was
-// compared with was the newest state when it came.
+// A proposal that creates no new version, because it is refused or changes nothing, completes in the same way. This
+// confirms that the state on which it was evaluated was the newest when the proposal arrived.
 
-// waitingRead is a read, or a proposal without a new version, that waits for answers to a round or a later one.
-type waitingRead struct {
-	number  uint64 // of the read or proposal
-	round   uint64
-	outcome error // told once the round is answered
-	isRead  bool
+// pendingRead is a read, or a proposal without a new version, that waits until its heartbeat round or a later one is
+// acknowledged.
+type pendingRead struct {
+	number uint64 // number of the read or proposal
+	round  uint64
+	result error // reported once the round is acknowledged
+	isRead bool
 }
 
-// ended is the effect that tells of the end.
-func (waiting waitingRead) ended(err error) effect {
-	if waiting.isRead {
-		return readDone{read: waiting.number, err: err}
+// doneEffect returns the effect that reports the completion.
+func (pending pendingRead) doneEffect(err error) effect {
+	if pending.isRead {
+		return readDone{read: pending.number, err: err}
 	}
-	return proposalDone{proposal: waiting.number, err: err}
+	return proposalDone{proposal: pending.number, err: err}
 }
 
-// handleRead has a read wait for its round.
-func (machine *machine) handleRead(now time.Duration, wanted read) {
+// handleRead starts a read. It fails at once if this member doesn't serve as the leader or too many reads are pending.
+func (machine *machine) handleRead(now time.Duration, requested read) {
 	lead := machine.leadership
 	if lead == nil || !lead.isServing {
-		err := NotLeader{LeaderAddress: machine.leaderAddress(now)}
-		machine.emit(readDone{read: wanted.read, err: err})
+		err := NotLeaderError{LeaderAddress: machine.leaderAddress(now)}
+		machine.emit(readDone{read: requested.read, err: err})
 		return
 	}
 	if len(lead.reads) >= machine.config.queueLimit {
-		machine.emit(readDone{read: wanted.read, err: Overloaded{Limit: machine.config.queueLimit}})
+		machine.emit(readDone{read: requested.read, err: OverloadedError{Limit: machine.config.queueLimit}})
 		return
 	}
-	machine.awaitRound(now, waitingRead{number: wanted.read, isRead: true})
+	machine.awaitRound(now, pendingRead{number: requested.read, isRead: true})
 }
 
-// awaitRound begins a round, unless one is under way for an earlier read: the next one begins when that ends.
-func (machine *machine) awaitRound(now time.Duration, waiting waitingRead) {
+// awaitRound starts a heartbeat round, unless an earlier read waits for one. Reads that arrive during a round share the
+// next one, which starts when the current one has completed.
+func (machine *machine) awaitRound(now time.Duration, pending pendingRead) {
 	lead := machine.leadership
-	waiting.round = lead.round + 1
-	lead.reads = append(lead.reads, waiting)
+	pending.round = lead.round + 1
+	lead.reads = append(lead.reads, pending)
 	if len(lead.reads) == 1 {
-		machine.broadcast(now)
+		machine.broadcastHeartbeat(now)
 		machine.finishReads(now)
 	}
 }
 
-// finishReads ends the reads whose round a majority has answered, and begins the round that the next ones wait for.
+// finishReads completes the reads whose round a majority has acknowledged, and starts the round for the remaining ones.
 func (machine *machine) finishReads(now time.Duration) {
 	lead := machine.leadership
 	finished := 0
-	for finished < len(lead.reads) && machine.isRoundAnswered(lead.reads[finished].round) {
-		machine.emit(lead.reads[finished].ended(lead.reads[finished].outcome))
+	for finished < len(lead.reads) && machine.isRoundConfirmed(lead.reads[finished].round) {
+		machine.emit(lead.reads[finished].doneEffect(lead.reads[finished].result))
 		finished++
 	}
 	if finished == 0 {
@@ -64,13 +67,13 @@
 	}
 	lead.reads = lead.reads[finished:]
 	if len(lead.reads) > 0 && lead.reads[0].round > lead.round {
-		machine.broadcast(now)
+		machine.broadcastHeartbeat(now)
 		machine.finishReads(now)
 	}
 }
 
-// isRoundAnswered reports whether a majority has answered a heartbeat of a round or of a later one.
-func (machine *machine) isRoundAnswered(round uint64) bool {
+// isRoundConfirmed reports whether a majority has acknowledged a heartbeat of the round or of a later one.
+func (machine *machine) isRoundConfirmed(round uint64) bool {
 	if round > machine.leadership.round {
 		return false
 	}
@@ -78,20 +81,20 @@
 		if identity == machine.record.Identity {
 			return true
 		}
-		known := machine.leadership.peers[identity]
-		return known != nil && known.answeredRound >= round
+		progress := machine.leadership.peers[identity]
+		return progress != nil && progress.answeredRound >= round
 	})
 }
 
-// abandonRead forgets a read that nobody waits for any longer.
+// abandonRead removes a read whose caller stopped waiting, and reports whether it was pending.
 func (machine *machine) abandonRead(abandoned abandon) bool {
 	lead := machine.leadership
-	for position, waiting := range lead.reads {
-		if waiting.number != abandoned.proposal {
+	for position, pending := range lead.reads {
+		if pending.number != abandoned.proposal {
 			continue
 		}
 		lead.reads = append(lead.reads[:position:position], lead.reads[position+1:]...)
-		machine.emit(waiting.ended(abandoned.cause))
+		machine.emit(pending.doneEffect(abandoned.cause))
 		return true
 	}
 	return false
--- a/coord/failover/record.go
+++ b/coord/failover/record.go
@@ -2,25 +2,25 @@
 
 import "encoding/binary"
 
-// The first byte of an encoded record. A record of the first format has no old members.
+// Values of the first byte of an encoded record. The first format has no old members.
 const (
-	recordFormatSimple = 1
-	recordFormat       = 2
+	recordFormatV1 = 1
+	recordFormatV2 = 2
 )
 
-// Record is all that a member keeps on its disk.
+// Record is everything that a member persists.
 type Record struct {
 	Identity   string
-	VotedEpoch uint64 // newest epoch voted in, or accepted from a leader
-	VotedFor   string // identity of the leader accepted in it, else of the candidate voted for
+	VotedEpoch uint64 // newest epoch that the member has voted in, or accepted from a leader
+	VotedFor   string // identity of the leader accepted in VotedEpoch, otherwise of the candidate voted for
 	Version    Version
 	Contents   Contents
 }
 
-// Encode returns the record as bytes for Storage. The bytes carry no checksum.
+// Encode returns the binary form of the record for Storage. It has no checksum.
 func (record Record) Encode() []byte {
 	encoded := make([]byte, 0, 64+64*len(record.Contents.Members)+len(record.Contents.State))
-	encoded = append(encoded, recordFormat)
+	encoded = append(encoded, recordFormatV2)
 	encoded = appendString(encoded, record.Identity)
 	encoded = binary.AppendUvarint(encoded, record.VotedEpoch)
 	encoded = appendString(encoded, record.VotedFor)
@@ -41,10 +41,10 @@
 	return encoded
 }
 
-// DecodeRecord reads what Encode returned. The error is a CorruptRecord.
+// DecodeRecord decodes the result of Encode. Errors are CorruptRecordError.
 func DecodeRecord(encoded []byte) (Record, error) {
-	if len(encoded) == 0 || encoded[0] != recordFormat && encoded[0] != recordFormatSimple {
-		return Record{}, CorruptRecord{Reason: "unknown format"}
+	if len(encoded) == 0 || encoded[0] != recordFormatV2 && encoded[0] != recordFormatV1 {
+		return Record{}, CorruptRecordError{Reason: "unknown record format"}
 	}
 	reader := recordReader{rest: encoded[1:]}
 	record := Record{
@@ -55,11 +55,11 @@
 	record.Version.Epoch = reader.number()
 	record.Version.Seq = reader.number()
 	record.Contents.Members = reader.members()
-	if encoded[0] == recordFormat {
+	if encoded[0] == recordFormatV2 {
 		record.Contents.OldMembers = reader.members()
 	}
-	if reader.broken {
-		return Record{}, CorruptRecord{Reason: "cut short"}
+	if reader.isTruncated {
+		return Record{}, CorruptRecordError{Reason: "truncated"}
 	}
 	record.Contents.State = reader.rest
 	return record, nil
@@ -70,16 +70,16 @@
 	return append(encoded, text...)
 }
 
-// recordReader reads fields one after the other; after the first that is cut short it returns zero values.
+// recordReader reads consecutive fields. After a field that is truncated it returns zero values.
 type recordReader struct {
-	rest   []byte
-	broken bool
+	rest        []byte
+	isTruncated bool
 }
 
 func (reader *recordReader) number() uint64 {
 	number, length := binary.Uvarint(reader.rest)
 	if length <= 0 {
-		reader.broken = true
+		reader.isTruncated = true
 		reader.rest = nil
 		return 0
 	}
@@ -89,7 +89,7 @@
 
 func (reader *recordReader) members() []Member {
 	var members []Member
-	for count := reader.number(); count > 0 && !reader.broken; count-- {
+	for count := reader.number(); count > 0 && !reader.isTruncated; count-- {
 		member := Member{ID: reader.string(), Address: reader.string(), Zone: reader.string()}
 		members = append(members, member)
 	}
@@ -99,7 +99,7 @@
 func (reader *recordReader) string() string {
 	length := reader.number()
 	if length > uint64(len(reader.rest)) {
-		reader.broken = true
+		reader.isTruncated = true
 		reader.rest = nil
 		return ""
 	}
--- a/coord/failover/record_test.go
+++ b/coord/failover/record_test.go
@@ -31,7 +31,7 @@
 	header := len(encoded) - len(testRecord.Contents.State)
 	for length := range header {
 		_, err := DecodeRecord(encoded[:length])
-		must.True(t, errors.As(err, &CorruptRecord{}), must.Sprintf("length %d", length))
+		must.True(t, errors.As(err, &CorruptRecordError{}), must.Sprintf("length %d", length))
 	}
 }
 
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestFileStoreTornSave damages the file of the newest save at every byte.
+// TestFileStoreTornSave corrupts the file of the newest save at every byte.
 func TestFileStoreTornSave(t *testing.T) {
 	folder := t.TempDir()
 	store := openStore(t, folder)
@@ -85,5 +85,5 @@
 		must.NoError(t, os.WriteFile(filepath.Join(folder, name), []byte("not a record of any kind"), 0o600))
 	}
 	_, err := openStore(t, folder).Load()
-	must.True(t, errors.As(err, &CorruptRecord{}))
+	must.True(t, errors.As(err, &CorruptRecordError{}))
 }
