--- a/internal/storenode/accept.go
+++ b/internal/storenode/accept.go
@@ -13,39 +13,40 @@
 )
 
 const (
-	hedgeAfter   = 25 * time.Millisecond  // without an answer from a holder, another one is asked as well
-	acceptWithin = 900 * time.Millisecond // after that the outcome is told as unknown
-	readyWithin  = 900 * time.Millisecond // that a message waits for its partition to be taken over
-	cachedDelay  = 1500 * time.Millisecond
-	cachedBytes  = 16 << 20 // bodies kept in memory
-	mostMessages = 400_000
-	reservePart  = 20 // one part in so many of the log is for what becomes of messages
+	hedgeDelay          = 25 * time.Millisecond   // a further store is sent a copy if no holder has answered within this time
+	acceptTimeout       = 900 * time.Millisecond  // after this time the outcome is reported as unknown
+	takeoverWaitTimeout = 900 * time.Millisecond  // how long a message waits while its partition is being taken over
+	maxCachedDelay      = 1500 * time.Millisecond // bodies of messages due later than this are not cached
+	maxCachedBodyBytes  = 16 << 20                // bound on the bodies cached in memory
+	maxQueuedMessages   = 400_000
+	reservedLogDivisor  = 20 // one part in this many of the log is reserved for fates and fences
 )
 
-// Put implements rpc.Store.
+// Put implements rpc.Store. In mode OWNER it accepts messages for partitions that this store owns, in mode HOLDER it stores copies for
+// other owners.
 func (n *Node) Put(ctx context.Context, request *rpc.PutRequest) (*rpc.PutReply, error) {
 	if request.Mode == rpc.PutMode_HOLDER {
-		return n.hold(request)
+		return n.storeCopies(request)
 	}
 	reply := &rpc.PutReply{Statuses: make([]rpc.PutStatus, len(request.Messages))}
-	var waits sync.WaitGroup
+	var pending sync.WaitGroup
 	for i, m := range request.Messages {
-		waits.Add(1)
-		one := func() {
-			defer waits.Done()
+		pending.Add(1)
+		acceptOne := func() {
+			defer pending.Done()
 			reply.Statuses[i] = n.accept(ctx, m, request.Epochs[i], request.ConfigVersion)
 		}
 		if len(request.Messages) == 1 {
-			one()
+			acceptOne()
 			continue
 		}
-		go one()
+		go acceptOne()
 	}
-	waits.Wait()
+	pending.Wait()
 	return reply, nil
 }
 
-// acceptance follows one message until enough copies are synced.
+// acceptance tracks one message until enough copies are synced.
 type acceptance struct {
 	node    *Node
 	message *rpc.Message
@@ -53,27 +54,27 @@
 	epoch   uint64
 	result  chan rpc.PutStatus
 
-	mutex   sync.Mutex
-	domains map[string]bool // failure domains in which a copy is synced
-	needed  int
-	tried   map[string]bool
-	over    bool
+	mutex          sync.Mutex
+	syncedDomains  map[string]bool // failure domains in which a copy is synced
+	requiredCopies int
+	triedDisks     map[string]bool
+	finished       bool
 }
 
-// accept numbers a message in an owned partition, and answers when it is synced on as many stores as may not be lost.
+// accept assigns a message its sequence number in an owned partition and returns once as many failure domains as required have synced it.
 func (n *Node) accept(ctx context.Context, m *rpc.Message, epoch, configVersion uint64) rpc.PutStatus {
-	deadline := time.Now().Add(readyWithin)
+	deadline := time.Now().Add(takeoverWaitTimeout)
 	for {
 		var status rpc.PutStatus
-		var work *acceptance
-		wait := false
-		if !n.do(func() { status, work, wait = n.begin(m, epoch, configVersion) }) {
+		var pending *acceptance
+		takingOver := false
+		if !n.do(func() { status, pending, takingOver = n.beginAccept(m, epoch, configVersion) }) {
 			return rpc.PutStatus_NOT_OWNER
 		}
-		if work != nil {
-			return work.run(ctx)
+		if pending != nil {
+			return pending.run(ctx)
 		}
-		if !wait || time.Now().After(deadline) || ctx.Err() != nil {
+		if !takingOver || time.Now().After(deadline) || ctx.Err() != nil {
 			return status
 		}
 		select { // the partition is being taken over
@@ -84,8 +85,9 @@
 	}
 }
 
-// begin enters the message on the owner goroutine.
-func (n *Node) begin(m *rpc.Message, epoch, configVersion uint64) (rpc.PutStatus, *acceptance, bool) {
+// beginAccept adds the message to the table and the log. It must run on the event loop goroutine. If takingOver is true, the partition is
+// being taken over and the caller may retry.
+func (n *Node) beginAccept(m *rpc.Message, epoch, configVersion uint64) (rpc.PutStatus, *acceptance, bool) {
 	owned := n.table.OwnedEpoch(m.Partition)
 	if owned == 0 {
 		return rpc.PutStatus_NOT_OWNER, nil, false
@@ -99,39 +101,40 @@
 	if !n.table.IsReady(m.Partition) {
 		return rpc.PutStatus_NOT_OWNER, nil, true
 	}
-	n.needs = max(n.needs, configVersion)
+	n.minConfigVersion = max(n.minConfigVersion, configVersion)
 	entry := n.table.Get(m.Name)
 	if entry == nil {
-		if n.table.Queued() >= mostMessages {
+		if n.table.Queued() >= maxQueuedMessages {
 			return rpc.PutStatus_FULL, nil, false
 		}
 		entry = message.FromMessage(m, n.now())
-		entry.ReadUnder = n.tableVersion()
+		entry.ReadUnder = n.mapVersion()
 		n.table.Number(entry)
 		m.Epoch, m.Seq = entry.Epoch, entry.Seq
-		if status := n.write(entry, m); status != rpc.PutStatus_STORED {
+		if status := n.appendMessage(entry, m); status != rpc.PutStatus_STORED {
 			return status, nil, false
 		}
-		if entry.Due-entry.Arrived > cachedDelay || n.table.LiveBytes() > cachedBytes {
+		if entry.Due-entry.Arrived > maxCachedDelay || n.table.LiveBytes() > maxCachedBodyBytes {
 			entry.Body = nil
 		}
 		n.table.Add(entry, n.now())
-		n.pumpDue = true
+		n.schedulePending = true
 	}
-	m = n.current(entry, m)
-	if !entry.IsKept() { // known from another store alone: the sync that is waited for must cover a copy here
-		if status := n.write(entry, m); status != rpc.PutStatus_STORED {
+	m = n.currentCopy(entry, m)
+	if !entry.IsKept() { // known only from another store: the awaited sync must cover a copy in this log
+		if status := n.appendMessage(entry, m); status != rpc.PutStatus_STORED {
 			return status, nil, false
 		}
 	}
 	entry.Accepting = n.view.Map.Version
-	work := &acceptance{node: n, message: m, entry: entry, epoch: owned, needed: n.holders.wanted,
-		result: make(chan rpc.PutStatus, 1), tried: map[string]bool{}, domains: map[string]bool{}}
-	return rpc.PutStatus_STORED, work, false
+	pending := &acceptance{node: n, message: m, entry: entry, epoch: owned, requiredCopies: n.replicaPolicy.requiredCopies,
+		result: make(chan rpc.PutStatus, 1), triedDisks: map[string]bool{}, syncedDomains: map[string]bool{}}
+	return rpc.PutStatus_STORED, pending, false
 }
 
-// current returns a message as it is to be copied now: with the place that it was given, and with its end where it has ended meanwhile.
-func (n *Node) current(entry *message.Entry, m *rpc.Message) *rpc.Message {
+// currentCopy returns a message as it must be replicated now: with its epoch and sequence number, and with its final state if it has ended
+// meanwhile.
+func (n *Node) currentCopy(entry *message.Entry, m *rpc.Message) *rpc.Message {
 	if entry.State == rpc.State_COMPLETED {
 		return entry.End(n.now())
 	}
@@ -142,8 +145,8 @@
 	return m
 }
 
-// write appends a message to the log.
-func (n *Node) write(entry *message.Entry, m *rpc.Message) rpc.PutStatus {
+// appendMessage appends a message to the log.
+func (n *Node) appendMessage(entry *message.Entry, m *rpc.Message) rpc.PutStatus {
 	data, err := encodeRecord(recordMessage, time.Now(), m)
 	if err != nil {
 		return rpc.PutStatus_FAILED
@@ -151,38 +154,38 @@
 	if !n.hasRoom(int64(len(data))) {
 		return rpc.PutStatus_FULL
 	}
-	at, err := n.file.Append(data)
+	position, err := n.file.Append(data)
 	if err != nil {
 		if errors.Is(err, applog.ErrFull) {
 			return rpc.PutStatus_FULL
 		}
 		return rpc.PutStatus_FAILED
 	}
-	entry.KeepAt(at)
+	entry.KeepAt(position)
 	return rpc.PutStatus_STORED
 }
 
-// run syncs the message here and on other stores.
+// run waits until the message is synced in this log and on other stores.
 func (a *acceptance) run(ctx context.Context) rpc.PutStatus {
 	defer a.node.post(func() { a.entry.Accepting = 0 })
 	a.node.file.Sync(func(err error) {
-		a.node.noteDisk(err)
-		a.outcome("", a.node.ownDomain(), err == nil)
+		a.node.reportDiskError(err)
+		a.recordCopy("", a.node.ownDomain(), err == nil)
 	})
-	for range a.needed - 1 {
-		a.another()
+	for range a.requiredCopies - 1 {
+		a.sendToNextPeer()
 	}
-	hedge := time.NewTimer(hedgeAfter)
+	hedge := time.NewTimer(hedgeDelay)
 	defer hedge.Stop()
-	limit := time.NewTimer(acceptWithin)
+	limit := time.NewTimer(acceptTimeout)
 	defer limit.Stop()
 	for {
 		select {
 		case status := <-a.result:
 			return status
 		case <-hedge.C:
-			if a.another() {
-				hedge.Reset(hedgeAfter)
+			if a.sendToNextPeer() {
+				hedge.Reset(hedgeDelay)
 			}
 		case <-limit.C:
 			return rpc.PutStatus_FAILED
@@ -192,16 +195,16 @@
 	}
 }
 
-// another sends the message to one more store. It reports whether there was one.
-func (a *acceptance) another() bool {
+// sendToNextPeer sends the message to one more store. It returns false if there is none left.
+func (a *acceptance) sendToNextPeer() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	for !a.over {
-		peer := a.node.peers.choose(a.tried)
+	for !a.finished {
+		peer := a.node.peers.choose(a.triedDisks)
 		if peer == nil {
 			return false
 		}
-		a.tried[peer.disk] = true
+		a.triedDisks[peer.disk] = true
 		if a.sendTo(peer) {
 			return true
 		}
@@ -209,60 +212,60 @@
 	return false
 }
 
-// sendTo queues a copy for a store, and reports whether there was room. The mutex is held.
+// sendTo queues a copy for a store and reports whether its queue had room. Callers hold the mutex.
 func (a *acceptance) sendTo(holder *peer) bool {
-	domain := a.node.domains.of(holder.disk, holder.zone)
-	return holder.put(&copyItem{message: a.message, epoch: a.epoch, done: func(status rpc.PutStatus) {
-		a.outcome(holder.disk, domain, status == rpc.PutStatus_STORED)
+	domain := a.node.failureDomains.domainOf(holder.disk, holder.zone)
+	return holder.enqueueCopy(&outgoingCopy{message: a.message, epoch: a.epoch, done: func(status rpc.PutStatus) {
+		a.recordCopy(holder.disk, domain, status == rpc.PutStatus_STORED)
 	}})
 }
 
-// outcome counts one copy that was synced, or failed.
-func (a *acceptance) outcome(disk, domain string, ok bool) {
+// recordCopy records that one copy was synced, or failed. disk is empty for this store's own copy.
+func (a *acceptance) recordCopy(disk, domain string, ok bool) {
 	if ok && disk != "" {
 		a.node.post(func() { a.node.addHolder(a.entry, disk) })
 	}
 	a.mutex.Lock()
 	if ok {
-		a.domains[domain] = true
+		a.syncedDomains[domain] = true
 	}
-	finished := len(a.domains) >= a.needed && !a.over
-	failed := !ok && !a.over
+	finished := len(a.syncedDomains) >= a.requiredCopies && !a.finished
+	failed := !ok && !a.finished
 	if finished {
-		a.over = true
+		a.finished = true
 	}
 	a.mutex.Unlock()
 	if finished {
 		a.result <- rpc.PutStatus_STORED
 	}
 	if failed {
-		a.another()
+		a.sendToNextPeer()
 	}
 }
 
-// addHolder notes that another store holds a copy, and tells it what became of the message where that came first.
+// addHolder records that another store holds a copy. If the message has ended or failed meanwhile, the store is sent its fate.
 func (n *Node) addHolder(entry *message.Entry, disk string) {
 	entry.AddHolder(disk)
 	if !entry.Ended() && entry.Attempts == 0 {
 		return
 	}
-	if one := n.peers.get(disk); one != nil {
-		one.report(entry.Fate())
+	if peer := n.peers.get(disk); peer != nil {
+		peer.enqueueFate(entry.Fate())
 	}
 }
 
-// hold stores copies of messages that other stores own.
-func (n *Node) hold(request *rpc.PutRequest) (*rpc.PutReply, error) {
+// storeCopies stores copies of messages that other stores own. It returns once they are synced.
+func (n *Node) storeCopies(request *rpc.PutRequest) (*rpc.PutReply, error) {
 	reply := &rpc.PutReply{Statuses: make([]rpc.PutStatus, len(request.Messages))}
 	if !n.do(func() {
 		for i, m := range request.Messages {
-			reply.Statuses[i] = n.holdOne(m, request.Epochs[i], request.PlacedUnder)
+			reply.Statuses[i] = n.storeCopy(m, request.Epochs[i], request.PlacedUnder)
 		}
 	}) {
 		return nil, errClosed
 	}
 	if err := n.file.Wait(); err != nil {
-		n.noteDisk(err)
+		n.reportDiskError(err)
 		for i := range reply.Statuses {
 			reply.Statuses[i] = rpc.PutStatus_FAILED
 		}
@@ -270,43 +273,44 @@
 	return reply, nil
 }
 
-// holdOne stores one copy. placedUnder is the table under which a dispatcher began to place the message, 0 for one of a store.
-func (n *Node) holdOne(m *rpc.Message, epoch, placedUnder uint64) rpc.PutStatus {
+// storeCopy stores one copy. placedUnder is the map version under which a dispatcher started to place the message, 0 for a copy sent by a
+// store.
+func (n *Node) storeCopy(m *rpc.Message, epoch, placedUnder uint64) rpc.PutStatus {
 	if epoch < n.table.Fence(m.Partition) {
 		return rpc.PutStatus_STALE_EPOCH
 	}
-	if n.holders.leaving {
-		return rpc.PutStatus_FULL // a copy here counts as gone, and may be by the time that its sender learns it
+	if n.replicaPolicy.leaving {
+		return rpc.PutStatus_FULL // a copy here does not count, and this store may be gone by the time its sender learns that
 	}
 	if m.State == rpc.State_COMPLETED {
-		return n.holdEnd(m)
+		return n.storeFinalState(m)
 	}
 	known := n.table.Get(m.Name)
 	if known != nil && known.IsKept() {
-		n.learn(m)
+		n.mergeRemote(m)
 		return rpc.PutStatus_STORED
 	}
-	if known == nil && n.table.Queued() >= mostMessages {
+	if known == nil && n.table.Queued() >= maxQueuedMessages {
 		return rpc.PutStatus_FULL
 	}
 	entry := message.FromMessage(m, n.now())
-	entry.ReadUnder = n.tableVersion()
-	if status := n.write(entry, m); status != rpc.PutStatus_STORED {
+	entry.ReadUnder = n.mapVersion()
+	if status := n.appendMessage(entry, m); status != rpc.PutStatus_STORED {
 		return status
 	}
 	if known != nil {
 		known.KeepAt(entry.Record)
 	}
 	entry.Body = nil
-	entry.ScrubAt = n.now() + scrubFirst
+	entry.ScrubAt = n.now() + scrubInitialDelay
 	entry = n.table.Add(entry, n.now())
 	if n.isUnconfirmed(entry) {
-		entry.ScrubAt = n.now() + scrubUnconfirmed
+		entry.ScrubAt = n.now() + unconfirmedScrubInterval
 		entry.PlacedUnder = placedUnder
 		n.underCopied.addUnconfirmed(placedUnder)
 	}
-	if n.table.IsReady(m.Partition) { // it was sent here by a dispatcher that could not reach this store as the owner
-		n.pumpDue = true
+	if n.table.IsReady(m.Partition) { // a dispatcher that could not reach this store as the owner sent it as a copy
+		n.schedulePending = true
 	}
 	return rpc.PutStatus_STORED
 }
--- a/internal/storenode/budget_bench_test.go
+++ b/internal/storenode/budget_bench_test.go
@@ -18,7 +18,7 @@
 	budgetPartitions = 16
 )
 
-// budgetRecord is the record of a queued message.
+// budgetRecord returns the record of a queued message.
 func budgetRecord(b *testing.B, number int, body []byte) []byte {
 	b.Helper()
 	record, err := encodeRecord(recordMessage, time.Now(), &rpc.Message{
@@ -31,7 +31,7 @@
 	return record
 }
 
-// BenchmarkQueuedMessageOnDisk writes queued messages to a store's log, and reads them back as a start does.
+// BenchmarkQueuedMessageOnDisk writes queued messages to a store's log and replays them as at a start.
 func BenchmarkQueuedMessageOnDisk(b *testing.B) {
 	for _, bodyBytes := range []int{0, 600, 2400} {
 		b.Run(fmt.Sprintf("body=%d", bodyBytes), func(b *testing.B) {
@@ -44,7 +44,7 @@
 
 func benchLog(b *testing.B, body []byte) {
 	directory := b.TempDir()
-	log, err := applog.Open(directory, logName, applog.Options{}, func(applog.Position, []byte) error { return nil })
+	log, err := applog.Open(directory, logFileName, applog.Options{}, func(applog.Position, []byte) error { return nil })
 	must.NoError(b, err)
 	for number := range budgetMessages {
 		_, err := log.Append(budgetRecord(b, number, body))
@@ -56,7 +56,7 @@
 	before := budgetHeap()
 	started := time.Now()
 	restarted := &Node{table: message.NewTable(), started: started}
-	reopened, err := applog.Open(directory, logName, applog.Options{}, restarted.replay)
+	reopened, err := applog.Open(directory, logFileName, applog.Options{}, restarted.replay)
 	must.NoError(b, err)
 	b.ReportMetric(float64(time.Since(started).Nanoseconds())/budgetMessages, "replay-ns/message")
 	must.Eq(b, budgetMessages, restarted.table.Queued())
@@ -67,24 +67,24 @@
 	runtime.KeepAlive(restarted)
 }
 
-// readBackCost reads and checks messages as for a reading of copies; it returns nanoseconds a message.
+// readBackCost measures readCopy, in nanoseconds per message.
 func readBackCost(b *testing.B, node *Node) float64 {
-	const most = 20 * readBackMost
-	var batch []verified
+	const maxRecords = 20 * maxReadBackBatch
+	var batch []recordRef
 	node.table.Each(func(e *message.Entry) {
-		if len(batch) < most {
-			batch = append(batch, verified{entry: e, record: e.Record})
+		if len(batch) < maxRecords {
+			batch = append(batch, recordRef{entry: e, record: e.Record})
 		}
 	})
 	started := time.Now()
-	for _, one := range batch {
-		_, err := node.readCopy(one)
+	for _, ref := range batch {
+		_, err := node.readCopy(ref)
 		must.NoError(b, err)
 	}
 	return float64(time.Since(started).Nanoseconds()) / float64(len(batch))
 }
 
-// BenchmarkGatherList lists what a store holds for the next owner of its partitions.
+// BenchmarkGatherList lists all messages of a store for a new owner of its partitions.
 func BenchmarkGatherList(b *testing.B) {
 	node := &Node{table: message.NewTable(), started: time.Now()}
 	for number := range budgetMessages {
@@ -95,12 +95,12 @@
 		asked = append(asked, &rpc.PartitionEpoch{Partition: id, Epoch: 2})
 	}
 	for b.Loop() {
-		must.Len(b, budgetMessages, node.list(asked))
+		must.Len(b, budgetMessages, node.listMessages(asked))
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/budgetMessages, "ns/message")
 }
 
-// budgetHeap is what the heap holds after a collection.
+// budgetHeap returns the heap size after a garbage collection, in bytes.
 func budgetHeap() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
--- a/internal/storenode/held_test.go
+++ b/internal/storenode/copy_checks_test.go
@@ -12,24 +12,24 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// oneTurn is how long an owner of few messages needs to ask every other store, and to restore what is missing.
-const oneTurn = 8 * time.Second
+// fullCheckTime is how long an owner of few messages needs to check the copies on all other stores and to restore missing ones.
+const fullCheckTime = 8 * time.Second
 
-// Records that go bad while their store is off are not among what the store reads at its start. The owner must not count them for ever,
-// and learns of them before it has asked for all other messages in their turn.
-func TestCopiesLostWhileTheirStoreWasOffAreRestored(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
-		const ended, others, lost = "ended", 8 * heldSteady, 12
+// Records that become corrupt while their store is down are missing after its restart. The owner must stop counting them, and must check
+// the copies on a restarted store before all others.
+func TestCopiesLostWhileTheirStoreWasDownAreRestored(t *testing.T) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
+		const ended, others, lost = "ended", 8 * copyChecksPerSecond, 12
 		owner, epoch := w.owner(0)
-		must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.idle(ended, "")))
+		must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.delayedMessage(ended, "")))
 		for i := range others {
-			must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.idle(fmt.Sprint("m", i), "")))
+			must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.delayedMessage(fmt.Sprint("m", i), "")))
 		}
 		node := owner.running().node
 		node.do(func() {
 			entry := node.table.Get(ended)
 			node.table.End(entry, rpc.State_DEAD, "", node.now())
-			node.tell(entry)
+			node.publishFate(entry)
 		})
 		time.Sleep(time.Second)
 		holder := w.holderOf(ended, owner)
@@ -39,30 +39,30 @@
 				offsets[name] = recordOffset(holder.running(), name)
 			}
 		}
-		holder.stop(end{})
+		holder.stop(shutdown{})
 		for _, offset := range offsets {
 			flipBitAt(t, holder.settings.DataDir, offset)
 		}
 		holder.start()
 		time.Sleep(3 * time.Second)
 		for name := range offsets {
-			must.Eq(t, 2, w.copies(name), must.Sprint(name))
+			must.Eq(t, 2, w.copyCount(name), must.Sprint(name))
 		}
 	})
 }
 
-// A copy that can't be read counts neither where it is nor at the owner, and is told of to a later owner.
+// An unreadable copy counts neither at its holder nor at the owner, and is reported to later owners.
 func TestUnreadableCopiesDoNotCount(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
-		must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.idle("m", "")))
+		must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.delayedMessage("m", "")))
 		time.Sleep(time.Second)
 		holder := w.holderOf("m", owner)
 		flipBit(t, owner.running(), "m")
 		flipBit(t, holder.running(), "m")
-		time.Sleep(scrubAgain)
-		for range 20 { // the holder goes on asking what became of the message
-			time.Sleep(scrubAgain / 8)
+		time.Sleep(scrubInterval)
+		for range 20 { // the holder's scrubs continue and must not add it as a holder again
+			time.Sleep(scrubInterval / 8)
 			must.Eq(t, 0, owner.countedCopies("m"))
 			must.Eq(t, 1, owner.running().node.underCopied.Load())
 		}
@@ -70,46 +70,46 @@
 		must.NoError(t, err)
 		must.Eq(t, []string{"m", "unknown"}, reply.Lacking)
 
-		owner.stop(end{loseDisk: true})
+		owner.stop(shutdown{loseDisk: true})
 		for newer := epoch; newer == epoch; {
 			time.Sleep(10 * time.Millisecond)
 			owner, newer = w.owner(0)
 		}
-		for owner.countedCopies("m") < 0 { // until it has learnt of the message
+		for owner.countedCopies("m") < 0 { // until it has gathered the message
 			time.Sleep(time.Millisecond)
 		}
 		must.Eq(t, 0, owner.countedCopies("m"))
 	})
 }
 
-// A copy that vanishes while its store runs is found in its turn.
-func TestCopyThatAStoreLacksIsFoundInItsTurn(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+// A copy that disappears while its store is running is found by the periodic check.
+func TestMissingCopyIsFoundByPeriodicCheck(t *testing.T) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
-		must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.idle("m", "")))
+		must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.delayedMessage("m", "")))
 		time.Sleep(time.Second)
 		holder := w.holderOf("m", owner).running()
 		holder.node.do(func() { holder.node.table.Get("m").Stored = false })
-		time.Sleep(oneTurn)
-		must.Eq(t, 2, w.copies("m"))
+		time.Sleep(fullCheckTime)
+		must.Eq(t, 2, w.copyCount("m"))
 	})
 }
 
-// The end of a completed message that its holder has lost is made up for, though the owner had found enough under this table of owners.
-func TestEndThatAStoreLacksIsFoundInItsTurn(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+// A final state that its holder has lost is restored, even if the owner has already found enough copies under the current map.
+func TestMissingFinalStateIsFoundByPeriodicCheck(t *testing.T) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
-		must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.idle("m", "")))
+		must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.delayedMessage("m", "")))
 		node := owner.running().node
 		node.do(func() {
 			entry := node.table.Get("m")
 			node.table.End(entry, rpc.State_COMPLETED, "stamp", node.now())
-			node.tell(entry)
+			node.publishFate(entry)
 		})
 		time.Sleep(2 * time.Second)
 		holder := w.holderOf("m", owner).running()
 		holder.node.do(func() { holder.node.table.Forget(0, holder.node.now()) })
-		time.Sleep(oneTurn)
+		time.Sleep(fullCheckTime)
 		known := 0
 		for _, m := range w.machines {
 			p := m.running()
@@ -123,46 +123,46 @@
 	})
 }
 
-// holderOf returns a machine beside the owner whose store holds a message.
+// holderOf returns a machine other than the owner whose store holds a message.
 func (w *world) holderOf(name string, owner *machine) *machine {
 	for _, m := range w.machines {
 		if m != owner && m.running() != nil && holds(m.running(), name) {
 			return m
 		}
 	}
-	w.t.Fatal("nobody holds ", name)
+	w.t.Fatal("no other store holds ", name)
 	return nil
 }
 
-// countedCopies returns how many copies of a message the store on a machine counts, -1 where it does not know the message.
+// countedCopies returns how many copies of a message the store on a machine counts, or -1 if it does not know the message.
 func (m *machine) countedCopies(name string) int {
 	node := m.running().node
 	counted := -1
 	node.do(func() {
 		if entry := node.table.Get(name); entry != nil {
-			counted = entry.Copies(node.holders.domains, node.ownDomain())
+			counted = entry.Copies(node.replicaPolicy.failureDomains, node.ownDomain())
 		}
 	})
 	return counted
 }
 
-// recordOffset returns where the log of a store holds a message.
+// recordOffset returns the offset of a message's record in the log of a store.
 func recordOffset(p *process, name string) int64 {
 	var offset int64
 	p.node.do(func() { offset = p.node.table.Get(name).Record.Offset })
 	return offset
 }
 
-// flipBitAt changes one bit of a record on the disk.
+// flipBitAt flips one bit of the record at an offset of the log.
 func flipBitAt(t *testing.T, folder string, offset int64) {
 	t.Helper()
-	file, err := os.OpenFile(filepath.Join(folder, logName), os.O_RDWR, 0)
+	file, err := os.OpenFile(filepath.Join(folder, logFileName), os.O_RDWR, 0)
 	must.NoError(t, err)
 	defer file.Close()
-	one := make([]byte, 1)
-	_, err = file.ReadAt(one, offset+recordHeader+2)
+	buffer := make([]byte, 1)
+	_, err = file.ReadAt(buffer, offset+recordHeaderBytes+2)
 	must.NoError(t, err)
-	one[0] ^= 4
-	_, err = file.WriteAt(one, offset+recordHeader+2)
+	buffer[0] ^= 4
+	_, err = file.WriteAt(buffer, offset+recordHeaderBytes+2)
 	must.NoError(t, err)
 }
--- a/internal/storenode/deliver.go
+++ b/internal/storenode/deliver.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	failedPause    = 100 * time.Millisecond // after an attempt that the worker failed
-	unknownPause   = 30 * time.Millisecond  // after an attempt whose outcome is not known, growing with each
-	unknownMost    = 500 * time.Millisecond
-	notRunPause    = 20 * time.Millisecond // after an attempt that did not run
-	bodyPause      = 100 * time.Millisecond
-	defaultAim     = 500 * time.Millisecond
-	defaultRetries = 3
+	failedRetryDelay      = 100 * time.Millisecond // after an attempt that the worker failed
+	unknownRetryDelay     = 30 * time.Millisecond  // after an attempt with unknown outcome; doubles with each, up to maxUnknownRetryDelay
+	maxUnknownRetryDelay  = 500 * time.Millisecond
+	notRunRetryDelay      = 20 * time.Millisecond  // after an attempt that did not run
+	bodyRetryDelay        = 100 * time.Millisecond // after a body could not be read from any store
+	defaultScheduleTarget = 500 * time.Millisecond // for messages whose route is gone
+	defaultMaxFailures    = 3                      // failed attempts until a message becomes a dead letter, unless its route says otherwise
 )
 
-// pump begins attempts for messages that are due, as many as the limits of their routes allow, and sets the timer for the next.
-func (n *Node) pump() {
-	if n.view == nil || n.view.Config == nil || n.view.ConfigVersion < n.needs || !n.mayDeliver() {
+// scheduleAttempts starts attempts for due messages, as many as the limits of their routes allow, and sets the timer for the next message.
+func (n *Node) scheduleAttempts() {
+	if n.view == nil || n.view.Config == nil || n.view.ConfigVersion < n.minConfigVersion || !n.mayDeliver() {
 		n.setTimer(n.now() + 50*time.Millisecond)
 		return
 	}
 	now := n.now()
 	n.table.Advance(now)
 	n.table.Routes(func(name string, waiting, running int) {
-		route := n.routeNamed(name)
-		limit, aim := 1, defaultAim
+		route := n.routeByName(name)
+		limit, scheduleTarget := 1, defaultScheduleTarget
 		if route != nil {
-			limit, aim = n.limits[route.Name], time.Duration(route.ScheduleTargetMs)*time.Millisecond
+			limit, scheduleTarget = n.attemptLimits[route.Name], time.Duration(route.ScheduleTargetMs)*time.Millisecond
 		}
 		for ; running < limit; running++ {
-			entry := n.table.Start(name, aim, now)
+			entry := n.table.Start(name, scheduleTarget, now)
 			if entry == nil {
 				return
 			}
-			n.attempt(entry, route)
+			n.beginAttempt(entry, route)
 		}
 	})
 	if due, ok := n.table.NextDue(); ok {
@@ -48,13 +48,14 @@
 	}
 }
 
-// mayDeliver reports whether messages may be sent to workers at this moment: the lease holds, and the configuration in force here was confirmed
-// lately as the newest one, so that no change has been acknowledged for long that leads them elsewhere. It is safe for concurrent use.
+// mayDeliver reports whether messages may be sent to workers now: the lease is valid, and the configuration in force was recently confirmed
+// as the newest one. Otherwise a change of routes that the control plane has already acknowledged might be missing here. It is safe for
+// concurrent use.
 func (n *Node) mayDeliver() bool {
 	return n.cluster.LeaseValid() && n.cluster.ConfigConfirmed(n.configVersion.Load())
 }
 
-// setTimer has pump called at the given time at the latest.
+// setTimer schedules the next scheduleAttempts for the given time at the latest.
 func (n *Node) setTimer(at time.Duration) {
 	if n.timerAt != 0 && n.timerAt <= at {
 		return
@@ -63,8 +64,8 @@
 	n.timer.Reset(max(time.Millisecond, at-n.now()))
 }
 
-// routeNamed returns the route of this name, or nil where the configuration has dropped it.
-func (n *Node) routeNamed(name string) *catalog.Route {
+// routeByName returns the route with this name, or nil if the configuration no longer has it.
+func (n *Node) routeByName(name string) *catalog.Route {
 	route, ok := n.view.Table.Route(name)
 	if !ok {
 		return nil
@@ -72,56 +73,56 @@
 	return route
 }
 
-// attempt begins one attempt of a message that was started in the table.
-func (n *Node) attempt(entry *message.Entry, route *catalog.Route) {
+// beginAttempt starts one attempt of a message that the table has marked as running.
+func (n *Node) beginAttempt(entry *message.Entry, route *catalog.Route) {
 	if route == nil {
-		n.finish(entry, rpc.State_DEAD, "")
+		n.finishMessage(entry, rpc.State_DEAD, "")
 		return
 	}
 	if entry.Body != nil || entry.BodyBytes == 0 {
 		n.submit(entry, entry.Body)
 		return
 	}
-	go n.loadBody(entry, entry.Record, entry.Stored, append([]string(nil), entry.Holders...))
+	go n.loadBodyAndSubmit(entry, entry.Record, entry.Stored, append([]string(nil), entry.Holders...))
 }
 
-// loadBody reads the body from the log, or from another store that holds it, then sends the message.
-func (n *Node) loadBody(entry *message.Entry, at applog.Position, stored bool, holders []string) {
+// loadBodyAndSubmit reads the body from the log or from another holder, then submits the attempt.
+func (n *Node) loadBodyAndSubmit(entry *message.Entry, position applog.Position, stored bool, holders []string) {
 	var body []byte
 	found := false
 	if stored {
-		if m, err := n.readCopy(verified{entry: entry, record: at}); err == nil {
+		if m, err := n.readCopy(recordRef{entry: entry, record: position}); err == nil {
 			body, found = m.Body, true
 		}
 	}
 	var fetched *rpc.Message
 	if !found {
-		if fetched = n.fetch(entry.Name, holders); fetched != nil {
+		if fetched = n.fetchFromHolders(entry.Name, holders); fetched != nil {
 			body, found = fetched.Body, true
 		}
 	}
 	n.post(func() {
 		if fetched != nil && !entry.Ended() {
-			n.keepFetched(entry, fetched)
+			n.appendFetched(entry, fetched)
 		}
 		if !found {
-			n.table.Stop(entry, n.now()+bodyPause, n.now())
-			n.stopped(entry)
+			n.table.Stop(entry, n.now()+bodyRetryDelay, n.now())
+			n.attemptEnded(entry)
 			return
 		}
 		n.submit(entry, body)
 	})
 }
 
-// fetch asks the holders of a message for it.
-func (n *Node) fetch(name string, holders []string) *rpc.Message {
+// fetchFromHolders fetches a message from the first of the disks that returns it, or returns nil.
+func (n *Node) fetchFromHolders(name string, holders []string) *rpc.Message {
 	for _, disk := range holders {
-		one := n.peers.get(disk)
-		if one == nil {
+		peer := n.peers.get(disk)
+		if peer == nil {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), putWithin)
-		reply, err := n.cluster.Store(one.address).Fetch(ctx, &rpc.FetchRequest{Names: []string{name}})
+		ctx, cancel := context.WithTimeout(context.Background(), putTimeout)
+		reply, err := n.cluster.Store(peer.address).Fetch(ctx, &rpc.FetchRequest{Names: []string{name}})
 		cancel()
 		if err == nil && len(reply.Messages) == 1 && reply.Messages[0].Name == name {
 			return reply.Messages[0]
@@ -130,111 +131,112 @@
 	return nil
 }
 
-// keepFetched writes a message that another store holds to this store's log.
-func (n *Node) keepFetched(entry *message.Entry, m *rpc.Message) {
+// appendFetched writes a message fetched from another store to this store's log.
+func (n *Node) appendFetched(entry *message.Entry, m *rpc.Message) {
 	if entry.IsKept() || n.table.Get(entry.Name) != entry {
 		return
 	}
-	if n.write(entry, withBody(entry.Message(n.now()), m.Body)) == rpc.PutStatus_STORED {
-		n.file.Sync(n.noteDisk)
+	if n.appendMessage(entry, withBody(entry.Message(n.now()), m.Body)) == rpc.PutStatus_STORED {
+		n.file.Sync(n.reportDiskError)
 	}
 }
 
-// Fetch implements rpc.Store.
+// Fetch implements rpc.Store: it returns those of the named messages that this store's log holds.
 func (n *Node) Fetch(_ context.Context, request *rpc.FetchRequest) (*rpc.FetchReply, error) {
 	reply := &rpc.FetchReply{}
 	for _, name := range request.Names {
-		if m := n.stored(name); m != nil {
+		if m := n.readStored(name); m != nil {
 			reply.Messages = append(reply.Messages, m)
 		}
 	}
 	return reply, nil
 }
 
-// stored reads a whole message from this store's log; nil where it holds none.
-func (n *Node) stored(name string) *rpc.Message {
-	var at verified
+// readStored reads a message with its body from this store's log. It returns nil if the log does not hold it.
+func (n *Node) readStored(name string) *rpc.Message {
+	var ref recordRef
 	var current *rpc.Message
 	n.do(func() {
 		if entry := n.table.Get(name); entry != nil && entry.Stored {
-			at = verified{entry: entry, record: entry.Record}
+			ref = recordRef{entry: entry, record: entry.Record}
 			current = entry.Message(n.now())
 		}
 	})
 	if current == nil {
 		return nil
 	}
-	m, err := n.readCopy(at)
+	m, err := n.readCopy(ref)
 	if err != nil {
 		return nil
 	}
 	return withBody(current, m.Body)
 }
 
-// submit hands an attempt to the delivery engine.
+// submit passes an attempt to the delivery engine.
 func (n *Node) submit(entry *message.Entry, body []byte) {
 	epoch := n.table.OwnedEpoch(entry.Partition)
 	job := &delivery.Job{Name: entry.Name, Route: entry.Route, Method: entry.Method, Path: entry.Path, Host: entry.Host,
 		RequestID: entry.RequestID, OrderKey: entry.OrderKey, ContentType: entry.ContentType, Body: body}
 	guard := func() bool {
-		return epoch > 0 && n.owned[entry.Partition].Load() == epoch && n.mayDeliver()
+		return epoch > 0 && n.attemptEpochs[entry.Partition].Load() == epoch && n.mayDeliver()
 	}
 	n.engine.Submit(job, guard, func(outcome delivery.Outcome) {
 		n.post(func() { n.outcome(entry, outcome) })
 	})
 }
 
-// outcome takes the end of an attempt.
+// outcome processes the outcome of an attempt.
 func (n *Node) outcome(entry *message.Entry, outcome delivery.Outcome) {
 	now := n.now()
 	switch outcome.Kind {
 	case delivery.Succeeded:
-		n.finish(entry, rpc.State_COMPLETED, outcome.Stamp)
+		n.finishMessage(entry, rpc.State_COMPLETED, outcome.Stamp)
 		return
 	case delivery.Rejected:
-		n.finish(entry, rpc.State_DEAD, "")
+		n.finishMessage(entry, rpc.State_DEAD, "")
 		return
 	case delivery.FailedAttempt:
 		entry.Attempts++
-		if int(entry.Attempts) >= n.retries(entry) {
-			n.finish(entry, rpc.State_DEAD, "")
+		if int(entry.Attempts) >= n.maxFailures(entry) {
+			n.finishMessage(entry, rpc.State_DEAD, "")
 			return
 		}
-		n.table.Stop(entry, now+failedPause, now)
-		n.tell(entry)
+		n.table.Stop(entry, now+failedRetryDelay, now)
+		n.publishFate(entry)
 	case delivery.NotRun:
-		n.table.Stop(entry, now+max(notRunPause, outcome.RetryAfter), now)
+		n.table.Stop(entry, now+max(notRunRetryDelay, outcome.RetryAfter), now)
 	default:
 		entry.Retries++
-		pause := min(unknownPause<<min(entry.Retries, 5), unknownMost)
-		n.table.Stop(entry, now+pause, now)
+		delay := min(unknownRetryDelay<<min(entry.Retries, 5), maxUnknownRetryDelay)
+		n.table.Stop(entry, now+delay, now)
 	}
-	if entry.Due-now > cachedDelay || n.table.LiveBytes() > cachedBytes {
+	if entry.Due-now > maxCachedDelay || n.table.LiveBytes() > maxCachedBodyBytes {
 		entry.Body = nil
 	}
-	n.stopped(entry)
+	n.attemptEnded(entry)
 }
 
-func (n *Node) retries(entry *message.Entry) int {
+// maxFailures returns how many failed attempts make a message a dead letter.
+func (n *Node) maxFailures(entry *message.Entry) int {
 	if n.view != nil && n.view.Table != nil {
 		if route, ok := n.view.Table.Route(entry.Route); ok && route.Retries > 0 {
 			return route.Retries
 		}
 	}
-	return defaultRetries
+	return defaultMaxFailures
 }
 
-// stopped looks for what may run now that an attempt is over.
-func (n *Node) stopped(entry *message.Entry) {
-	n.pumpDue = true
-	if n.owned[entry.Partition].Load() == 0 {
+// attemptEnded schedules the messages that may run now that an attempt has ended, and releases the partition if it is waiting for that.
+func (n *Node) attemptEnded(entry *message.Entry) {
+	n.schedulePending = true
+	if n.attemptEpochs[entry.Partition].Load() == 0 {
 		n.releasePaused()
 	}
 }
 
-// finish ends a message after an attempt, and tells the stores that hold it.
-func (n *Node) finish(entry *message.Entry, state rpc.State, stamp string) {
+// finishMessage sets the final state of a message after an attempt and publishes it.
+func (n *Node) finishMessage(entry *message.Entry, state rpc.State, stamp string) {
 	n.table.Finish(entry, state, stamp, n.now())
-	n.tell(entry)
-	n.stopped(entry)
+	n.publishFate(entry)
+	n.attemptEnded(entry)
 }
--- a/internal/storenode/loop.go
+++ b/internal/storenode/event_loop.go
@@ -4,9 +4,8 @@
 	"time"
 )
 
-// The owner goroutine and its queue of commands.
-
-// do runs a command on the owner goroutine and waits for it. It reports false where the node is closed.
+// do executes a command on the event loop goroutine and waits for it. It returns false if the node is closed. It must not be called on the
+// event loop goroutine.
 func (n *Node) do(command func()) bool {
 	done := make(chan struct{})
 	if !n.post(func() { command(); close(done) }) {
@@ -20,7 +19,7 @@
 	}
 }
 
-// post hands a command to the owner goroutine.
+// post queues a command for the event loop goroutine. It returns false if the node is closed.
 func (n *Node) post(command func()) bool {
 	select {
 	case n.commands <- command:
@@ -30,10 +29,10 @@
 	}
 }
 
-// loop is the owner goroutine.
+// loop is the event loop: it executes commands, timers and housekeeping until the node is closed.
 func (n *Node) loop() {
-	defer n.stopping.Done()
-	ticker := time.NewTicker(housekeeping)
+	defer n.goroutines.Done()
+	ticker := time.NewTicker(housekeepingInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -42,22 +41,22 @@
 			n.drainCommands()
 		case <-n.timer.C:
 			n.timerAt = 0
-			n.pumpDue = true
+			n.schedulePending = true
 		case <-ticker.C:
 			n.housekeep()
 		case <-n.closed:
 			return
 		}
-		if n.pumpDue {
-			n.pumpDue = false
-			n.pump()
+		if n.schedulePending {
+			n.schedulePending = false
+			n.scheduleAttempts()
 		}
 	}
 }
 
-// drainCommands runs what else is queued, so that one look for runnable messages serves many commands.
+// drainCommands executes the other queued commands, so that one scheduling pass serves many of them.
 func (n *Node) drainCommands() {
-	for range commandBuffer {
+	for range commandQueueLength {
 		select {
 		case command := <-n.commands:
 			command()
--- a/internal/storenode/domain_test.go
+++ b/internal/storenode/failure_domains_test.go
@@ -11,29 +11,29 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// membersOver returns stores spread over three regions of three zones each.
+// membersOver returns stores spread over three regions of three zones each, and the region of each zone.
 func membersOver(count int) ([]*rpc.StoreMember, map[string]string) {
-	regions := map[string]string{}
+	regionByZone := map[string]string{}
 	var members []*rpc.StoreMember
 	for i := range count {
 		zone := fmt.Sprint("zone", i%9)
-		regions[zone] = fmt.Sprint("region", i%9/3)
+		regionByZone[zone] = fmt.Sprint("region", i%9/3)
 		members = append(members, &rpc.StoreMember{Disk: fmt.Sprint("disk", i), Zone: zone})
 	}
-	return members, regions
+	return members, regionByZone
 }
 
-func TestMissingStoresThatAreBorneNeverHoldAllCopies(t *testing.T) {
-	members, regions := membersOver(18)
+func TestToleratedMissingStoresNeverHoldAllCopies(t *testing.T) {
+	members, regionByZone := membersOver(18)
 	for _, tolerance := range []settings.FaultTolerance{
 		{Machines: 1}, {Machines: 2}, {Machines: 1, Zones: 1}, {Machines: 2, Zones: 1}, {Machines: 1, Zones: 1, Regions: 1},
 	} {
-		d := domains{tolerance: tolerance, regions: regions}
+		d := failureDomains{tolerance: tolerance, regionByZone: regionByZone}
 		random := rand.New(rand.NewPCG(1, 2))
 		for range 3000 {
 			holders := holdersInDifferentDomains(d, members, random)
 			missing := missingStores(members, random)
-			if !d.bears(missing) {
+			if !d.tolerates(missing) {
 				continue
 			}
 			lost := 0
@@ -47,11 +47,11 @@
 	}
 }
 
-func holdersInDifferentDomains(d domains, members []*rpc.StoreMember, random *rand.Rand) map[string]bool {
+func holdersInDifferentDomains(d failureDomains, members []*rpc.StoreMember, random *rand.Rand) map[string]bool {
 	holders, used := map[string]bool{}, map[string]bool{}
 	for _, i := range random.Perm(len(members)) {
-		domain := d.of(members[i].Disk, members[i].Zone)
-		if !used[domain] && len(holders) < d.copies() {
+		domain := d.domainOf(members[i].Disk, members[i].Zone)
+		if !used[domain] && len(holders) < d.requiredCopies() {
 			used[domain] = true
 			holders[members[i].Disk] = true
 		}
@@ -59,7 +59,7 @@
 	return holders
 }
 
-// missingStores draws single stores, or all of a zone or region.
+// missingStores returns random single stores, or all stores of a random zone or region.
 func missingStores(members []*rpc.StoreMember, random *rand.Rand) []*rpc.StoreMember {
 	var missing []*rpc.StoreMember
 	kind, first := random.IntN(3), random.IntN(9)
@@ -72,10 +72,10 @@
 	return missing
 }
 
-func TestZoneIsBorneOnlyWhereSettingsSaySo(t *testing.T) {
-	members, regions := membersOver(18)
+func TestZoneLossIsToleratedOnlyIfConfigured(t *testing.T) {
+	members, regionByZone := membersOver(18)
 	zone := []*rpc.StoreMember{members[0], members[9]}
-	must.False(t, domains{tolerance: settings.FaultTolerance{Machines: 1}, regions: regions}.bears(zone))
-	must.True(t, domains{tolerance: settings.FaultTolerance{Machines: 1, Zones: 1}, regions: regions}.bears(zone))
-	must.Eq(t, 9, domains{tolerance: settings.FaultTolerance{Zones: 1}, regions: regions}.count(members))
+	must.False(t, failureDomains{tolerance: settings.FaultTolerance{Machines: 1}, regionByZone: regionByZone}.tolerates(zone))
+	must.True(t, failureDomains{tolerance: settings.FaultTolerance{Machines: 1, Zones: 1}, regionByZone: regionByZone}.tolerates(zone))
+	must.Eq(t, 9, failureDomains{tolerance: settings.FaultTolerance{Zones: 1}, regionByZone: regionByZone}.countDomains(members))
 }
--- a/internal/storenode/gather.go
+++ b/internal/storenode/gather.go
@@ -9,10 +9,11 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// Gathering: what a new owner asks the other stores before it begins.
+// Gathering: a new owner asks the other stores for their messages before it starts partitions.
 
-// Gather implements rpc.Store: it raises the epochs, and lists what this store holds of the partitions. Both are durable when it
-// returns: the caller counts the copies that are listed.
+// Gather implements rpc.Store: it raises the fences of the partitions to the given epochs and lists the messages that this store holds of
+// them. Both are durable when it returns, because the caller counts the listed copies. If a fence is already higher, it changes nothing and
+// sets Stale.
 func (n *Node) Gather(_ context.Context, request *rpc.GatherRequest) (*rpc.GatherReply, error) {
 	reply := &rpc.GatherReply{Store: n.disk}
 	if !n.do(func() {
@@ -25,7 +26,7 @@
 		for _, p := range request.Partitions {
 			n.raiseFence(p)
 		}
-		reply.Messages = n.list(request.Partitions)
+		reply.Messages = n.listMessages(request.Partitions)
 	}) {
 		return nil, errClosed
 	}
@@ -38,20 +39,21 @@
 	return reply, nil
 }
 
-// raiseFence refuses writes of older epochs. An ownership under one of them begins no further attempts.
+// raiseFence makes the store refuse writes under older epochs. If the partition is owned under one of them, no further attempts start.
 func (n *Node) raiseFence(p *rpc.PartitionEpoch) {
 	if !n.table.RaiseFence(p.Partition, p.Epoch) {
 		return
 	}
 	n.appendFence(p.Partition, p.Epoch)
 	if n.table.OwnedEpoch(p.Partition) > 0 {
-		n.owned[p.Partition].Store(0)
+		n.attemptEpochs[p.Partition].Store(0)
 		n.table.Pause(p.Partition)
 	}
 }
 
-// list returns the messages of partitions, without bodies. Those that this store only knows by name are left out.
-func (n *Node) list(partitions []*rpc.PartitionEpoch) []*rpc.Message {
+// listMessages returns the messages of partitions, without bodies. Messages that this store knows but whose copy it does not hold are left
+// out.
+func (n *Node) listMessages(partitions []*rpc.PartitionEpoch) []*rpc.Message {
 	now := n.now()
 	var messages []*rpc.Message
 	for _, p := range partitions {
@@ -70,20 +72,20 @@
 	return messages
 }
 
-// gathering collects the answers of the other stores for partitions that were taken over together.
-type gathering struct {
+// gatherRound collects the answers of the other stores for partitions that are taken over together.
+type gatherRound struct {
 	request  *rpc.GatherRequest
 	mutex    sync.Mutex
 	answered map[string]bool // by disk
-	replaced map[string]bool // by disk: another one answers at its address
-	asked    map[string]bool // by disk: being asked
-	changed  chan struct{}
+	replaced map[string]bool // by disk: a store with another disk answers at its address
+	inFlight map[string]bool // by disk: a goroutine is querying it
+	changed  chan struct{}   // signals awaitAnswers
 }
 
-// note marks a disk in one of the sets, and has the wait for the answers look again.
-func (g *gathering) note(disks map[string]bool, disk string) {
+// mark adds a disk to one of the sets and wakes awaitAnswers.
+func (g *gatherRound) mark(set map[string]bool, disk string) {
 	g.mutex.Lock()
-	disks[disk] = true
+	set[disk] = true
 	g.mutex.Unlock()
 	select {
 	case g.changed <- struct{}{}:
@@ -91,58 +93,58 @@
 	}
 }
 
-// gather learns what other stores hold of partitions, then lets them run.
-func (n *Node) gather(partitions []*rpc.PartitionEpoch) {
-	if err := n.file.Wait(); err != nil { // the fences of this store
-		n.log.Error(err, "fences not synced")
+// takeOver collects what the other stores hold of partitions, then starts the partitions.
+func (n *Node) takeOver(partitions []*rpc.PartitionEpoch) {
+	if err := n.file.Wait(); err != nil { // the fences appended by acquirePartition
+		n.log.Error(err, "fences not synced; partitions are not started")
 		return
 	}
-	g := &gathering{request: &rpc.GatherRequest{Caller: n.settings.Node, Partitions: partitions},
-		answered: map[string]bool{}, replaced: map[string]bool{}, asked: map[string]bool{}, changed: make(chan struct{}, 1)}
-	n.awaitGathered(g)
+	round := &gatherRound{request: &rpc.GatherRequest{Caller: n.settings.Node, Partitions: partitions},
+		answered: map[string]bool{}, replaced: map[string]bool{}, inFlight: map[string]bool{}, changed: make(chan struct{}, 1)}
+	n.awaitAnswers(round)
 }
 
-// askMissing asks the stores that have not answered and are not being asked.
-func (n *Node) askMissing(g *gathering) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	for _, one := range n.peers.all() {
-		if g.answered[one.disk] || g.asked[one.disk] {
+// queryMissing queries the stores that have not answered and are not being queried.
+func (n *Node) queryMissing(round *gatherRound) {
+	round.mutex.Lock()
+	defer round.mutex.Unlock()
+	for _, peer := range n.peers.all() {
+		if round.answered[peer.disk] || round.inFlight[peer.disk] {
 			continue
 		}
-		g.asked[one.disk] = true
-		go n.gatherFrom(one, g)
+		round.inFlight[peer.disk] = true
+		go n.queryPeer(peer, round)
 	}
 }
 
-// gatherFrom asks one store until it answers, for a time.
-func (n *Node) gatherFrom(one *peer, g *gathering) {
-	ctx, cancel := context.WithTimeout(context.Background(), gatherMost)
+// queryPeer queries one store until it answers, for gatherMaxDuration at most.
+func (n *Node) queryPeer(target *peer, round *gatherRound) {
+	ctx, cancel := context.WithTimeout(context.Background(), gatherMaxDuration)
 	defer cancel()
 	defer func() {
-		g.mutex.Lock()
-		delete(g.asked, one.disk)
-		g.mutex.Unlock()
+		round.mutex.Lock()
+		delete(round.inFlight, target.disk)
+		round.mutex.Unlock()
 	}()
 	for ctx.Err() == nil {
-		call, cancel := context.WithTimeout(ctx, gatherWithin)
-		reply, err := n.cluster.Store(one.address).Gather(call, g.request)
+		callCtx, cancel := context.WithTimeout(ctx, gatherTimeout)
+		reply, err := n.cluster.Store(target.address).Gather(callCtx, round.request)
 		cancel()
 		if err == nil && reply.Stale {
-			return // a newer owner exists; the map that says so is under way
+			return // a newer owner exists; this store will receive the map that says so
 		}
-		if err == nil && reply.Store != one.disk {
-			g.note(g.replaced, one.disk) // it is gone, and what it held with it; the map that says so is under way
+		if err == nil && reply.Store != target.disk {
+			round.mark(round.replaced, target.disk) // the disk is gone with everything on it; this store will receive the map that says so
 			return
 		}
 		if err == nil {
-			one.answered()
-			n.do(func() { n.merge(one.disk, reply.Messages, g.request.Partitions) })
-			g.note(g.answered, one.disk)
+			target.answered()
+			n.do(func() { n.mergeGathered(target.disk, reply.Messages, round.request.Partitions) })
+			round.mark(round.answered, target.disk)
 			return
 		}
 		select {
-		case <-time.After(gatherPause):
+		case <-time.After(gatherRetryDelay):
 		case <-ctx.Done():
 		case <-n.closed:
 			return
@@ -150,8 +152,8 @@
 	}
 }
 
-// merge enters what another store holds of partitions that are still owned under the epochs asked for.
-func (n *Node) merge(disk string, messages []*rpc.Message, partitions []*rpc.PartitionEpoch) {
+// mergeGathered merges the messages that another store holds, for partitions that are still owned under the epochs of the request.
+func (n *Node) mergeGathered(disk string, messages []*rpc.Message, partitions []*rpc.PartitionEpoch) {
 	current := map[uint32]bool{}
 	for _, p := range partitions {
 		current[p.Partition] = n.table.OwnedEpoch(p.Partition) == p.Epoch
@@ -160,53 +162,53 @@
 		if !current[m.Partition] {
 			continue
 		}
-		entry := n.learn(m)
+		entry := n.mergeRemote(m)
 		if !m.Unreadable {
 			entry.AddHolder(disk)
 		}
 	}
-	n.file.Sync(n.noteDisk)
-	n.pumpDue = true
+	n.file.Sync(n.reportDiskError)
+	n.schedulePending = true
 }
 
-// awaitGathered makes the partitions ready once all stores have answered, or enough have and the rest stayed silent for a
-// moment. Enough is all but as many as may be lost, counted without those whose disks are not whole. A disk that was replaced is
-// not among those that have answered, but nothing more is to be heard from it either.
-func (n *Node) awaitGathered(g *gathering) {
-	check := time.NewTicker(gatherCheck)
+// awaitAnswers starts the partitions once all stores have answered, or once enough have and the others have not answered within
+// gatherGracePeriod. Enough means that the missing stores, and those whose disks are not whole (new disks whose copies are still being
+// restored), are no more than may be lost. A replaced disk counts as missing but is not waited for, because it can't answer any more.
+func (n *Node) awaitAnswers(round *gatherRound) {
+	check := time.NewTicker(gatherCheckInterval)
 	defer check.Stop()
-	var graceOver <-chan time.Time
-	n.askMissing(g)
+	var graceEnded <-chan time.Time
+	n.queryMissing(round)
 	for {
-		all, silent, enough := n.gathered(g, n.cluster.View().Map)
-		if all || enough && silent == 0 {
+		all, pending, enough := n.countAnswers(round, n.cluster.View().Map)
+		if all || enough && pending == 0 {
 			break
 		}
-		if enough && graceOver == nil {
-			timer := time.NewTimer(gatherGrace)
+		if enough && graceEnded == nil {
+			timer := time.NewTimer(gatherGracePeriod)
 			defer timer.Stop()
-			graceOver = timer.C
+			graceEnded = timer.C
 		}
 		select {
-		case <-g.changed:
+		case <-round.changed:
 			continue
 		case <-check.C:
-			if !n.ownsAny(g.request.Partitions) {
+			if !n.ownsAny(round.request.Partitions) {
 				return
 			}
-			n.askMissing(g)
+			n.queryMissing(round)
 			continue
-		case <-graceOver:
+		case <-graceEnded:
 		case <-n.closed:
 			return
 		}
 		break
 	}
-	if err := n.file.Wait(); err != nil { // the ends that were learnt: they count as kept here
-		n.noteDisk(err)
-		n.log.Error(err, "what other stores told is not synced; free space on the disk, or replace it")
+	if err := n.file.Wait(); err != nil { // the gathered final states count as held by this store
+		n.reportDiskError(err)
+		n.log.Error(err, "gathered messages not synced; free space on the disk or replace it")
 	}
-	n.do(func() { n.begun(g.request.Partitions) })
+	n.do(func() { n.startPartitions(round.request.Partitions) })
 }
 
 // ownsAny reports whether any of the partitions is still owned under its epoch.
@@ -220,39 +222,39 @@
 	return owns
 }
 
-// gathered reports whether all stores of a map have answered, how many of the others may still do so, and whether enough have.
-func (n *Node) gathered(g *gathering, view *rpc.MapView) (all bool, silent int, enough bool) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+// countAnswers reports whether all stores of a map have answered, how many of the others may still do so, and whether enough have.
+func (n *Node) countAnswers(round *gatherRound, partitionMap *rpc.MapView) (all bool, pending int, enough bool) {
+	round.mutex.Lock()
+	defer round.mutex.Unlock()
 	all = true
 	var missing []*rpc.StoreMember
-	for _, member := range view.Stores {
-		answered := member.Disk == n.disk || g.answered[member.Disk]
+	for _, member := range partitionMap.Stores {
+		answered := member.Disk == n.disk || round.answered[member.Disk]
 		all = all && answered
-		if !answered && !g.replaced[member.Disk] {
-			silent++
+		if !answered && !round.replaced[member.Disk] {
+			pending++
 		}
 		if !answered || !member.Whole {
 			missing = append(missing, member)
 		}
 	}
-	return all, silent, n.domains.bears(missing)
+	return all, pending, n.failureDomains.tolerates(missing)
 }
 
-// begun lets partitions run whose state is known.
-func (n *Node) begun(partitions []*rpc.PartitionEpoch) {
+// startPartitions allows attempts for partitions whose messages were gathered.
+func (n *Node) startPartitions(partitions []*rpc.PartitionEpoch) {
 	now := n.now()
 	for _, p := range partitions {
 		if n.table.OwnedEpoch(p.Partition) != p.Epoch {
 			continue
 		}
 		n.table.Ready(p.Partition, now)
-		n.owned[p.Partition].Store(p.Epoch)
+		n.attemptEpochs[p.Partition].Store(p.Epoch)
 	}
 	n.log.Info("partitions taken over", "partitions", len(partitions), "queued", n.table.Queued(),
 		"ended", n.table.Len()-n.table.Queued(), "learnt", n.counters.endsLearnt.Load())
-	n.pumpDue = true
-	if n.view != nil && n.view.Map != nil { // what was asked for while the partitions were taken over
+	n.schedulePending = true
+	if n.view != nil && n.view.Map != nil { // apply what was requested of these partitions during the takeover
 		n.applyMap(n.view.Map)
 	}
 }
--- a/internal/storenode/incident_test.go
+++ b/internal/storenode/incident_test.go
@@ -10,41 +10,41 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// brief makes a message that runs at once.
-func (w *world) brief(name string) *rpc.Message {
-	m := w.idle(name, "")
+// immediateMessage returns a message that is due at once.
+func (w *world) immediateMessage(name string) *rpc.Message {
+	m := w.delayedMessage(name, "")
 	m.DelayLeftMs = 0
 	return m
 }
 
-// ended counts the machines of which the store holds a message and knows its end.
-func (w *world) ended(name string, machines []*machine) (held, ended int) {
+// endedCopies counts the machines whose store holds a message, and those of them that know its final state.
+func (w *world) endedCopies(name string, machines []*machine) (held, endedCopies int) {
 	for _, m := range machines {
 		p := m.running()
 		p.node.do(func() {
 			if e := p.node.table.Get(name); e != nil && e.Stored {
 				held++
 				if e.Ended() {
-					ended++
+					endedCopies++
 				}
 			}
 		})
 	}
-	return held, ended
+	return held, endedCopies
 }
 
-// Incident 0001: a message that ends before its copy was synced. The holder is told at once, not by its scrub.
-func TestHolderThatSyncedAfterTheEndIsTold(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+// Incident 0001: a message ends before one of its copies is synced. The holder must be notified at once, not only by its own scrub.
+func TestHolderThatSyncedAfterFinalStateIsNotified(t *testing.T) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
-		others := w.others(0)
+		others := w.nonOwners(0)
 		for _, m := range others {
 			m.running().freeze()
 		}
 		const count = 8
 		stored := make(chan rpc.PutStatus, count)
 		for i := range count {
-			go func() { stored <- w.put(owner, rpc.PutMode_OWNER, epoch, w.brief(fmt.Sprint("m", i))) }()
+			go func() { stored <- w.put(owner, rpc.PutMode_OWNER, epoch, w.immediateMessage(fmt.Sprint("m", i))) }()
 		}
 		time.Sleep(400 * time.Millisecond)
 		for _, m := range others {
@@ -53,28 +53,29 @@
 		for range count {
 			must.Eq(t, rpc.PutStatus_STORED, <-stored)
 		}
-		time.Sleep(300 * time.Millisecond) // the scrub comes later
-		told := 0
+		time.Sleep(300 * time.Millisecond) // shorter than the scrub's first interval
+		notified := 0
 		for i := range count {
-			held, ended := w.ended(fmt.Sprint("m", i), others)
+			held, ended := w.endedCopies(fmt.Sprint("m", i), others)
 			must.Positive(t, held)
-			_, done := w.ended(fmt.Sprint("m", i), []*machine{owner})
-			if done == 1 { // others were answered with a failure, and run again
+			_, done := w.endedCopies(fmt.Sprint("m", i), []*machine{owner})
+			if done == 1 { // the attempts of the others failed, and they run again
 				must.EqOp(t, held, ended)
-				told++
+				notified++
 			}
 		}
-		must.Positive(t, told)
+		must.Positive(t, notified)
 	})
 }
 
-// Incident 0001: a store that leaves waits until the new owners have asked what it holds: its ends may be known to it alone.
-func TestHandOverWaitsUntilSuccessorsHaveAsked(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+// Incident 0001: a store that hands over must wait until the new owners have gathered from it, because it may be the only one to know some
+// final states.
+func TestHandOverWaitsUntilNewOwnersHaveGathered(t *testing.T) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
 		var heals []func()
-		for _, m := range w.others(0) {
-			heals = append(heals, w.cut(m.name, owner.name))
+		for _, m := range w.nonOwners(0) {
+			heals = append(heals, w.cutLink(m.name, owner.name))
 		}
 		node := owner.running().node
 		left := make(chan time.Duration, 1)
--- a/internal/storenode/lookup.go
+++ b/internal/storenode/lookup.go
@@ -6,7 +6,7 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// Lookup implements rpc.Store: it answers a client's question for a message's state or body.
+// Lookup implements rpc.Store: it returns the state of a message and, on request, its body.
 func (n *Node) Lookup(_ context.Context, request *rpc.LookupRequest) (*rpc.LookupReply, error) {
 	reply := &rpc.LookupReply{}
 	var holders []string
@@ -32,10 +32,10 @@
 	}
 	var m *rpc.Message
 	if stored {
-		m = n.stored(request.Name)
+		m = n.readStored(request.Name)
 	}
 	if m == nil {
-		m = n.fetch(request.Name, holders)
+		m = n.fetchFromHolders(request.Name, holders)
 	}
 	if m != nil {
 		reply.Body, reply.HasBody = m.Body, true
--- a/internal/storenode/figures.go
+++ b/internal/storenode/metrics.go
@@ -7,30 +7,30 @@
 	"foldlb.example/foldlb/internal/metrics"
 )
 
-// counters count from the start of the process.
+// counters hold totals since the start of the process.
 type counters struct {
-	endsLearnt     atomic.Uint64 // ends of messages that other stores told when partitions were taken over
+	endsLearnt     atomic.Uint64 // final states received from other stores during takeovers
 	endsForgotten  atomic.Uint64
 	lookups        atomic.Uint64
-	lookupsUnknown atomic.Uint64 // for messages that this store does not know
+	lookupsUnknown atomic.Uint64 // for messages unknown to this store
 
 	copiesUnreadable atomic.Uint64 // records of this store's log that could not be read
-	copiesLacking    atomic.Uint64 // copies that this store counted on others for and that they turned out to lack
+	copiesLacking    atomic.Uint64 // copies that this store counted on other stores but that turned out to be missing there
 }
 
-// figures are what monitoring sees of a store.
-func (n *Node) figures() []metrics.Figure {
-	var known, queued, ownedEnds, scarceEnds, bytes uint64
+// metricValues returns the metrics of this store.
+func (n *Node) metricValues() []metrics.Figure {
+	var known, queued, ownedEnded, underCopiedEnded, bytes uint64
 	n.do(func() {
 		known, queued = uint64(n.table.Len()), uint64(n.table.Queued())
-		ownedEnds, scarceEnds = n.countEnds()
+		ownedEnded, underCopiedEnded = n.countEnded()
 		bytes = uint64(n.file.Size())
 	})
 	return []metrics.Figure{
 		{Name: "foldlb_store_messages_queued", Help: "messages known here that have not ended", Value: queued},
 		{Name: "foldlb_store_messages_ended", Help: "messages known here whose end is remembered", Value: known - queued},
-		{Name: "foldlb_store_owned_ended", Help: "ended messages of partitions that this store owns", Value: ownedEnds},
-		{Name: "foldlb_store_owned_ended_scarce", Help: "of these, those known to fewer stores than shall hold a message", Value: scarceEnds},
+		{Name: "foldlb_store_owned_ended", Help: "ended messages of partitions that this store owns", Value: ownedEnded},
+		{Name: "foldlb_store_owned_ended_scarce", Help: "of these, those known to fewer stores than shall hold a message", Value: underCopiedEnded},
 		{Name: "foldlb_store_messages_under_copied", Help: "messages with too few copies, as told to the control plane", Value: n.underCopied.Load()},
 		{Name: "foldlb_store_partitions_ready", Help: "partitions owned and ready", Value: uint64(n.readyPartitions.Load())},
 		{Name: "foldlb_store_ends_learnt_total", Help: "ends of messages learnt from other stores at takeovers", Value: n.counters.endsLearnt.Load()},
@@ -41,12 +41,12 @@
 		{Name: "foldlb_store_copies_lacking_total", Help: "copies on other stores that turned out to be missing or unreadable there", Value: n.counters.copiesLacking.Load()},
 		{Name: "foldlb_store_log_bytes", Help: "length of the log", Value: bytes},
 		{Name: "foldlb_store_sync_waiting_ms", Help: "for how long the oldest request for a sync of the log has waited", Value: uint64(n.file.Waiting().Milliseconds())},
-		{Name: "foldlb_store_copies_waiting", Help: "copies that wait to be sent to other stores", Value: uint64(n.peers.waiting())},
+		{Name: "foldlb_store_copies_waiting", Help: "copies that wait to be sent to other stores", Value: uint64(n.peers.waitingCopies())},
 	}
 }
 
-// countEnds counts the ended messages of owned partitions, and those of them that fewer stores know than shall hold a message.
-func (n *Node) countEnds() (owned, scarce uint64) {
+// countEnded counts the ended messages of owned partitions, and those of them whose final state fewer stores have than required.
+func (n *Node) countEnded() (owned, underCopied uint64) {
 	if n.view == nil || n.view.Map == nil {
 		return 0, 0
 	}
@@ -55,9 +55,9 @@
 			return
 		}
 		owned++
-		if e.Copies(n.holders.domains, n.ownDomain()) < n.holders.wanted {
-			scarce++
+		if e.Copies(n.replicaPolicy.failureDomains, n.ownDomain()) < n.replicaPolicy.requiredCopies {
+			underCopied++
 		}
 	})
-	return owned, scarce
+	return owned, underCopied
 }
--- a/internal/storenode/node.go
+++ b/internal/storenode/node.go
@@ -1,5 +1,8 @@
-// Package storenode is the store role: it keeps messages durably, copies them to other stores, owns partitions, and runs their
-// messages at workers.
+// Package storenode implements the store role: it stores messages durably, replicates them to other stores, owns partitions, and delivers
+// their messages to workers.
+//
+// All mutable state of a Node, its message table included, belongs to one event loop goroutine (see do and post). RPC handlers and timers
+// change it by posting commands to that goroutine.
 package storenode
 
 import (
@@ -29,13 +32,13 @@
 )
 
 const (
-	logName       = "messages.log"
-	commandBuffer = 1024
-	housekeeping  = time.Second
-	maxPartitions = 1 << 16
+	logFileName          = "messages.log"
+	commandQueueLength   = 1024
+	housekeepingInterval = time.Second
+	maxPartitions        = 1 << 16
 )
 
-// coordinator is what a store needs of the control plane; cluster.Client implements it.
+// coordinator is the part of the control plane client that a store uses; cluster.Client implements it.
 type coordinator interface {
 	View() *cluster.View
 	OnChange(func(*cluster.View))
@@ -46,7 +49,7 @@
 	Release(ctx context.Context, partitions []*rpc.PartitionEpoch) error
 }
 
-// Engine makes attempts; delivery.Engine implements it.
+// Engine performs delivery attempts at workers; delivery.Engine implements it.
 type Engine interface {
 	SetCatalog(version uint64, config *catalog.Config)
 	SetWorkers(workers []*rpc.Worker)
@@ -55,72 +58,73 @@
 	Close()
 }
 
-// Options are what a store is told at its start.
+// Options configure a Node.
 type Options struct {
-	Settings *settings.Settings // read and checked
+	Settings *settings.Settings // loaded and validated; must not be nil
 	Log      logr.Logger
 
-	// RoundTripper reaches control processes and other stores; nil for TCP.
+	// RoundTripper carries calls to control processes and other stores; nil for TCP.
 	RoundTripper http.RoundTripper
-	// Engine makes attempts; nil for a delivery engine.
+	// Engine performs delivery attempts; nil for a delivery.Engine.
 	Engine Engine
-	// AroundSync is called for each sync of the log, which it must carry out; nil to sync at once.
+	// AroundSync, if set, is called in place of each sync of the log and must call sync. It serves fault injection.
 	AroundSync func(sync func() error) error
 }
 
-// Node is one store. Create it with Open.
+// Node is one store. Create it with Open, then call Start. Its RPC methods are safe for concurrent use.
 type Node struct {
-	options     Options
-	settings    *settings.Settings
-	log         logr.Logger
-	disk        string // identity of the disk
-	incarnation string // identity of this start; a later one of the same disk sorts higher
-	starts      uint64 // of the process with this disk
-	address     string
-	started     time.Time
-	domains     domains
+	options        Options
+	settings       *settings.Settings
+	log            logr.Logger
+	disk           string // identity of the disk, created when the disk is first used
+	incarnation    string // identity of this start of the process; a later start on the same disk sorts higher
+	startCount     uint64 // number of starts of the process on this disk
+	address        string // host and port on which the store serves
+	started        time.Time
+	failureDomains failureDomains
 
-	file    *applog.Log
-	cluster coordinator
-	leave   context.CancelFunc // ends the exchange with the control plane
-	engine  Engine
+	file       *applog.Log
+	cluster    coordinator
+	disconnect context.CancelFunc // ends the connection to the control plane
+	engine     Engine
 
-	draw       func(n int) int // a random number in [0, n)
-	commands   chan func()     // run by the owner goroutine, which alone touches the fields below
-	table      *message.Table
-	view       *cluster.View
-	holders    holders
-	heldChecks heldChecks
-	losses     losses
-	needs      uint64 // configuration that a sender acted on: nothing older is used
-	limits     map[string]int
-	pumpDue    bool
-	timer      *time.Timer
-	timerAt    time.Duration
-	releases   map[uint32]uint64 // epoch under which a release was asked for
-	unverified []*message.Entry  // whose records are read next
-	verifying  bool
-	repairing  bool // a look for missing copies is due
+	drawRandom        func(n int) int // returns a random number in [0, n)
+	commands          chan func()     // executed by the event loop goroutine, which alone accesses the fields from here to rewriteNeeded
+	table             *message.Table
+	view              *cluster.View
+	replicaPolicy     replicaPolicy
+	copyChecks        copyChecks
+	diskLosses        diskLosses
+	minConfigVersion  uint64         // newest configuration version that a sender acted on; no older configuration is applied to deliveries
+	attemptLimits     map[string]int // by route: maximum number of attempts in progress
+	schedulePending   bool           // scheduleAttempts must run after the current event
+	timer             *time.Timer
+	timerAt           time.Duration     // time (see now) for which timer is set; 0 if it is not
+	requestedReleases map[uint32]uint64 // by partition: epoch whose release was requested from the control plane
+	verifyQueue       []*message.Entry  // entries whose records are verified next
+	verifyRunning     bool              // a batch of records is being verified
+	upkeepScheduled   bool              // an additional upkeep run is scheduled
 
-	unwritten bool // the log had no room for a fate or a fence: it is to be rewritten
+	rewriteNeeded bool // the log had no space for a fate or a fence, so it must be rewritten
 
-	peers   *peers
-	owned   []atomic.Uint64 // epoch under which attempts of a partition may begin; 0 for none
-	leaving atomic.Bool
+	peers         *peers
+	attemptEpochs []atomic.Uint64 // by partition: epoch under which attempts may start; 0 for none
+	leaving       atomic.Bool     // HandOver was called
 
 	counters        counters
-	underCopied     scarceCount
-	readyPartitions atomic.Uint32
-	refusedAt       atomic.Int64 // when a message was last refused for want of room, by now; 0 for never
-	backlog         atomic.Uint64
+	underCopied     underCopiedGauge
+	readyPartitions atomic.Uint32 // partitions owned and ready
+	lastRefusedAt   atomic.Int64  // time (see now) at which a message was last refused for lack of space; 0 for never
+	backlog         atomic.Uint64 // messages that have not ended
 	configVersion   atomic.Uint64 // of the configuration in force
 	closed          chan struct{}
 	diskFailed      chan struct{} // closed once the log refuses all writes
-	failOnce        sync.Once
-	stopping        sync.WaitGroup
+	diskFailedOnce  sync.Once
+	goroutines      sync.WaitGroup
 }
 
-// Run plays the store role until ctx ends, then hands its partitions over and returns.
+// Run runs the store role until ctx ends, then hands over its partitions and returns. It returns an error if the store can't be opened,
+// can't listen, or if its log fails for good.
 func Run(ctx context.Context, s *settings.Settings, log logr.Logger) error {
 	n, err := Open(Options{Settings: s, Log: log})
 	if err != nil {
@@ -128,62 +132,64 @@
 	}
 	listener, err := net.Listen("tcp", n.address)
 	if err != nil {
-		return errors.Wrapf(err, "storenode: listen on %s; free the first port of portRange", n.address)
+		return errors.Wrapf(err, "storenode: listen on %s; the first port of portRange must be free", n.address)
 	}
 	server := &http.Server{Handler: n.Handler(), ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = server.Serve(listener) }()
 	n.Start()
-	heldUp := holdup.Watch(ctx, n.log)
-	figures := metrics.ServeRole(s, log, func() []metrics.Figure { return append(n.figures(), heldUp.Figures()...) })
-	defer func() { _ = figures.Close() }()
+	holdups := holdup.Watch(ctx, n.log)
+	metricsServer := metrics.ServeRole(s, log, func() []metrics.Figure { return append(n.metricValues(), holdups.Figures()...) })
+	defer func() { _ = metricsServer.Close() }()
 	n.log.Info("store started", "node", s.Node, "disk", n.disk, "incarnation", n.incarnation, "messages", n.table.Len())
 	select {
 	case <-ctx.Done():
 	case <-n.diskFailed:
 		_ = server.Close()
-		return errors.Wrap(applog.ErrFailed, "storenode: end, so that a new start replays the log")
+		return errors.Wrap(applog.ErrFailed, "storenode: stopping; restart the process to replay the log")
 	}
 	n.HandOver()
 	_ = server.Close()
 	return n.Close()
 }
 
-// Open reads the log and prepares a node that is not yet running. It fails where the settings name no folder or no port, or where the log
-// can't be read.
+// Open replays the log and returns a node that is not running yet. It returns an error if the settings name no data directory or no port,
+// or if the log can't be read.
 func Open(options Options) (*Node, error) {
 	s := options.Settings
 	if s.DataDir == "" {
-		return nil, errors.New("storenode: dataDir is empty; a store needs a disk")
+		return nil, errors.New("storenode: dataDir is empty; set it to a directory on the disk of this store")
 	}
 	if len(s.PortRange) == 0 {
-		return nil, errors.New("storenode: portRange is empty; name the first and the last port")
+		return nil, errors.New("storenode: portRange is empty; set the first and the last port")
 	}
 	n := &Node{
-		options: options, settings: s, log: options.Log, leave: func() {}, started: time.Now(), draw: mathrand.IntN,
-		address:  net.JoinHostPort(s.IP, strconv.Itoa(s.PortRange[0])),
-		domains:  domains{tolerance: s.FaultTolerance, regions: s.Zones},
-		commands: make(chan func(), commandBuffer), table: message.NewTable(), limits: map[string]int{},
-		releases: map[uint32]uint64{}, owned: make([]atomic.Uint64, maxPartitions), closed: make(chan struct{}),
+		options: options, settings: s, log: options.Log, disconnect: func() {}, started: time.Now(), drawRandom: mathrand.IntN,
+		address:        net.JoinHostPort(s.IP, strconv.Itoa(s.PortRange[0])),
+		failureDomains: failureDomains{tolerance: s.FaultTolerance, regionByZone: s.Zones},
+		commands:       make(chan func(), commandQueueLength), table: message.NewTable(), attemptLimits: map[string]int{},
+		requestedReleases: map[uint32]uint64{}, attemptEpochs: make([]atomic.Uint64, maxPartitions), closed: make(chan struct{}),
 		diskFailed: make(chan struct{}),
 	}
-	n.underCopied.store(scarceCopies{lacking: 1}) // not known before upkeep has counted
+	n.underCopied.set(underCopiedCount{missing: 1}) // unknown until the first upkeep run has counted
 	if err := n.openLog(options.AroundSync); err != nil {
 		return nil, err
 	}
 	return n, nil
 }
 
-// noteDisk ends the process where the log has failed for good: what the disk holds since the last sync is unknown.
-func (n *Node) noteDisk(err error) {
+// reportDiskError makes Run return if the log has failed for good: what the disk holds since the last sync is unknown, and only a restart,
+// which replays the log, can tell.
+func (n *Node) reportDiskError(err error) {
 	if errors.Is(err, applog.ErrFailed) {
-		n.failOnce.Do(func() { close(n.diskFailed) })
+		n.diskFailedOnce.Do(func() { close(n.diskFailed) })
 	}
 }
 
-// now is the time that tables and timers use: since the start of the process.
+// now returns the time since the start of the process, the clock of the message table and of all timers.
 func (n *Node) now() time.Duration { return time.Since(n.started) }
 
-func newIdentity() string {
+// newRandomID returns a random identity of 16 hexadecimal digits.
+func newRandomID() string {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		panic(err)
@@ -191,48 +197,49 @@
 	return hex.EncodeToString(random[:])
 }
 
-// Handler serves the other stores and the dispatchers.
+// Handler returns the HTTP handler for calls of other stores and dispatchers.
 func (n *Node) Handler() http.Handler { return rpc.NewStoreServer(n) }
 
-// Start begins to serve. It returns at once.
+// Start connects to the control plane and starts serving. It returns at once.
 func (n *Node) Start() {
-	attempts := n.options.Engine
-	if attempts == nil {
-		attempts = delivery.New(delivery.Options{Zone: n.settings.Zone, Log: n.log, Now: n.now, MaxSockets: n.settings.Limits.MaxFds / 2})
+	engine := n.options.Engine
+	if engine == nil {
+		engine = delivery.New(delivery.Options{Zone: n.settings.Zone, Log: n.log, Now: n.now, MaxSockets: n.settings.Limits.MaxFds / 2})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	n.leave = cancel
-	n.connect(cluster.Start(ctx, cluster.Options{
+	n.disconnect = cancel
+	n.startWith(cluster.Start(ctx, cluster.Options{
 		Settings: n.settings, Role: cluster.RoleStore, Disk: n.disk, Address: n.address, Incarnation: n.incarnation,
-		Log: n.log, RoundTripper: n.options.RoundTripper, Status: n.status,
-	}), attempts)
+		Log: n.log, RoundTripper: n.options.RoundTripper, Status: n.fillRenewRequest,
+	}), engine)
 }
 
-// connect begins to serve with a coordinator and an engine.
-func (n *Node) connect(coordinator coordinator, engine Engine) {
+// startWith starts serving with the given coordinator and engine.
+func (n *Node) startWith(coordinator coordinator, engine Engine) {
 	n.timer = time.NewTimer(time.Hour)
 	n.engine, n.cluster = engine, coordinator
 	n.peers = newPeers(n)
-	n.stopping.Add(1)
+	n.goroutines.Add(1)
 	go n.loop()
-	// The version is acknowledged when the callback returns, and a lease may be granted for that: by then it is in force.
-	n.cluster.OnChange(func(view *cluster.View) { n.do(func() { n.changed(view) }) })
+	// The client acknowledges a version once the callback returns, and a lease may be granted for that, so the view must be in force by
+	// then.
+	n.cluster.OnChange(func(view *cluster.View) { n.do(func() { n.applyView(view) }) })
 }
 
-// status adds what the control plane wants to know to a renewal of the lease.
-func (n *Node) status(request *rpc.RenewRequest) {
+// fillRenewRequest adds the store's status to a renewal of its lease.
+func (n *Node) fillRenewRequest(request *rpc.RenewRequest) {
 	request.Leaving = n.leaving.Load()
 	request.Backlog = n.backlog.Load()
-	scarce := n.underCopied.read()
-	request.UnderCopied = scarce.lacking + scarce.unconfirmed
-	request.Unconfirmed = scarce.unconfirmed
-	request.UnconfirmedUnder = scarce.placedUnder
+	underCopied := n.underCopied.snapshot()
+	request.UnderCopied = underCopied.missing + underCopied.unconfirmed
+	request.Unconfirmed = underCopied.unconfirmed
+	request.UnconfirmedUnder = underCopied.placedUnder
 	request.ReadyPartitions = n.readyPartitions.Load()
-	request.Impaired = n.impaired()
+	request.Impaired = n.isImpaired()
 }
 
-// changed takes a new view of the deployment.
-func (n *Node) changed(view *cluster.View) {
+// applyView puts a new view of the deployment in force.
+func (n *Node) applyView(view *cluster.View) {
 	old := n.view
 	n.view = view
 	if view.Config != nil && (old == nil || old.ConfigVersion != view.ConfigVersion) {
@@ -244,21 +251,21 @@
 	}
 	if view.Map != nil && (old == nil || old.Map != view.Map) {
 		n.engine.SetDispatchers(max(1, len(view.Map.Stores)))
-		n.reckonHolders(view.Map)
+		n.updateReplicaPolicy(view.Map)
 		n.peers.update(view.Map.Stores)
-		n.noteOwners(view)
+		n.noteFormerOwners(view)
 		n.applyMap(view.Map)
-		n.upkeep(n.now()) // what is reported with this map must have been counted by it
+		n.upkeep(n.now()) // the counts reported with this map version must be based on it
 	}
-	n.reckonLimits()
-	n.pumpDue = true
+	n.updateAttemptLimits()
+	n.schedulePending = true
 }
 
-// Close ends all work at once and closes the log. HandOver goes before it where there is time.
+// Close stops all work at once and closes the log. For a graceful stop, call HandOver first.
 func (n *Node) Close() error {
-	n.leave()
+	n.disconnect()
 	n.engine.Close()
 	close(n.closed)
-	n.stopping.Wait()
+	n.goroutines.Wait()
 	return errors.Wrap(n.file.Close(), "storenode: close log")
 }
--- a/internal/storenode/peers.go
+++ b/internal/storenode/peers.go
@@ -10,34 +10,35 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// errClosed is returned to callers while the process ends.
+// errClosed is returned to callers while the process shuts down.
 var errClosed = errors.New("storenode: this store is closing; ask another one")
 
 const (
-	putWithin      = 600 * time.Millisecond
-	reportWithin   = time.Second
-	reportPause    = 10 * time.Millisecond // fates are collected for so long
-	suspectFirst   = 200 * time.Millisecond
-	suspectMost    = 1500 * time.Millisecond
-	batchMessages  = 64
-	batchFates     = 500
-	queuedCopies   = 4096
-	queuedFates    = 50_000
-	usedDomainRank = 16 // added to stores in whose failure domain there is a copy
-	sendersMost    = 4  // batches of copies under way at one store
+	putTimeout         = 600 * time.Millisecond
+	reportTimeout      = time.Second
+	reportDelay        = 10 * time.Millisecond  // how long fates are collected before they are sent
+	minSuspectDuration = 200 * time.Millisecond // doubles with each consecutive failure, up to maxSuspectDuration
+	maxSuspectDuration = 1500 * time.Millisecond
+	maxBatchMessages   = 64
+	maxBatchFates      = 500
+	maxQueuedCopies    = 4096
+	maxQueuedFates     = 50_000
+	usedDomainPenalty  = 16 // added to the rank of stores in a failure domain that already has a copy
+	maxConcurrentSends = 4  // batches of copies in transit to one store
 )
 
-// peers are the other stores.
+// peers tracks the other stores of the current map. It is safe for concurrent use.
 type peers struct {
-	node  *Node
-	mutex sync.Mutex
-	byKey map[string]*peer // by disk
-	list  []*peer
+	node   *Node
+	mutex  sync.Mutex
+	byDisk map[string]*peer
+	list   []*peer
 }
 
-func newPeers(n *Node) *peers { return &peers{node: n, byKey: map[string]*peer{}} }
+// newPeers returns the peers of a node, none before the first update.
+func newPeers(n *Node) *peers { return &peers{node: n, byDisk: map[string]*peer{}} }
 
-// update takes the members of a new map.
+// update sets the members of a new map. Queues to stores whose address and zone are unchanged are kept.
 func (p *peers) update(members []*rpc.StoreMember) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -47,15 +48,15 @@
 		if member.Disk == p.node.disk {
 			continue
 		}
-		one := p.byKey[member.Disk]
-		if one == nil || one.address != member.Address || one.zone != member.Zone {
-			one = &peer{node: p.node, disk: member.Disk, address: member.Address, zone: member.Zone}
+		store := p.byDisk[member.Disk]
+		if store == nil || store.address != member.Address || store.zone != member.Zone {
+			store = &peer{node: p.node, disk: member.Disk, address: member.Address, zone: member.Zone}
 		}
-		one.leaving = member.Leaving
-		known[member.Disk] = one
-		p.list = append(p.list, one)
+		store.leaving = member.Leaving
+		known[member.Disk] = store
+		p.list = append(p.list, store)
 	}
-	p.byKey = known
+	p.byDisk = known
 }
 
 // all returns the other stores.
@@ -69,84 +70,85 @@
 func (p *peers) get(disk string) *peer {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.byKey[disk]
+	return p.byDisk[disk]
 }
 
-// waiting counts the copies that have not been sent yet.
-func (p *peers) waiting() int {
+// waitingCopies counts the copies that have not been sent yet.
+func (p *peers) waitingCopies() int {
 	count := 0
-	for _, one := range p.all() {
-		one.mutex.Lock()
-		count += len(one.copies)
-		one.mutex.Unlock()
+	for _, peer := range p.all() {
+		peer.mutex.Lock()
+		count += len(peer.copies)
+		peer.mutex.Unlock()
 	}
 	return count
 }
 
-// choose draws a store for a copy that is not in tried and is not being emptied, as a copy there counts as gone: healthy ones
-// before others, and among them one of another zone for the first copy, so that a zone may be lost, and of this zone for further ones, since bytes between zones are dear. Where copies must
-// stand in different zones or regions, that goes before.
+// choose selects a store for a copy, or returns nil if there is none. Stores in tried are excluded, as are stores that are being retired,
+// because copies there do not count. Healthy stores are preferred; among them a store of another zone for the first copy, so that the
+// message survives the loss of a zone, and of this zone for further ones, because traffic between zones is expensive. If copies must be in
+// different zones or regions, that takes precedence.
 func (p *peers) choose(tried map[string]bool) *peer {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var best *peer
-	bestRank, same := 0, 0
+	bestRank, ties := 0, 0
 	now := time.Now()
 	used := p.usedDomains(tried)
-	apart := p.triedElsewhere(tried)
-	for _, one := range p.list {
-		if tried[one.disk] || one.leaving {
+	preferSameZone := p.triedOtherZone(tried)
+	for _, candidate := range p.list {
+		if tried[candidate.disk] || candidate.leaving {
 			continue
 		}
-		rank := one.rank(now)
-		if near := one.zone == p.node.settings.Zone; near != apart {
+		rank := candidate.rank(now)
+		if isSameZone := candidate.zone == p.node.settings.Zone; isSameZone != preferSameZone {
 			rank++
 		}
-		if used[p.node.domains.of(one.disk, one.zone)] {
-			rank += usedDomainRank
+		if used[p.node.failureDomains.domainOf(candidate.disk, candidate.zone)] {
+			rank += usedDomainPenalty
 		}
 		switch {
 		case best == nil || rank < bestRank:
-			best, bestRank, same = one, rank, 1
+			best, bestRank, ties = candidate, rank, 1
 		case rank == bestRank:
-			same++
-			if p.node.draw(same) == 0 {
-				best = one
+			ties++
+			if p.node.drawRandom(ties) == 0 {
+				best = candidate
 			}
 		}
 	}
 	return best
 }
 
-// usedDomains are the failure domains of this store and of those in tried. The mutex is held.
+// usedDomains returns the failure domains of this store and of those in tried. Callers hold the mutex.
 func (p *peers) usedDomains(tried map[string]bool) map[string]bool {
 	used := map[string]bool{p.node.ownDomain(): true}
 	for disk := range tried {
-		if one := p.byKey[disk]; one != nil {
-			used[p.node.domains.of(disk, one.zone)] = true
+		if peer := p.byDisk[disk]; peer != nil {
+			used[p.node.failureDomains.domainOf(disk, peer.zone)] = true
 		}
 	}
 	return used
 }
 
-// triedElsewhere reports whether one of the stores in tried is of another zone than this one. The mutex is held.
-func (p *peers) triedElsewhere(tried map[string]bool) bool {
+// triedOtherZone reports whether one of the stores in tried is in another zone than this store. Callers hold the mutex.
+func (p *peers) triedOtherZone(tried map[string]bool) bool {
 	for disk := range tried {
-		if one := p.byKey[disk]; one != nil && one.zone != p.node.settings.Zone {
+		if peer := p.byDisk[disk]; peer != nil && peer.zone != p.node.settings.Zone {
 			return true
 		}
 	}
 	return false
 }
 
-// copyItem is a message on its way to a holder.
-type copyItem struct {
+// outgoingCopy is a message queued for a holder.
+type outgoingCopy struct {
 	message *rpc.Message
 	epoch   uint64
-	done    func(rpc.PutStatus) // called once, by the goroutine that sent it
+	done    func(rpc.PutStatus) // called exactly once, by the sending goroutine
 }
 
-// peer is one other store.
+// peer is one other store, with its queues of copies and fates.
 type peer struct {
 	node    *Node
 	disk    string
@@ -155,139 +157,144 @@
 	leaving bool // guarded by the mutex of peers
 
 	mutex        sync.Mutex
-	copies       []*copyItem
-	senders      int
-	fates        []*rpc.Fate
-	reporting    bool
+	copies       []*outgoingCopy // not sent yet
+	senders      int             // goroutines in sendCopies
+	fates        []*rpc.Fate     // not reported yet
+	reporting    bool            // sendFates is scheduled or running
 	suspectUntil time.Time
-	suspectFor   time.Duration
+	suspectFor   time.Duration // length of the latest suspicion
 }
 
-// rank is lower for stores that are likely to take a copy.
-func (one *peer) rank(now time.Time) int {
+// rank is lower for stores that are more likely to store a copy.
+func (p *peer) rank(now time.Time) int {
 	rank := 0
-	one.mutex.Lock()
-	if now.Before(one.suspectUntil) {
+	p.mutex.Lock()
+	if now.Before(p.suspectUntil) {
 		rank += 8
 	}
-	one.mutex.Unlock()
+	p.mutex.Unlock()
 	return rank
 }
 
-func (one *peer) failed() {
-	one.mutex.Lock()
-	defer one.mutex.Unlock()
-	one.suspectFor = min(max(suspectFirst, 2*one.suspectFor), suspectMost)
-	one.suspectUntil = time.Now().Add(one.suspectFor)
+// failed marks the store as suspect for a time.
+func (p *peer) failed() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.suspectFor = min(max(minSuspectDuration, 2*p.suspectFor), maxSuspectDuration)
+	p.suspectUntil = time.Now().Add(p.suspectFor)
 }
 
-func (one *peer) answered() {
-	one.mutex.Lock()
-	defer one.mutex.Unlock()
-	one.suspectFor, one.suspectUntil = 0, time.Time{}
+// answered ends the suspicion against the store.
+func (p *peer) answered() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.suspectFor, p.suspectUntil = 0, time.Time{}
 }
 
-// put queues a copy, and reports false where the queue is full. What is queued while others are under way travels together. The callback
-// of the copy runs on another goroutine than the caller's.
-func (one *peer) put(item *copyItem) bool {
-	one.mutex.Lock()
-	defer one.mutex.Unlock()
-	if len(one.copies) >= queuedCopies {
+// enqueueCopy queues a copy and reports whether the queue had room. Copies that are queued while others are in transit are sent as one
+// batch. The callback of the copy never runs on the caller's goroutine.
+func (p *peer) enqueueCopy(item *outgoingCopy) bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if len(p.copies) >= maxQueuedCopies {
 		return false
 	}
-	one.copies = append(one.copies, item)
-	if one.senders < sendersMost {
-		one.senders++
-		go one.sendCopies()
+	p.copies = append(p.copies, item)
+	if p.senders < maxConcurrentSends {
+		p.senders++
+		go p.sendCopies()
 	}
 	return true
 }
 
-func (one *peer) sendCopies() {
+// sendCopies sends queued copies in batches until the queue is empty.
+func (p *peer) sendCopies() {
 	for {
-		one.mutex.Lock()
-		if len(one.copies) == 0 {
-			one.senders--
-			one.mutex.Unlock()
+		p.mutex.Lock()
+		if len(p.copies) == 0 {
+			p.senders--
+			p.mutex.Unlock()
 			return
 		}
-		count := min(batchMessages, len(one.copies))
-		batch := one.copies[:count:count]
-		one.copies = one.copies[count:]
-		one.mutex.Unlock()
-		one.sendBatch(batch)
+		count := min(maxBatchMessages, len(p.copies))
+		batch := p.copies[:count:count]
+		p.copies = p.copies[count:]
+		p.mutex.Unlock()
+		p.sendBatch(batch)
 	}
 }
 
-func (one *peer) sendBatch(batch []*copyItem) {
+// sendBatch sends one batch of copies and calls their callbacks.
+func (p *peer) sendBatch(batch []*outgoingCopy) {
 	request := &rpc.PutRequest{Mode: rpc.PutMode_HOLDER}
 	for _, item := range batch {
 		request.Messages = append(request.Messages, item.message)
 		request.Epochs = append(request.Epochs, item.epoch)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), putWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), putTimeout)
 	defer cancel()
-	reply, err := one.node.cluster.Store(one.address).Put(ctx, request)
+	reply, err := p.node.cluster.Store(p.address).Put(ctx, request)
 	if err != nil || len(reply.Statuses) != len(batch) {
-		one.failed()
+		p.failed()
 		for _, item := range batch {
 			item.done(rpc.PutStatus_FAILED)
 		}
 		return
 	}
-	one.answered()
+	p.answered()
 	for i, item := range batch {
 		item.done(reply.Statuses[i])
 	}
 }
 
-// report queues what became of a message for this store.
-func (one *peer) report(fate *rpc.Fate) {
-	one.mutex.Lock()
-	defer one.mutex.Unlock()
-	if len(one.fates) >= queuedFates {
-		return // the scrub will ask for it
+// enqueueFate queues a message's fate for this store.
+func (p *peer) enqueueFate(fate *rpc.Fate) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if len(p.fates) >= maxQueuedFates {
+		return // the holder's next scrub asks for it
 	}
-	one.fates = append(one.fates, fate)
-	if !one.reporting {
-		one.reporting = true
-		time.AfterFunc(reportPause, one.sendFates)
+	p.fates = append(p.fates, fate)
+	if !p.reporting {
+		p.reporting = true
+		time.AfterFunc(reportDelay, p.sendFates)
 	}
 }
 
-func (one *peer) sendFates() {
+// sendFates sends queued fates in batches until the queue is empty. After more than 20 failures in a row it drops the queue.
+func (p *peer) sendFates() {
 	failures := 0
 	for {
-		one.mutex.Lock()
-		if len(one.fates) == 0 {
-			one.reporting = false
-			one.mutex.Unlock()
+		p.mutex.Lock()
+		if len(p.fates) == 0 {
+			p.reporting = false
+			p.mutex.Unlock()
 			return
 		}
-		count := min(batchFates, len(one.fates))
-		batch := append([]*rpc.Fate(nil), one.fates[:count]...)
-		one.mutex.Unlock()
-		ctx, cancel := context.WithTimeout(context.Background(), reportWithin)
-		_, err := one.node.cluster.Store(one.address).Report(ctx, &rpc.ReportRequest{Fates: batch})
+		count := min(maxBatchFates, len(p.fates))
+		batch := append([]*rpc.Fate(nil), p.fates[:count]...)
+		p.mutex.Unlock()
+		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
+		_, err := p.node.cluster.Store(p.address).Report(ctx, &rpc.ReportRequest{Fates: batch})
 		cancel()
-		one.mutex.Lock()
+		p.mutex.Lock()
 		if err == nil {
 			failures = 0
-			one.fates = one.fates[count:]
+			p.fates = p.fates[count:]
 		} else if failures++; failures > 20 {
-			one.fates = nil // the scrub will ask for them
+			p.fates = nil // the holder's next scrub asks for them
 		}
-		one.mutex.Unlock()
+		p.mutex.Unlock()
 		if err != nil {
-			one.failed()
+			p.failed()
 			time.Sleep(min(time.Duration(failures)*50*time.Millisecond, 500*time.Millisecond))
 		}
 	}
 }
 
-// idle reports whether all fates were handed over.
-func (one *peer) idle() bool {
-	one.mutex.Lock()
-	defer one.mutex.Unlock()
-	return !one.reporting || time.Now().Before(one.suspectUntil)
+// isIdle reports whether all fates were sent, or the store is suspect so that waiting for it is pointless.
+func (p *peer) isIdle() bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return !p.reporting || time.Now().Before(p.suspectUntil)
 }
--- a/internal/storenode/peers_test.go
+++ b/internal/storenode/peers_test.go
@@ -11,25 +11,25 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// holderZones draws the holders of so many copies one after the other, and returns how many of them are in each zone.
+// holderZones chooses holders for the given number of copies and returns the number of holders in each zone.
 func holderZones(peers *peers, copies int) map[string]int {
 	zones := map[string]int{}
 	tried := map[string]bool{}
 	for range copies {
-		one := peers.choose(tried)
-		tried[one.disk] = true
-		zones[one.zone]++
+		holder := peers.choose(tried)
+		tried[holder.disk] = true
+		zones[holder.zone]++
 	}
 	return zones
 }
 
-// peersIn returns the other stores of a store in zone a, given the number in each zone.
+// peersIn returns the peers of a store in zone a, for the given number of stores in each zone.
 func peersIn(tolerance settings.FaultTolerance, stores map[string]int) *peers {
 	n := &Node{
-		settings: &settings.Settings{Zone: "a", FaultTolerance: tolerance},
-		disk:     "own",
-		domains:  domains{tolerance: tolerance},
-		draw:     rand.New(rand.NewPCG(1, 2)).IntN,
+		settings:       &settings.Settings{Zone: "a", FaultTolerance: tolerance},
+		disk:           "own",
+		failureDomains: failureDomains{tolerance: tolerance},
+		drawRandom:     rand.New(rand.NewPCG(1, 2)).IntN,
 	}
 	members := []*rpc.StoreMember{{Disk: n.disk, Zone: "a"}}
 	for zone, count := range stores {
@@ -42,7 +42,7 @@
 	return peers
 }
 
-func TestOneCopyLeavesTheZoneAndFurtherOnesStay(t *testing.T) {
+func TestFirstCopyGoesToAnotherZoneAndFurtherOnesStay(t *testing.T) {
 	peers := peersIn(settings.FaultTolerance{Machines: 2}, map[string]int{"a": 3, "b": 4, "c": 4})
 	for range 200 {
 		zones := holderZones(peers, 2)
@@ -50,14 +50,14 @@
 	}
 }
 
-func TestCopiesStandInDifferentZonesWhereZonesMayBeLost(t *testing.T) {
+func TestCopiesGoToDifferentZonesWhereZonesMayBeLost(t *testing.T) {
 	peers := peersIn(settings.FaultTolerance{Machines: 1, Zones: 2}, map[string]int{"a": 3, "b": 4, "c": 4})
 	for range 200 {
 		must.Eq(t, map[string]int{"b": 1, "c": 1}, holderZones(peers, 2))
 	}
 }
 
-func TestCopyGoesToAHealthyStoreBeforeANearOne(t *testing.T) {
+func TestHealthyStoreIsPreferredToStoreInSameZone(t *testing.T) {
 	peers := peersIn(settings.FaultTolerance{Machines: 2}, map[string]int{"a": 1, "b": 4})
 	peers.get("a0").failed()
 	for range 200 {
@@ -65,8 +65,8 @@
 	}
 }
 
-// A copy at a store that is being emptied counts as gone.
-func TestNoCopyGoesToAStoreThatIsBeingEmptied(t *testing.T) {
+// Copies on a retiring store do not count.
+func TestNoCopyGoesToRetiringStore(t *testing.T) {
 	peers := peersIn(settings.FaultTolerance{Machines: 1}, map[string]int{"b": 2})
 	peers.list[0].leaving = true
 	for range 50 {
@@ -75,28 +75,28 @@
 	must.Nil(t, peers.choose(map[string]bool{peers.list[1].disk: true}))
 }
 
-// fullQueuePatience bounds the wait for a step that takes no time.
-const fullQueuePatience = 10 * time.Second
+// fullQueueTimeout bounds the wait for a step that must not block.
+const fullQueueTimeout = 10 * time.Second
 
-// TestFullQueueOfCopiesDoesNotBlockTheSyncOfTheLog guards against a store that never syncs again (incident 0012).
-func TestFullQueueOfCopiesDoesNotBlockTheSyncOfTheLog(t *testing.T) {
+// A full queue of copies must not block the goroutine that syncs the log, or the store never syncs again (incident 0012).
+func TestFullCopyQueueDoesNotBlockLogSync(t *testing.T) {
 	peers := peersIn(settings.FaultTolerance{Machines: 1}, map[string]int{"b": 1})
-	peers.list[0].copies = make([]*copyItem, queuedCopies)
+	peers.list[0].copies = make([]*outgoingCopy, maxQueuedCopies)
 	peers.node.peers = peers
-	work := &acceptance{node: peers.node, needed: 2, result: make(chan rpc.PutStatus, 1), tried: map[string]bool{}, domains: map[string]bool{}}
+	pending := &acceptance{node: peers.node, requiredCopies: 2, result: make(chan rpc.PutStatus, 1), triedDisks: map[string]bool{}, syncedDomains: map[string]bool{}}
 	synced := make(chan struct{})
 	isQueued := false
 	go func() {
-		isQueued = work.another()
-		work.outcome("", peers.node.ownDomain(), true) // as the log calls it after a sync
+		isQueued = pending.sendToNextPeer()
+		pending.recordCopy("", peers.node.ownDomain(), true) // called like this by the log after a sync
 		close(synced)
 	}()
 	select {
 	case <-synced:
-	case <-time.After(fullQueuePatience):
+	case <-time.After(fullQueueTimeout):
 		t.Fatal("the sync waits for a copy that can't be queued")
 	}
 	must.False(t, isQueued)
-	must.MapLen(t, 1, work.domains)
-	must.EqOp(t, queuedCopies, peers.waiting())
+	must.MapLen(t, 1, pending.syncedDomains)
+	must.EqOp(t, maxQueuedCopies, peers.waitingCopies())
 }
--- a/internal/storenode/readback.go
+++ b/internal/storenode/readback.go
@@ -12,183 +12,183 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// readBackMost is how many messages have their copies read at a time. A store looks again every repairPause while any are left.
-const readBackMost = 400
+// maxReadBackBatch is the number of messages whose copies are read back at a time. The next batch follows after upkeepRetryDelay.
+const maxReadBackBatch = 400
 
-// silentReadsMost is how often a holder may leave a reading unanswered until its copy counts no longer.
-const silentReadsMost = 3
+// maxUnansweredReads is how many reads in a row a holder may leave unanswered before its copy no longer counts.
+const maxUnansweredReads = 3
 
-// losses tells which disks have ceased to count. Messages that had copies there rest on other copies, and these are read before the control
-// plane is told that there are enough of them.
-type losses struct {
-	under  map[string]uint64 // by disk: the table of owners under which it ceased to count
-	former map[uint32]string // by partition: the disk of the newest owner other than this store
+// diskLosses tracks the disks that no longer count. The remaining copies of messages that had copies there are read back before the control
+// plane is told that there are enough of them, since a copy that is counted may turn out unreadable.
+type diskLosses struct {
+	lostAtVersion map[string]uint64 // by disk: map version under which it ceased to count
+	formerOwner   map[uint32]string // by partition: disk of the latest owner other than this store
 }
 
-// note compares the disks that count under a new table with those of the one before.
-func (l *losses) note(before, now map[string]string, version uint64) {
-	if l.under == nil {
-		l.under, l.former = map[string]uint64{}, map[uint32]string{}
+// update compares the disks that count under a new map with those of the previous one.
+func (l *diskLosses) update(previous, current map[string]string, version uint64) {
+	if l.lostAtVersion == nil {
+		l.lostAtVersion, l.formerOwner = map[string]uint64{}, map[uint32]string{}
 	}
-	for disk := range before {
-		if _, counts := now[disk]; !counts {
-			l.under[disk] = version
+	for disk := range previous {
+		if _, counts := current[disk]; !counts {
+			l.lostAtVersion[disk] = version
 		}
 	}
-	for disk := range now {
-		delete(l.under, disk)
+	for disk := range current {
+		delete(l.lostAtVersion, disk)
 	}
 }
 
-// restsOnUnread reports whether a message had a copy on a disk that has ceased to count, and not all copies that it has now have been read
-// since.
-func (l *losses) restsOnUnread(e *message.Entry) bool {
-	if len(l.under) == 0 {
+// needsReadBack reports whether a message had a copy on a disk that no longer counts and the remaining copies have not all been read since.
+func (l *diskLosses) needsReadBack(e *message.Entry) bool {
+	if len(l.lostAtVersion) == 0 {
 		return false
 	}
 	for _, disk := range e.Holders {
-		if l.under[disk] > e.ReadUnder {
+		if l.lostAtVersion[disk] > e.ReadUnder {
 			return true
 		}
 	}
-	former, isKnown := l.former[e.Partition]
-	return isKnown && l.under[former] > e.ReadUnder
+	former, isKnown := l.formerOwner[e.Partition]
+	return isKnown && l.lostAtVersion[former] > e.ReadUnder
 }
 
-// noteOwners notes which other stores own partitions under the newest table.
-func (n *Node) noteOwners(view *cluster.View) {
+// noteFormerOwners records which other stores own partitions under the newest map.
+func (n *Node) noteFormerOwners(view *cluster.View) {
 	for id := range view.Map.Partitions {
 		partition := uint32(id)
 		if owner, _, ok := view.Owner(partition); ok && owner.Disk != n.disk {
-			n.losses.former[partition] = owner.Disk
+			n.diskLosses.formerOwner[partition] = owner.Disk
 		}
 	}
 }
 
-// tableVersion is that of the newest table of owners, 0 before the first. Copies that are written under it need not be read for losses of
-// before.
-func (n *Node) tableVersion() uint64 {
+// mapVersion returns the version of the newest partition map, 0 before the first. Copies written under it need not be read back for earlier
+// losses.
+func (n *Node) mapVersion() uint64 {
 	if n.view == nil || n.view.Map == nil {
 		return 0
 	}
 	return n.view.Map.Version
 }
 
-// copiesRead is one reading of the copies of some messages.
-type copiesRead struct {
-	node  *Node
-	under uint64 // table of owners in force when it began
-	own   []verified
-	asked map[string][]string // names, by the disk of the holder
+// readBack reads the copies of a batch of messages, here and on other stores.
+type readBack struct {
+	node         *Node
+	mapVersion   uint64              // partition map in force at the start
+	localRecords []recordRef         // copies in this store's log
+	namesByDisk  map[string][]string // names of messages, by disk of the holder
 
-	mutex  sync.Mutex
-	good   map[string][]string // failure domains of the copies that were read, by name
-	silent []string            // disks of holders that did not answer
+	mutex             sync.Mutex
+	readableDomains   map[string][]string // by name: failure domains of the copies that were read
+	unresponsiveDisks []string            // disks of holders that did not answer
 }
 
-// readBackAll has the copies of messages read, a bounded number at a time.
-func (n *Node) readBackAll(unread []*message.Entry, now time.Duration) {
-	reading := &copiesRead{node: n, under: n.view.Map.Version, asked: map[string][]string{}, good: map[string][]string{}}
-	begun := 0
+// startReadBack starts to read the copies of messages, a bounded number at a time.
+func (n *Node) startReadBack(unread []*message.Entry, now time.Duration) {
+	batch := &readBack{node: n, mapVersion: n.view.Map.Version, namesByDisk: map[string][]string{}, readableDomains: map[string][]string{}}
+	started := 0
 	for _, e := range unread {
-		if begun == readBackMost {
+		if started == maxReadBackBatch {
 			break
 		}
 		if now < e.RepairAt {
 			continue
 		}
-		e.RepairAt = now + repairAgain
-		reading.add(e)
-		begun++
+		e.RepairAt = now + repairRetryDelay
+		batch.add(e)
+		started++
 	}
-	if begun > 0 {
-		go reading.run(n.holders.domains)
+	if started > 0 {
+		go batch.run(n.replicaPolicy.failureDomains)
 	}
 }
 
-// add has the copies of a message read.
-func (r *copiesRead) add(e *message.Entry) {
+// add adds the copies of a message to the batch.
+func (r *readBack) add(e *message.Entry) {
 	if e.Stored {
-		r.own = append(r.own, verified{entry: e, record: e.Record})
+		r.localRecords = append(r.localRecords, recordRef{entry: e, record: e.Record})
 	}
 	for _, disk := range e.Holders {
-		if _, counts := r.node.holders.domains[disk]; counts {
-			r.asked[disk] = append(r.asked[disk], e.Name)
+		if _, counts := r.node.replicaPolicy.failureDomains[disk]; counts {
+			r.namesByDisk[disk] = append(r.namesByDisk[disk], e.Name)
 		}
 	}
 }
 
-// run reads the copies here while other stores read theirs, and enters what was found.
-func (r *copiesRead) run(domains map[string]string) {
-	var waiting sync.WaitGroup
-	for disk, names := range r.asked {
-		one := r.node.peers.get(disk)
-		if one == nil {
+// run reads the local copies while other stores read theirs, then posts the result to the event loop.
+func (r *readBack) run(domains map[string]string) {
+	var remoteReads sync.WaitGroup
+	for disk, names := range r.namesByDisk {
+		source := r.node.peers.get(disk)
+		if source == nil {
 			continue
 		}
-		waiting.Go(func() { r.ask(one, names, domains[disk]) })
+		remoteReads.Go(func() { r.readRemote(source, names, domains[disk]) })
 	}
-	for _, one := range r.own {
-		if _, err := r.node.readCopy(one); err == nil {
-			r.found(one.entry.Name, r.node.ownDomain())
+	for _, source := range r.localRecords {
+		if _, err := r.node.readCopy(source); err == nil {
+			r.addReadable(source.entry.Name, r.node.ownDomain())
 		}
 	}
-	waiting.Wait()
-	r.node.post(r.enter)
+	remoteReads.Wait()
+	r.node.post(r.apply)
 }
 
-// ask has another store read its copies.
-func (r *copiesRead) ask(one *peer, names []string, domain string) {
-	lacking, err := r.node.lackingAt(one, &rpc.HeldRequest{Names: names, Read: true})
+// readRemote makes another store read its copies.
+func (r *readBack) readRemote(target *peer, names []string, domain string) {
+	missing, err := r.node.findMissingCopies(target, &rpc.HeldRequest{Names: names, Read: true})
 	var refused twirp.Error
 	if errors.As(err, &refused) && refused.Code() == twirp.BadRoute {
-		err = nil // a store of a version that reads no copies on request: what it acknowledged counts
+		err = nil // an older version that can't read copies on request: the copies that it acknowledged count
 	}
 	if err != nil {
 		r.mutex.Lock()
-		r.silent = append(r.silent, one.disk)
+		r.unresponsiveDisks = append(r.unresponsiveDisks, target.disk)
 		r.mutex.Unlock()
 		return
 	}
 	for _, name := range names {
-		if !lacking[name] {
-			r.found(name, domain)
+		if !missing[name] {
+			r.addReadable(name, domain)
 		}
 	}
 }
 
-// found notes a copy that was read and is good.
-func (r *copiesRead) found(name, domain string) {
+// addReadable records a copy that was read without error.
+func (r *readBack) addReadable(name, domain string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.good[name] = append(r.good[name], domain)
+	r.readableDomains[name] = append(r.readableDomains[name], domain)
 }
 
-// enter notes the messages of which copies in enough failure domains were read. Of the others, those whose holders go on being silent
-// get copies elsewhere.
-func (r *copiesRead) enter() {
-	for name, domains := range r.good {
+// apply marks the messages whose copies in enough failure domains were read. For the others, a holder that has left maxUnansweredReads
+// reads in a row unanswered no longer counts, so that copies are made elsewhere.
+func (r *readBack) apply() {
+	for name, domains := range r.readableDomains {
 		entry := r.node.table.Get(name)
-		if entry != nil && countDistinct(domains) >= r.node.holders.wanted {
-			entry.ReadUnder = max(entry.ReadUnder, r.under)
+		if entry != nil && countDistinct(domains) >= r.node.replicaPolicy.requiredCopies {
+			entry.ReadUnder = max(entry.ReadUnder, r.mapVersion)
 			entry.SilentReads = 0
 		}
 	}
-	for _, disk := range r.silent {
-		for _, name := range r.asked[disk] {
+	for _, disk := range r.unresponsiveDisks {
+		for _, name := range r.namesByDisk[disk] {
 			entry := r.node.table.Get(name)
-			if entry == nil || entry.ReadUnder >= r.under {
+			if entry == nil || entry.ReadUnder >= r.mapVersion {
 				continue
 			}
 			entry.SilentReads++
-			if entry.SilentReads >= silentReadsMost {
+			if entry.SilentReads >= maxUnansweredReads {
 				entry.SilentReads = 0
-				r.node.dropHolder(entry, disk)
+				r.node.removeHolder(entry, disk)
 			}
 		}
 	}
 }
 
+// countDistinct returns the number of different values.
 func countDistinct(values []string) int {
 	distinct := make(map[string]bool, len(values))
 	for _, value := range values {
--- a/internal/storenode/readback_test.go
+++ b/internal/storenode/readback_test.go
@@ -11,16 +11,16 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// crowdedMessages are so many that the reading in turn hardly comes to a certain one of them within a test.
-const crowdedMessages = 40 * verifyBatch
+// backgroundMessages is large enough that verifyNextBatch hardly reaches a given message within a test.
+const backgroundMessages = 40 * verifyPerSecond
 
-// crowded has so many messages be kept that the reading of all in turn takes long, and one named m, on the owner and two others.
-func crowded(w *world) (owner, holder, spare *machine) {
+// storeManyMessages stores background messages and one named m, with copies of m on the owner and on two other stores.
+func storeManyMessages(w *world) (owner, holder, spare *machine) {
 	w.t.Helper()
 	owner, epoch := w.owner(0)
-	must.Eq(w.t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.idle("m", "")))
-	for i := range crowdedMessages {
-		must.Eq(w.t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.idle(fmt.Sprint("other", i), "")))
+	must.Eq(w.t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.delayedMessage("m", "")))
+	for i := range backgroundMessages {
+		must.Eq(w.t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.delayedMessage(fmt.Sprint("other", i), "")))
 	}
 	holder = w.holderOf("m", owner)
 	for _, m := range w.machines {
@@ -28,45 +28,45 @@
 			spare = m
 		}
 	}
-	must.Eq(w.t, rpc.PutStatus_STORED, w.put(spare, rpc.PutMode_HOLDER, epoch, w.idle("m", "")))
-	time.Sleep(2 * scrubFirst) // the owner learns of the third copy
+	must.Eq(w.t, rpc.PutStatus_STORED, w.put(spare, rpc.PutMode_HOLDER, epoch, w.delayedMessage("m", "")))
+	time.Sleep(2 * scrubInitialDelay) // the owner learns of the third copy
 	must.Eq(w.t, 3, owner.countedCopies("m"))
 	return owner, holder, spare
 }
 
-// readable counts the stores that can read a message.
-func (w *world) readable(name string) int {
+// readableCopies returns the number of stores that can read a message.
+func (w *world) readableCopies(name string) int {
 	count := 0
 	for _, m := range w.machines {
-		if p := m.running(); p != nil && p.node.stored(name) != nil {
+		if p := m.running(); p != nil && p.node.readStored(name) != nil {
 			count++
 		}
 	}
 	return count
 }
 
-// The retirement of a store is completed once the copies that stay have been read.
+// The retirement of a store must not complete before the remaining copies were read.
 func TestRetirementWaitsForCopiesToBeReadBack(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
-		_, holder, leaving := crowded(w)
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
+		_, holder, leaving := storeManyMessages(w)
 		flipBit(t, holder.running(), "m")
 		w.control.retire(leaving.settings.Node)
 		for !w.control.hasRetired() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		leaving.stop(end{loseDisk: true})
-		must.Eq(t, 2, w.readable("m"))
+		leaving.stop(shutdown{loseDisk: true})
+		must.Eq(t, 2, w.readableCopies("m"))
 	})
 }
 
-// A copy that its owner lost with its disk is made up for by copies that the next owner has read.
-func TestNextOwnerReadsTheCopiesThatAreLeft(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
-		owner, holder, spare := crowded(w)
+// If a disk is lost, the next owner must read the remaining copies before it counts them.
+func TestNextOwnerReadsRemainingCopies(t *testing.T) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
+		owner, holder, spare := storeManyMessages(w)
 		flipBit(t, holder.running(), "m")
 		flipBit(t, spare.running(), "m")
 		_, epoch := w.owner(0)
-		owner.stop(end{loseDisk: true})
+		owner.stop(shutdown{loseDisk: true})
 		owner.start()
 		next := owner
 		for newer := epoch; newer == epoch; {
@@ -76,32 +76,32 @@
 		for next.countedCopies("m") < 0 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		time.Sleep(2 * time.Second) // 1,280 messages need five readings
+		time.Sleep(2 * time.Second) // 1,280 messages need five batches
 		must.Eq(t, 0, next.countedCopies("m"))
 		must.Eq(t, 1, next.running().node.underCopied.Load())
 	})
 }
 
-// A holder that does not answer while its copies are to be read does not keep a store from being emptied: the owner has others made.
-func TestSilentHolderIsMadeUpForWhileAStoreIsEmptied(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
-		owner, holder, leaving := crowded(w)
-		defer w.cut(owner.name, holder.name)()
+// A holder that does not answer read requests must not block a retirement: the owner makes other copies.
+func TestUnresponsiveHolderIsReplacedDuringRetirement(t *testing.T) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
+		owner, holder, leaving := storeManyMessages(w)
+		defer w.cutLink(owner.name, holder.name)()
 		w.control.retire(leaving.settings.Node)
 		began := time.Now()
 		for !w.control.hasRetired() {
 			must.Less(t, 30*time.Second, time.Since(began))
 			time.Sleep(10 * time.Millisecond)
 		}
-		must.Greater(t, silentReadsMost*heldWithin, time.Since(began)) // it was waited for first
-		must.GreaterEq(t, 3, w.readable("m"))                          // the silent one has its own still
+		must.Greater(t, maxUnansweredReads*heldTimeout, time.Since(began)) // it was waited for first
+		must.GreaterEq(t, 3, w.readableCopies("m"))                        // the unresponsive store still has its copy
 	})
 }
 
-// All records that a store can't read are told of in one answer.
-func TestHeldTellsOfAllRecordsThatAreBroken(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
-		owner, _, _ := crowded(w)
+// Held reports all corrupt records in one answer.
+func TestHeldReportsAllCorruptRecords(t *testing.T) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
+		owner, _, _ := storeManyMessages(w)
 		names := []string{"other0", "other1", "other2"}
 		for _, name := range names {
 			flipBit(t, owner.running(), name)
@@ -112,81 +112,81 @@
 	})
 }
 
-// A record that was written elsewhere while it was read proves nothing of the copy.
-func TestRecordThatMovedMeanwhileIsNotBroken(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
-		owner, _, _ := crowded(w)
+// A record that a rewrite moved while it was read proves nothing about the copy.
+func TestRecordMovedDuringReadIsNotCorrupt(t *testing.T) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
+		owner, _, _ := storeManyMessages(w)
 		node := owner.running().node
-		var before verified
+		var before recordRef
 		node.do(func() { before.entry = node.table.Get("m") })
 		before.record = before.entry.Record
 		before.record.Offset++
 		_, err := node.readCopy(before)
 		must.Error(t, err)
-		must.False(t, isBroken(err))
+		must.False(t, isCorrupt(err))
 		must.Eq(t, 3, owner.countedCopies("m"))
 	})
 }
 
-// What a disk that counts again holds need not be read for the time in which it did not count.
-func TestDiskThatCountsAgainIsNoLoss(t *testing.T) {
-	var lost losses
+// A disk that counts again needs no read-back for the time in which it did not count.
+func TestDiskThatCountsAgainIsNotLost(t *testing.T) {
+	var lost diskLosses
 	entry := &message.Entry{Holders: []string{"a", "b"}}
 	both, one := map[string]string{"a": "zone-1", "b": "zone-2"}, map[string]string{"a": "zone-1"}
-	lost.note(nil, both, 1)
-	must.False(t, lost.restsOnUnread(entry))
-	lost.note(both, one, 2)
-	must.True(t, lost.restsOnUnread(entry))
-	lost.note(one, both, 3)
-	must.False(t, lost.restsOnUnread(entry))
+	lost.update(nil, both, 1)
+	must.False(t, lost.needsReadBack(entry))
+	lost.update(both, one, 2)
+	must.True(t, lost.needsReadBack(entry))
+	lost.update(one, both, 3)
+	must.False(t, lost.needsReadBack(entry))
 }
 
-// Messages that come after a loss are written anew, so nothing of them is to be read, however long the lost disk stays away.
-func TestMessagesThatComeAfterALossAreNotReadBack(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
-		owner, _, _ := crowded(w)
+// Messages accepted after a loss are newly written, so their copies are not read back, however long the lost disk is away.
+func TestMessagesAcceptedAfterLossAreNotReadBack(t *testing.T) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
+		owner, _, _ := storeManyMessages(w)
 		_, epoch := w.owner(0)
-		owner.stop(end{loseDisk: true})
+		owner.stop(shutdown{loseDisk: true})
 		owner.start()
 		for newer := epoch; newer == epoch; {
 			time.Sleep(10 * time.Millisecond)
 			_, newer = w.owner(0)
 		}
-		time.Sleep(10 * time.Second) // what was there is read
+		time.Sleep(10 * time.Second) // enough to read back the earlier messages
 		next, epoch := w.owner(0)
-		must.Eq(t, rpc.PutStatus_STORED, w.put(next, rpc.PutMode_OWNER, epoch, w.idle("accepted", "")))
-		must.False(t, next.mustRead("accepted"))
+		must.Eq(t, rpc.PutStatus_STORED, w.put(next, rpc.PutMode_OWNER, epoch, w.delayedMessage("accepted", "")))
+		must.False(t, next.needsReadBack("accepted"))
 		other := w.holderOf("m", next)
-		must.Eq(t, rpc.PutStatus_STORED, w.put(other, rpc.PutMode_HOLDER, epoch, w.idle("round the owner", "")))
-		must.False(t, other.mustRead("round the owner"))
-		for next.countedCopies("round the owner") < 0 { // until the owner has taken it over from its holder
+		must.Eq(t, rpc.PutStatus_STORED, w.put(other, rpc.PutMode_HOLDER, epoch, w.delayedMessage("round the owner", "")))
+		must.False(t, other.needsReadBack("round the owner"))
+		for next.countedCopies("round the owner") < 0 { // until the owner has fetched it from its holder
 			time.Sleep(time.Millisecond)
 		}
-		must.False(t, next.mustRead("round the owner"))
+		must.False(t, next.needsReadBack("round the owner"))
 	})
 }
 
-// mustRead reports whether the store on a machine would have copies of a message read for a loss under the newest table of owners.
-func (m *machine) mustRead(name string) bool {
+// needsReadBack reports whether the store on a machine would read the copies of a message back because of a loss under the newest map.
+func (m *machine) needsReadBack(name string) bool {
 	node := m.running().node
 	isOld := false
-	node.do(func() { isOld = node.table.Get(name).ReadUnder < node.losses.newest() })
+	node.do(func() { isOld = node.table.Get(name).ReadUnder < node.diskLosses.newestLoss() })
 	return isOld
 }
 
-// newest returns the newest table of owners under which a disk ceased to count.
-func (l *losses) newest() uint64 {
-	newest := uint64(0)
-	for _, version := range l.under {
-		newest = max(newest, version)
+// newestLoss returns the newest map version under which a disk ceased to count.
+func (l *diskLosses) newestLoss() uint64 {
+	newestLoss := uint64(0)
+	for _, version := range l.lostAtVersion {
+		newestLoss = max(newestLoss, version)
 	}
-	return newest
+	return newestLoss
 }
 
-// Reading costs no more than readBackMost messages at a time, and what has been read is not read again.
+// Copies are read back in batches of at most maxReadBackBatch messages, and only once.
 func TestCopiesAreReadBackOnce(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
-		owner, _, leaving := crowded(w)
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
+		owner, _, leaving := storeManyMessages(w)
 		w.control.retire(leaving.settings.Node)
 		for !w.control.hasRetired() {
 			time.Sleep(10 * time.Millisecond)
@@ -196,7 +196,7 @@
 		unread := 0
 		node.do(func() {
 			for _, name := range []string{"m", "other0"} {
-				if node.losses.restsOnUnread(node.table.Get(name)) {
+				if node.diskLosses.needsReadBack(node.table.Get(name)) {
 					unread++
 				}
 			}
--- a/internal/storenode/records_test.go
+++ b/internal/storenode/records_test.go
@@ -41,7 +41,7 @@
 	must.NoError(t, err)
 	_, err = decodeMessage(fate)
 	must.Error(t, err)
-	_, err = decodeMessage(fate[:recordHeader-1])
+	_, err = decodeMessage(fate[:recordHeaderBytes-1])
 	must.Error(t, err)
 	_, err = decodeMessage(append([]byte{recordMessage, 0, 0, 0, 0, 0, 0, 0, 0}, 0xff))
 	must.Error(t, err)
--- a/internal/storenode/replay.go
+++ b/internal/storenode/replay.go
@@ -13,32 +13,30 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// The log at the start of a store.
-
-// openLog replays the log, and writes the disk's identity where it has none.
+// openLog opens and replays the log. It writes the disk's identity if the log is new, and the number of this start.
 func (n *Node) openLog(aroundSync func(sync func() error) error) error {
-	options := applog.Options{MaxBytes: n.logBytes(), AroundSync: aroundSync, OnCorrupt: func(at applog.Position) {
-		n.log.Info("a record of the log is corrupt; other stores hold copies", "offset", at.Offset)
+	options := applog.Options{MaxBytes: n.maxLogBytes(), AroundSync: aroundSync, OnCorrupt: func(at applog.Position) {
+		n.log.Info("log record is corrupt; other stores hold copies", "offset", at.Offset)
 	}}
-	file, err := applog.Open(n.settings.DataDir, logName, options, n.replay)
+	file, err := applog.Open(n.settings.DataDir, logFileName, options, n.replay)
 	if err != nil {
-		return errors.Wrap(err, "storenode: log")
+		return errors.Wrap(err, "storenode: open log")
 	}
 	n.file = file
 	if n.disk == "" {
-		n.disk = newIdentity()
+		n.disk = newRandomID()
 		if _, err := file.Append(encodeText(recordIdentity, time.Now(), n.disk)); err != nil {
-			return errors.Wrap(err, "storenode: identity")
+			return errors.Wrap(err, "storenode: write disk identity")
 		}
 	}
-	n.starts++
-	n.incarnation = n.startNumber() + "-" + newIdentity()[:8]
-	return errors.Wrap(n.recordStart(), "storenode: start")
+	n.startCount++
+	n.incarnation = n.startNumberText() + "-" + newRandomID()[:8]
+	return errors.Wrap(n.recordStart(), "storenode: write start number")
 }
 
-// recordStart makes the number of this start durable. A log without room for it is rewritten, which writes it too.
+// recordStart writes the number of this start durably. If the log has no space for it, the log is rewritten, which includes the number.
 func (n *Node) recordStart() error {
-	_, err := n.file.Append(encodeText(recordStart, time.Now(), n.startNumber()))
+	_, err := n.file.Append(encodeText(recordStart, time.Now(), n.startNumberText()))
 	if errors.Is(err, applog.ErrFull) {
 		return n.rewrite()
 	}
@@ -48,13 +46,13 @@
 	return n.file.Wait()
 }
 
-// startNumber is the number of this start, in a form that sorts.
-func (n *Node) startNumber() string { return fmt.Sprintf("%08x", n.starts) }
+// startNumberText returns the number of this start in a form whose lexical order is the numeric one.
+func (n *Node) startNumberText() string { return fmt.Sprintf("%08x", n.startCount) }
 
-// logBytes is the size that the log may reach; the rest of the disk is for its rewriting.
-func (n *Node) logBytes() int64 { return int64(n.settings.Limits.DiskMb) << 20 * 6 / 10 }
+// maxLogBytes returns the size that the log may reach. The rest of the disk is left for rewriting the log.
+func (n *Node) maxLogBytes() int64 { return int64(n.settings.Limits.DiskMb) << 20 * 6 / 10 }
 
-// replay enters one record of the log into the table.
+// replay applies one record of the log to the table.
 func (n *Node) replay(at applog.Position, data []byte) error {
 	r, err := decodeRecord(data)
 	if err != nil {
@@ -65,31 +63,32 @@
 	case recordIdentity:
 		n.disk = string(r.payload)
 	case recordStart:
-		if n.starts, err = strconv.ParseUint(string(r.payload), 16, 64); err != nil {
-			return errors.Wrap(err, "storenode: start record")
+		if n.startCount, err = strconv.ParseUint(string(r.payload), 16, 64); err != nil {
+			return errors.Wrap(err, "storenode: decode start record")
 		}
 	case recordMessage:
 		m := &rpc.Message{}
 		if err := proto.Unmarshal(r.payload, m); err != nil {
-			return errors.Wrap(err, "storenode: message record")
+			return errors.Wrap(err, "storenode: decode message record")
 		}
 		n.replayMessage(at, m, elapsed)
 	case recordFate:
 		f := &rpc.Fate{}
 		if err := proto.Unmarshal(r.payload, f); err != nil {
-			return errors.Wrap(err, "storenode: fate record")
+			return errors.Wrap(err, "storenode: decode fate record")
 		}
 		n.replayFate(f, elapsed)
 	case recordFence:
 		f := &rpc.PartitionEpoch{}
 		if err := proto.Unmarshal(r.payload, f); err != nil {
-			return errors.Wrap(err, "storenode: fence record")
+			return errors.Wrap(err, "storenode: decode fence record")
 		}
 		n.table.RaiseFence(f.Partition, f.Epoch)
 	}
 	return nil
 }
 
+// replayMessage adds a message to the table. elapsed is the age of its record.
 func (n *Node) replayMessage(at applog.Position, m *rpc.Message, elapsed time.Duration) {
 	entry := message.FromMessage(m, n.now())
 	entry.Arrived -= elapsed
@@ -100,9 +99,10 @@
 	entry.KeepAt(at)
 }
 
+// replayFate applies a fate to the table. elapsed is the age of its record.
 func (n *Node) replayFate(f *rpc.Fate, elapsed time.Duration) {
 	entry := n.table.Get(f.Name)
-	if entry == nil && f.State != rpc.State_QUEUED { // the message itself was dropped when the log was rewritten
+	if entry == nil && f.State != rpc.State_QUEUED { // a rewrite of the log kept the final state but not the message
 		n.table.Add(&message.Entry{Name: f.Name, Partition: f.Partition, State: f.State, Stamp: f.Stamp,
 			EndedAt: n.now() - elapsed}, n.now())
 		return
--- a/internal/storenode/rewrite.go
+++ b/internal/storenode/rewrite.go
@@ -9,38 +9,39 @@
 )
 
 const (
-	rewriteLeast  = 24 << 20 // a log below this is not rewritten
-	rewriteRecord = 400      // bytes that a record costs beside its body, roughly
+	minRewriteBytes     = 24 << 20 // a shorter log is not rewritten unless it is nearly full
+	recordOverheadBytes = 400      // approximate size of a record without the body
 )
 
-// maybeRewrite rewrites the log when most of it is no longer needed, or had no room for what became of a message.
-func (n *Node) maybeRewrite() {
+// rewriteIfNeeded rewrites the log if at least half of it is obsolete, or if it had no space for a fate or a fence.
+func (n *Node) rewriteIfNeeded() {
 	size := n.file.Size()
-	live := int64(n.table.LiveBytes() + rewriteRecord*n.table.Len())
-	full := n.logBytes() > 0 && size > n.logBytes()*9/10
-	if !n.unwritten && (size < rewriteLeast && !full || live > size/2) {
+	live := int64(n.table.LiveBytes() + recordOverheadBytes*n.table.Len())
+	full := n.maxLogBytes() > 0 && size > n.maxLogBytes()*9/10
+	if !n.rewriteNeeded && (size < minRewriteBytes && !full || live > size/2) {
 		return
 	}
 	if err := n.rewrite(); err != nil {
 		n.log.Error(err, "log not rewritten")
 		return
 	}
-	n.unwritten = false
+	n.rewriteNeeded = false
 }
 
-// place is where a record stands in the rewritten log.
-type place struct {
-	entry *message.Entry
-	at    applog.Position
+// rewrittenRecord is the position of an entry's record in the rewritten log.
+type rewrittenRecord struct {
+	entry    *message.Entry
+	position applog.Position
 }
 
+// rewrite replaces the log by one that holds only the current state.
 func (n *Node) rewrite() error {
-	var places []place
+	var rewritten []rewrittenRecord
 	err := n.file.Rewrite(func(write func([]byte) (applog.Position, error)) error {
 		if _, err := write(encodeText(recordIdentity, time.Now(), n.disk)); err != nil {
 			return err
 		}
-		if _, err := write(encodeText(recordStart, time.Now(), n.startNumber())); err != nil {
+		if _, err := write(encodeText(recordStart, time.Now(), n.startNumberText())); err != nil {
 			return err
 		}
 		for id, epoch := range n.table.Fences() {
@@ -52,24 +53,26 @@
 				return err
 			}
 		}
-		var failed error
+		var firstErr error
 		n.table.Each(func(e *message.Entry) {
-			if failed == nil {
-				failed = n.rewriteEntry(e, write, &places)
+			if firstErr == nil {
+				firstErr = n.rewriteEntry(e, write, &rewritten)
 			}
 		})
-		return failed
+		return firstErr
 	})
 	if err != nil {
 		return err
 	}
-	for _, p := range places {
-		p.entry.Record = p.at
+	for _, p := range rewritten {
+		p.entry.Record = p.position
 	}
 	return nil
 }
 
-func (n *Node) rewriteEntry(e *message.Entry, write func([]byte) (applog.Position, error), places *[]place) error {
+// rewriteEntry writes the record of one entry: the message with its body, or only the fate if the message is completed, or has ended and is not
+// stored here. A queued message that is not stored here needs no record.
+func (n *Node) rewriteEntry(e *message.Entry, write func([]byte) (applog.Position, error), rewritten *[]rewrittenRecord) error {
 	now := n.now()
 	if e.State == rpc.State_COMPLETED || !e.Stored {
 		if !e.Ended() {
@@ -84,14 +87,14 @@
 	}
 	m, err := n.readMessage(e.Record, e.Name)
 	if err != nil {
-		e.Stored = false // lost here; the copies are on other stores
+		e.Stored = false // unreadable here; other stores hold copies
 		return nil
 	}
 	data, err := encodeRecord(recordMessage, time.Now(), withBody(e.Message(now), m.Body))
 	if err != nil {
 		return err
 	}
-	at, err := write(data)
-	*places = append(*places, place{entry: e, at: at})
+	position, err := write(data)
+	*rewritten = append(*rewritten, rewrittenRecord{entry: e, position: position})
 	return err
 }
--- a/internal/storenode/scenario_test.go
+++ b/internal/storenode/scenario_test.go
@@ -16,12 +16,12 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// simulated runs a scenario in a world without faults of its own, and ends it.
-func simulated(t *testing.T, size scale, scenario func(*testing.T, *world)) {
+// runScenario runs a scenario in a simulated deployment that has no faults of its own.
+func runScenario(t *testing.T, size scale, scenario func(*testing.T, *world)) {
 	directory := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, directory, size)
-		defer w.end()
+		defer w.shutdown()
 		time.Sleep(3 * time.Second)
 		scenario(t, w)
 	})
@@ -29,7 +29,7 @@
 
 var smallScale = scale{stores: 4, tolerance: 1, partitions: 1, diskMb: 64}
 
-// owner returns the machine that owns a partition.
+// owner returns the machine that owns a partition, and the epoch.
 func (w *world) owner(partition uint32) (*machine, uint64) {
 	view, _ := w.control.current()
 	member, epoch, ok := view.Owner(partition)
@@ -39,21 +39,21 @@
 	return w.machineAt(member.Address), epoch
 }
 
-// others returns the machines that do not own the partition.
-func (w *world) others(partition uint32) []*machine {
+// nonOwners returns the machines that do not own the partition.
+func (w *world) nonOwners(partition uint32) []*machine {
 	owner, _ := w.owner(partition)
-	var others []*machine
+	var nonOwners []*machine
 	for _, m := range w.machines {
 		if m != owner {
-			others = append(others, m)
+			nonOwners = append(nonOwners, m)
 		}
 	}
-	return others
+	return nonOwners
 }
 
-// idle makes a message that nothing runs: its delay is long.
-func (w *world) idle(name, key string) *rpc.Message {
-	w.ledger.add(&sent{name: name, route: "plain", key: key, body: []byte("body of " + name), first: time.Now()})
+// delayedMessage returns a message that does not run during a test, because of its long delay.
+func (w *world) delayedMessage(name, key string) *rpc.Message {
+	w.checker.add(&sentMessage{name: name, route: "plain", key: key, body: []byte("body of " + name), firstSentAt: time.Now()})
 	return &rpc.Message{Name: name, Route: "plain", Method: "POST", Path: "/plain", Host: "h", RequestId: name,
 		OrderKey: key, Body: []byte("body of " + name), DelayLeftMs: time.Hour.Milliseconds()}
 }
@@ -63,13 +63,13 @@
 	defer cancel()
 	client := &storeClient{world: w, from: clientName, address: m.address}
 	reply, err := client.Put(ctx, &rpc.PutRequest{Mode: mode, Epochs: []uint64{epoch}, Messages: []*rpc.Message{message},
-		PlacedUnder: w.control.tableInForce()})
+		PlacedUnder: w.control.currentMapVersion()})
 	must.NoError(w.t, err)
 	return reply.Statuses[0]
 }
 
-// copies counts the stores whose log holds a message.
-func (w *world) copies(name string) int {
+// copyCount returns the number of stores whose log holds a message.
+func (w *world) copyCount(name string) int {
 	count := 0
 	for _, m := range w.machines {
 		if p := m.running(); p != nil {
@@ -83,16 +83,16 @@
 	return count
 }
 
-// An owner that knows a message from another store alone must not count a copy of its own.
+// An owner that knows a message only from another store must write its own copy before it counts it.
 func TestRepeatedPutCountsOnlyRealCopies(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
 		const count = 24
 		for i := range count {
-			m := w.idle(fmt.Sprint("m", i), "")
-			must.Eq(t, rpc.PutStatus_STORED, w.put(w.others(0)[0], rpc.PutMode_HOLDER, epoch, m))
+			m := w.delayedMessage(fmt.Sprint("m", i), "")
+			must.Eq(t, rpc.PutStatus_STORED, w.put(w.nonOwners(0)[0], rpc.PutMode_HOLDER, epoch, m))
 		}
-		owner.stop(end{})
+		owner.stop(shutdown{})
 		owner.start()
 		for newer := epoch; newer == epoch; {
 			time.Sleep(10 * time.Millisecond)
@@ -100,15 +100,15 @@
 		}
 		_, epoch = w.owner(0)
 		for i := range count {
-			must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.idle(fmt.Sprint("m", i), "")))
-			must.GreaterEq(t, 2, w.copies(fmt.Sprint("m", i)))
+			must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.delayedMessage(fmt.Sprint("m", i), "")))
+			must.GreaterEq(t, 2, w.copyCount(fmt.Sprint("m", i)))
 		}
 	})
 }
 
-// A version of the map is acknowledged once the callback returns: by then it must be in force.
+// A map version is acknowledged once the callback returns, so the view must be in force by then.
 func TestCallbackReturnsOnceTheViewIsInForce(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		p := w.machines[0].running()
 		p.freeze()
 		time.Sleep(time.Millisecond)
@@ -123,19 +123,19 @@
 	})
 }
 
-// A store is not to report enough copies while it does not know what there is.
+// A store must not report enough copies before it has gathered the messages of its partitions.
 func TestPartitionBeingTakenOverCountsAsUnderCopied(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		owner, _ := w.owner(0)
 		must.Eq(t, 1, owner.running().node.readyPartitions.Load())
-		others := w.others(0)
-		heal := w.cut(others[0].name, others[1].name)
-		w.cut(others[0].name, others[2].name)
-		w.cut(others[1].name, others[2].name)
-		w.cut(others[2].name, others[1].name)
-		w.cut(others[1].name, others[0].name)
-		w.cut(others[2].name, others[0].name)
-		owner.stop(end{off: true})
+		others := w.nonOwners(0)
+		heal := w.cutLink(others[0].name, others[1].name)
+		w.cutLink(others[0].name, others[2].name)
+		w.cutLink(others[1].name, others[2].name)
+		w.cutLink(others[2].name, others[1].name)
+		w.cutLink(others[1].name, others[0].name)
+		w.cutLink(others[2].name, others[0].name)
+		owner.stop(shutdown{powerLost: true})
 		time.Sleep(10 * time.Second)
 		next, _ := w.owner(0)
 		must.True(t, next != nil && next != owner)
@@ -147,25 +147,26 @@
 	})
 }
 
-// Two disks are lost where one may be. The partitions begin again once every store has answered, and what a third store holds is kept.
+// Two disks are lost where only one is tolerated: the partitions start again once every store has answered, and the copies on the other
+// disks are kept.
 func TestPartitionsBeginOnceEveryStoreAnswersAfterTooManyDisksWereLost(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
 		const count = 60
 		for i := range count {
-			must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.idle(fmt.Sprint("m", i), "")))
+			must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.delayedMessage(fmt.Sprint("m", i), "")))
 		}
-		others := w.others(0)
+		others := w.nonOwners(0)
 		lost := []*machine{owner, others[0]}
 		kept := map[string]bool{}
 		for _, m := range others[1:] {
-			for name := range tableOf(m.running()) {
+			for name := range tableState(m.running()) {
 				kept[name] = true
 			}
 		}
-		must.Between(t, 1, len(kept), count-1) // some copies were on the two disks alone
+		must.Between(t, 1, len(kept), count-1) // some messages had copies only on the two disks
 		for _, m := range lost {
-			m.stop(end{off: true, loseDisk: true})
+			m.stop(shutdown{powerLost: true, loseDisk: true})
 		}
 		time.Sleep(8 * time.Second)
 		next, _ := w.owner(0)
@@ -176,7 +177,7 @@
 		time.Sleep(8 * time.Second)
 		next, _ = w.owner(0)
 		must.True(t, isReady(next.running()))
-		table := tableOf(next.running())
+		table := tableState(next.running())
 		for name := range kept {
 			must.Eq(t, rpc.State_QUEUED, table[name].State)
 		}
@@ -184,39 +185,39 @@
 	})
 }
 
-// An owner takes nothing from a sender that is behind, and nothing at all once a newer owner has asked it what it holds.
+// An owner refuses writes with an outdated epoch, and all writes once a newer owner has gathered from it.
 func TestOwnerRefusesWritesBelowItsEpochAndItsFence(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
-		must.Eq(t, rpc.PutStatus_STALE_EPOCH, w.put(owner, rpc.PutMode_OWNER, epoch-1, w.idle("behind", "")))
-		must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.idle("m", "")))
+		must.Eq(t, rpc.PutStatus_STALE_EPOCH, w.put(owner, rpc.PutMode_OWNER, epoch-1, w.delayedMessage("behind", "")))
+		must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.delayedMessage("m", "")))
 		fences := &rpc.GatherRequest{Caller: "newer", Partitions: []*rpc.PartitionEpoch{{Partition: 0, Epoch: epoch + 1}}}
 		_, err := owner.running().node.Gather(t.Context(), fences)
 		must.NoError(t, err)
-		must.Eq(t, rpc.PutStatus_STALE_EPOCH, w.put(owner, rpc.PutMode_OWNER, epoch, w.idle("late", "")))
+		must.Eq(t, rpc.PutStatus_STALE_EPOCH, w.put(owner, rpc.PutMode_OWNER, epoch, w.delayedMessage("late", "")))
 	})
 }
 
-// An owner whose lease has ended takes nothing, whatever it still believes to own.
-func TestOwnerTakesNothingOnceItsLeaseHasEnded(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+// An owner whose lease has ended accepts nothing, even if it does not know yet that it lost the partition.
+func TestOwnerAcceptsNothingAfterItsLeaseHasEnded(t *testing.T) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
-		w.cut(owner.name, controlName)
-		w.cut(controlName, owner.name)
+		w.cutLink(owner.name, controlName)
+		w.cutLink(controlName, owner.name)
 		time.Sleep(simLease)
 		p := owner.running()
 		must.True(t, p.node.do(func() { must.Eq(t, epoch, p.node.table.OwnedEpoch(0)) }))
-		must.Eq(t, rpc.PutStatus_NOT_OWNER, w.put(owner, rpc.PutMode_OWNER, epoch, w.idle("late", "")))
+		must.Eq(t, rpc.PutStatus_NOT_OWNER, w.put(owner, rpc.PutMode_OWNER, epoch, w.delayedMessage("late", "")))
 	})
 }
 
-// A map is acknowledged once the node has taken it, and control counts the first report after that: what is missing by the new map must be
-// in it, or a store counts as made up for before its copies are.
+// The control plane uses the first report after a map was acknowledged. Copies that are missing under the new map must be counted in that
+// report; otherwise the loss of a store would count as restored too early.
 func TestMissingCopiesAreCountedByAMapBeforeItIsAcknowledged(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
 		for i := range 40 {
-			must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.idle(fmt.Sprint("m", i), "")))
+			must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.delayedMessage(fmt.Sprint("m", i), "")))
 		}
 		time.Sleep(2 * time.Second)
 		node := owner.running().node
@@ -228,7 +229,7 @@
 			view.Map.Version++
 			holder := node.table.Get("m0").Holders[0]
 			view.Map.Stores = slices.DeleteFunc(view.Map.Stores, func(member *rpc.StoreMember) bool { return member.Disk == holder })
-			node.changed(&view)
+			node.applyView(&view)
 			counted = node.underCopied.Load()
 		}))
 		must.Positive(t, counted)
@@ -241,15 +242,15 @@
 	return ready
 }
 
-// A takeover that waits for other stores ends once they come back, however late.
-func TestTakeoverWaitsForStoresThatComeLate(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+// A takeover that waits for other stores ends when they return, after any time.
+func TestTakeoverWaitsForLateStores(t *testing.T) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
-		others := w.others(0)
-		m := w.idle("m", "")
+		others := w.nonOwners(0)
+		m := w.delayedMessage("m", "")
 		must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, m))
-		owner.stop(end{off: true})
-		others[0].stop(end{off: true})
+		owner.stop(shutdown{powerLost: true})
+		others[0].stop(shutdown{powerLost: true})
 		time.Sleep(time.Minute)
 		next, _ := w.owner(0)
 		must.False(t, isReady(next.running()))
@@ -260,12 +261,12 @@
 	})
 }
 
-// Bodies of the queued and the dead come back, and states stay, after the log was rewritten and replayed.
+// Rewriting and replaying the log keeps all states, and the bodies of queued messages and dead letters.
 func TestRewrittenLogReplaysTheSameTable(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
 		for i := range 60 {
-			m := w.idle(fmt.Sprint("m", i), "")
+			m := w.delayedMessage(fmt.Sprint("m", i), "")
 			if i%4 == 3 {
 				m.OrderKey = fmt.Sprint("k", i%8)
 			}
@@ -283,31 +284,31 @@
 				case 2:
 					e.Attempts = 2
 				}
-				p.node.appendFate(e)
+				p.node.writeAndSyncFate(e)
 			}
 		}))
-		before := tableOf(p)
+		before := tableState(p)
 		var err error
 		must.True(t, p.node.do(func() { err = p.node.rewrite() }))
 		must.NoError(t, err)
-		must.Eq(t, before, tableOf(p))
-		must.True(t, p.node.do(func() { err = p.node.rewrite() })) // also from a log that was rewritten
+		must.Eq(t, before, tableState(p))
+		must.True(t, p.node.do(func() { err = p.node.rewrite() })) // the second rewrite reads a rewritten log
 		must.NoError(t, err)
-		owner.stop(end{})
+		owner.stop(shutdown{})
 		owner.start()
-		must.Eq(t, before, tableOf(owner.running()))
+		must.Eq(t, before, tableState(owner.running()))
 	})
 }
 
-// A log without room even for what became of messages is rewritten, and its store starts again.
-func TestStoreWithoutAnyRoomRewritesItsLogAndStartsAgain(t *testing.T) {
+// A log that has no space left even for fates is rewritten, and the store can restart.
+func TestStoreWithFullLogRewritesItAndRestarts(t *testing.T) {
 	size := smallScale
 	size.diskMb = 1
-	simulated(t, size, func(t *testing.T, w *world) {
+	runScenario(t, size, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
 		count := 0
 		for status := rpc.PutStatus_STORED; status == rpc.PutStatus_STORED; count++ {
-			status = w.put(owner, rpc.PutMode_OWNER, epoch, w.idle(fmt.Sprint("m", count), ""))
+			status = w.put(owner, rpc.PutMode_OWNER, epoch, w.delayedMessage(fmt.Sprint("m", count), ""))
 		}
 		count--
 		p := owner.running()
@@ -315,29 +316,29 @@
 			for i := range count {
 				e := p.node.table.Get(fmt.Sprint("m", i))
 				e.Attempts = 1
-				p.node.appendFate(e)
+				p.node.writeAndSyncFate(e)
 			}
 			for i := range count {
 				e := p.node.table.Get(fmt.Sprint("m", i))
 				p.node.table.End(e, rpc.State_COMPLETED, "stamp", p.node.now())
-				p.node.appendFate(e)
+				p.node.writeAndSyncFate(e)
 			}
-			fill(t, p)
+			fillLog(t, p)
 		}))
 		time.Sleep(2 * time.Second)
-		must.True(t, p.node.do(func() { fill(t, p) }))
+		must.True(t, p.node.do(func() { fillLog(t, p) }))
 		must.NoError(t, p.node.file.Wait())
-		owner.stop(end{})
+		owner.stop(shutdown{})
 		owner.start()
-		table := tableOf(owner.running())
+		table := tableState(owner.running())
 		for i := range count {
 			must.Eq(t, rpc.State_COMPLETED, table[fmt.Sprint("m", i)].State)
 		}
 	})
 }
 
-// fill appends records until the log takes no more.
-func fill(t *testing.T, p *process) {
+// fillLog appends records until the log is full.
+func fillLog(t *testing.T, p *process) {
 	data, err := encodeRecord(recordFence, time.Now(), &rpc.PartitionEpoch{})
 	must.NoError(t, err)
 	for err == nil {
@@ -345,22 +346,22 @@
 	}
 }
 
-// kept is what must survive of an entry.
-type kept struct {
+// durableState is the part of an entry that must survive a restart.
+type durableState struct {
 	State    rpc.State
 	Stamp    string
 	Attempts uint32
 	Key      string
 	Epoch    uint64
 	Seq      uint64
-	Body     string // empty for completed messages, whose bytes are not kept
+	Body     string // empty for completed messages, whose bodies are not kept
 }
 
-func tableOf(p *process) map[string]kept {
-	table := map[string]kept{}
+func tableState(p *process) map[string]durableState {
+	table := map[string]durableState{}
 	p.node.do(func() {
 		p.node.table.Each(func(e *message.Entry) {
-			row := kept{State: e.State, Stamp: e.Stamp, Attempts: e.Attempts}
+			row := durableState{State: e.State, Stamp: e.Stamp, Attempts: e.Attempts}
 			if e.State != rpc.State_COMPLETED {
 				row.Key, row.Epoch, row.Seq = e.OrderKey, e.Epoch, e.Seq
 			}
@@ -371,7 +372,7 @@
 		if row.State == rpc.State_COMPLETED {
 			continue
 		}
-		if m := p.node.stored(name); m != nil {
+		if m := p.node.readStored(name); m != nil {
 			row.Body = string(m.Body)
 		}
 		table[name] = row
@@ -379,18 +380,18 @@
 	return table
 }
 
-// A full store refuses before it writes, keeps what it has promised, and has room for what becomes of it.
-func TestFullStoreRefusesAndKeepsItsPromises(t *testing.T) {
+// A full store refuses messages without writing them, keeps all accepted messages, and has space for their final states.
+func TestFullStoreRefusesMessagesAndKeepsAcceptedOnes(t *testing.T) {
 	size := smallScale
 	size.diskMb = 1
-	simulated(t, size, func(t *testing.T, w *world) {
+	runScenario(t, size, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
 		var accepted []string
 		lengths := map[string]int{}
-		for _, length := range []int{8 << 10, 1 << 10, 0} { // to the brim
+		for _, length := range []int{8 << 10, 1 << 10, 0} { // until not even an empty body fits
 			status := rpc.PutStatus_STORED
 			for i := 0; i < 1000 && status == rpc.PutStatus_STORED; i++ {
-				m := w.idle(fmt.Sprint("m", length, "-", i), "")
+				m := w.delayedMessage(fmt.Sprint("m", length, "-", i), "")
 				m.Body = make([]byte, length)
 				if status = w.put(owner, rpc.PutMode_OWNER, epoch, m); status == rpc.PutStatus_STORED {
 					accepted = append(accepted, m.Name)
@@ -408,13 +409,13 @@
 			for _, name := range accepted[:20] {
 				e := p.node.table.Get(name)
 				p.node.table.End(e, rpc.State_COMPLETED, "stamp", p.node.now())
-				p.node.appendFate(e)
+				p.node.writeAndSyncFate(e)
 			}
 		}))
 		must.NoError(t, p.node.file.Wait())
-		owner.stop(end{})
+		owner.stop(shutdown{})
 		owner.start()
-		table := tableOf(owner.running())
+		table := tableState(owner.running())
 		for i, name := range accepted {
 			if i < 20 {
 				must.Eq(t, rpc.State_COMPLETED, table[name].State)
@@ -426,68 +427,68 @@
 	})
 }
 
-// A store whose disk is full hands its partitions over, so that messages which only their owner may take are taken elsewhere.
-func TestPartitionsLeaveAStoreWhoseDiskIsFull(t *testing.T) {
+// A store whose disk is full hands over its partitions, so that other stores can accept messages that only the owner may accept.
+func TestPartitionsMoveAwayFromStoreWithFullDisk(t *testing.T) {
 	size := smallScale
 	size.diskMb = 1
-	simulated(t, size, func(t *testing.T, w *world) {
+	runScenario(t, size, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
 		status := rpc.PutStatus_STORED
 		for i := 0; i < 1000 && status == rpc.PutStatus_STORED; i++ {
-			m := w.idle(fmt.Sprint("m", i), "")
+			m := w.delayedMessage(fmt.Sprint("m", i), "")
 			m.Body = make([]byte, 8<<10)
 			status = w.put(owner, rpc.PutMode_OWNER, epoch, m)
 		}
 		must.Eq(t, rpc.PutStatus_FULL, status)
-		must.True(t, owner.running().node.impaired())
+		must.True(t, owner.running().node.isImpaired())
 		time.Sleep(5 * time.Second)
 		next, newEpoch := w.owner(0)
 		must.True(t, next != owner)
-		must.Eq(t, rpc.PutStatus_STORED, w.put(next, rpc.PutMode_OWNER, newEpoch, w.idle("after", "key")))
+		must.Eq(t, rpc.PutStatus_STORED, w.put(next, rpc.PutMode_OWNER, newEpoch, w.delayedMessage("after", "key")))
 	})
 }
 
-// A new disk is not whole while messages of its own partitions have too few copies.
+// A new disk does not become whole while messages of its own partitions have too few copies.
 func TestNewDiskIsNotWholeBeforeItsOwnPartitionsAreCopied(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
 		const count = 1500
 		for i := range count {
-			m := w.idle(fmt.Sprint("m", i), "")
+			m := w.delayedMessage(fmt.Sprint("m", i), "")
 			must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, m))
 		}
-		owner.stop(end{off: true, loseDisk: true})
+		owner.stop(shutdown{powerLost: true, loseDisk: true})
 		owner.start()
 		for !w.control.allWhole() {
 			time.Sleep(10 * time.Millisecond)
 		}
 		for i := range count {
-			must.GreaterEq(t, 2, w.copies(fmt.Sprint("m", i)))
+			must.GreaterEq(t, 2, w.copyCount(fmt.Sprint("m", i)))
 		}
 	})
 }
 
-// A store that has answered a newer owner refuses the writes of older ones, also where its power is lost right then.
+// A store that has answered a newer owner refuses writes under older epochs, even if it loses power right after the answer.
 func TestGatheredStoreRefusesOlderEpochs(t *testing.T) {
-	for _, powerLost := range []bool{false, true} {
-		simulated(t, smallScale, func(t *testing.T, w *world) {
+	for _, withPowerLoss := range []bool{false, true} {
+		runScenario(t, smallScale, func(t *testing.T, w *world) {
 			_, epoch := w.owner(0)
-			holder := w.others(0)[0]
-			must.Eq(t, rpc.PutStatus_STORED, w.put(holder, rpc.PutMode_HOLDER, epoch, w.idle("before", "")))
+			holder := w.nonOwners(0)[0]
+			must.Eq(t, rpc.PutStatus_STORED, w.put(holder, rpc.PutMode_HOLDER, epoch, w.delayedMessage("before", "")))
 			reply := w.gather(holder, epoch+5)
 			must.False(t, reply.Stale)
 			must.Len(t, 1, reply.Messages)
-			if powerLost {
-				holder.stop(end{off: true})
+			if withPowerLoss {
+				holder.stop(shutdown{powerLost: true})
 				holder.start()
 			}
-			must.Eq(t, rpc.PutStatus_STALE_EPOCH, w.put(holder, rpc.PutMode_HOLDER, epoch, w.idle("after", "")))
+			must.Eq(t, rpc.PutStatus_STALE_EPOCH, w.put(holder, rpc.PutMode_HOLDER, epoch, w.delayedMessage("after", "")))
 			must.True(t, w.gather(holder, epoch+4).Stale)
 		})
 	}
 }
 
-// gather asks a store what it holds of the first partition.
+// gather sends a Gather request for the first partition.
 func (w *world) gather(m *machine, epoch uint64) *rpc.GatherReply {
 	ctx, cancel := context.WithTimeout(w.ctx, time.Second)
 	defer cancel()
@@ -497,22 +498,22 @@
 	return reply
 }
 
-// replaceDiskUnseen has a store start with an empty disk. The control plane does not learn of it.
+// replaceDiskUnseen restarts a store with an empty disk while it is disconnected from the control plane.
 func (w *world) replaceDiskUnseen(store *machine) {
-	w.cut(store.name, controlName)
-	w.cut(controlName, store.name)
-	store.stop(end{off: true, loseDisk: true})
+	w.cutLink(store.name, controlName)
+	w.cutLink(controlName, store.name)
+	store.stop(shutdown{powerLost: true, loseDisk: true})
 	store.start()
 }
 
-// The answer of a new, empty disk does not stand for that of the lost one at the same address.
-func TestGatherDoesNotCountANewDiskForALostOne(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+// The answer of an empty replacement disk must not count as that of the lost disk at the same address.
+func TestGatherDoesNotCountReplacementDiskAsLostOne(t *testing.T) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		owner, _ := w.owner(0)
 		w.replaceDiskUnseen(owner)
 		time.Sleep(1500 * time.Millisecond)
-		absent := w.others(0)[0]
-		absent.stop(end{off: true})
+		absent := w.nonOwners(0)[0]
+		absent.stop(shutdown{powerLost: true})
 		time.Sleep(3 * time.Second)
 		next, _ := w.owner(0)
 		must.True(t, next != nil && next != owner && next != absent)
@@ -524,9 +525,9 @@
 	})
 }
 
-// Nothing more is to be heard from a disk that another one stands for: a takeover does not wait for it once all others have answered.
-func TestTakeoverDoesNotWaitForADiskThatWasReplaced(t *testing.T) {
-	simulated(t, smallScale, func(t *testing.T, w *world) {
+// A replaced disk can't answer any more: a takeover must not wait for it once all others have answered.
+func TestTakeoverDoesNotWaitForReplacedDisk(t *testing.T) {
+	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		owner, epoch := w.owner(0)
 		w.replaceDiskUnseen(owner)
 		next, newer := w.owner(0)
@@ -534,7 +535,7 @@
 			time.Sleep(time.Millisecond)
 			next, newer = w.owner(0)
 		}
-		time.Sleep(2 * gatherGrace / 3)
+		time.Sleep(2 * gatherGracePeriod / 3)
 		must.True(t, isReady(next.running()))
 	})
 }
--- a/internal/storenode/scrub.go
+++ b/internal/storenode/scrub.go
@@ -9,41 +9,40 @@
 )
 
 const (
-	scrubFirst       = 1500 * time.Millisecond // after a copy came, its holder asks the owner what became of it
-	scrubAgain       = 4 * time.Second
-	scrubUnconfirmed = 400 * time.Millisecond // in place of both where the owner may not know of the copy
-	scrubBatch       = 500
-	scrubWithin      = time.Second
+	scrubInitialDelay        = 1500 * time.Millisecond // a holder asks the owner about a new copy after this time
+	scrubInterval            = 4 * time.Second         // and then at this interval
+	unconfirmedScrubInterval = 400 * time.Millisecond  // replaces both if the owner may not know of the copy
+	maxScrubBatch            = 500                     // copies per request
+	scrubTimeout             = time.Second
 )
 
-// isUnconfirmed reports whether a copy may be unknown to the owner of its partition: a dispatcher wrote it round the owner,
-// which has not said since that it knows it. The owner can't count it or make up for one that is lost, so this store counts it as
-// one of a message with too few copies.
+// isUnconfirmed reports whether a copy may be unknown to the owner of its partition: a dispatcher wrote it bypassing the owner, which has
+// not confirmed it since. The owner can neither count nor restore such a copy, so this store reports the message as having too few copies.
 func (n *Node) isUnconfirmed(e *message.Entry) bool {
 	return e.Stored && !e.Ended() && e.Seq == 0 && !e.OwnerKnows && n.table.OwnedEpoch(e.Partition) == 0
 }
 
-// collectScrub adds a copy that is held for another store to what its owner is asked about.
-func (n *Node) collectScrub(e *message.Entry, now time.Duration, ask map[string][]*rpc.Fate) {
+// collectScrub adds a copy held for another store to the request to its owner, if its scrub is due.
+func (n *Node) collectScrub(e *message.Entry, now time.Duration, fatesByOwner map[string][]*rpc.Fate) {
 	if e.Ended() || now < e.ScrubAt {
 		return
 	}
 	owner, _, ok := n.view.Owner(e.Partition)
-	if !ok || owner.Disk == n.disk || len(ask[owner.Disk]) >= scrubBatch {
+	if !ok || owner.Disk == n.disk || len(fatesByOwner[owner.Disk]) >= maxScrubBatch {
 		return
 	}
-	e.ScrubAt = now + scrubAgain
+	e.ScrubAt = now + scrubInterval
 	if n.isUnconfirmed(e) {
-		e.ScrubAt = now + scrubUnconfirmed
+		e.ScrubAt = now + unconfirmedScrubInterval
 	}
 	fate := e.Fate()
 	fate.Unreadable = e.Unreadable
-	ask[owner.Disk] = append(ask[owner.Disk], fate)
+	fatesByOwner[owner.Disk] = append(fatesByOwner[owner.Disk], fate)
 }
 
-// scrub asks an owner what became of copies, and offers it those that it does not know.
+// scrub asks an owner for the fates of copies. The owner fetches the messages that it does not know.
 func (n *Node) scrub(owner *peer, fates []*rpc.Fate) {
-	ctx, cancel := context.WithTimeout(context.Background(), scrubWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), scrubTimeout)
 	defer cancel()
 	reply, err := n.cluster.Store(owner.address).Scrub(ctx, &rpc.ScrubRequest{Caller: n.disk, Fates: fates})
 	if err != nil {
@@ -53,43 +52,45 @@
 		for _, fate := range reply.Fates {
 			n.applyFate(fate)
 		}
-		n.confirm(fates, reply)
+		n.markConfirmed(fates, reply)
 	})
 }
 
-// confirm notes which of the copies that an owner was asked about it knows.
-func (n *Node) confirm(asked []*rpc.Fate, reply *rpc.ScrubReply) {
-	open := map[string]bool{}
+// markConfirmed marks the copies that the owner knows.
+func (n *Node) markConfirmed(asked []*rpc.Fate, reply *rpc.ScrubReply) {
+	unconfirmed := map[string]bool{}
 	for _, name := range reply.Unknown {
-		open[name] = true
+		unconfirmed[name] = true
 	}
 	for _, name := range reply.Unconfirmed {
-		open[name] = true
+		unconfirmed[name] = true
 	}
 	for _, fate := range asked {
-		if e := n.table.Get(fate.Name); e != nil && !open[fate.Name] {
+		if e := n.table.Get(fate.Name); e != nil && !unconfirmed[fate.Name] {
 			e.OwnerKnows = true
 		}
 	}
 }
 
-// Scrub implements rpc.Store: it answers a holder, and takes messages that this owner does not know.
+// Scrub implements rpc.Store: it returns the final states of messages that a holder asks about, and fetches the messages that this owner
+// does not know.
 func (n *Node) Scrub(_ context.Context, request *rpc.ScrubRequest) (*rpc.ScrubReply, error) {
 	reply := &rpc.ScrubReply{}
 	if !n.do(func() {
 		for _, fate := range request.Fates {
-			n.scrubOne(request.Caller, fate, reply)
+			n.answerScrub(request.Caller, fate, reply)
 		}
 	}) {
 		return nil, errClosed
 	}
 	if len(reply.Unknown) > 0 {
-		go n.take(request.Caller, reply.Unknown)
+		go n.fetchUnknown(request.Caller, reply.Unknown)
 	}
 	return reply, nil
 }
 
-func (n *Node) scrubOne(caller string, fate *rpc.Fate, reply *rpc.ScrubReply) {
+// answerScrub adds the answer for one copy to the reply.
+func (n *Node) answerScrub(caller string, fate *rpc.Fate, reply *rpc.ScrubReply) {
 	entry := n.table.Get(fate.Name)
 	isReady := n.table.IsReady(fate.Partition)
 	if entry == nil && isReady {
@@ -103,25 +104,25 @@
 		return
 	}
 	if fate.Unreadable {
-		n.dropHolder(entry, caller)
+		n.removeHolder(entry, caller)
 	} else {
-		entry.AddHolder(caller) // also of one that has ended: what is owed for it may have to be restored from there
+		entry.AddHolder(caller) // ended messages too: their copies may be needed to restore others
 	}
 	if entry.Ended() {
 		reply.Fates = append(reply.Fates, entry.Fate())
 	}
 }
 
-// take fetches messages that a holder has for a partition owned here.
-func (n *Node) take(holder string, names []string) {
-	one := n.peers.get(holder)
-	if one == nil {
+// fetchUnknown fetches messages from a holder for a partition owned here.
+func (n *Node) fetchUnknown(holder string, names []string) {
+	peer := n.peers.get(holder)
+	if peer == nil {
 		return
 	}
 	for len(names) > 0 {
-		count := min(batchMessages, len(names))
-		ctx, cancel := context.WithTimeout(context.Background(), scrubWithin)
-		reply, err := n.cluster.Store(one.address).Fetch(ctx, &rpc.FetchRequest{Names: names[:count]})
+		count := min(maxBatchMessages, len(names))
+		ctx, cancel := context.WithTimeout(context.Background(), scrubTimeout)
+		reply, err := n.cluster.Store(peer.address).Fetch(ctx, &rpc.FetchRequest{Names: names[:count]})
 		cancel()
 		if err != nil {
 			return
@@ -129,31 +130,32 @@
 		names = names[count:]
 		n.do(func() {
 			for _, m := range reply.Messages {
-				n.takeOne(holder, m)
+				n.addFetched(holder, m)
 			}
 		})
 	}
 }
 
-func (n *Node) takeOne(holder string, m *rpc.Message) {
+// addFetched adds a fetched message to the table and the log.
+func (n *Node) addFetched(holder string, m *rpc.Message) {
 	if n.table.Get(m.Name) != nil || !n.table.IsReady(m.Partition) {
 		return
 	}
 	now := n.now()
 	entry := message.FromMessage(m, now)
-	entry.ReadUnder = n.tableVersion()
+	entry.ReadUnder = n.mapVersion()
 	if entry.OrderKey != "" && entry.Seq == 0 {
 		n.table.Number(entry)
 	}
-	if n.write(entry, m) != rpc.PutStatus_STORED {
+	if n.appendMessage(entry, m) != rpc.PutStatus_STORED {
 		return
 	}
 	entry.Body = nil
 	entry = n.table.Add(entry, now)
 	entry.AddHolder(holder)
-	if !entry.Ended() && n.expired(entry, now) { // the holder can't tell whether it was run, so it is never begun here
+	if !entry.Ended() && n.isExpired(entry, now) { // the holder does not know whether it has run, so it must not run here
 		n.table.End(entry, rpc.State_DEAD, "", now)
-		n.tell(entry)
+		n.publishFate(entry)
 	}
-	n.pumpDue = true
+	n.schedulePending = true
 }
--- a/internal/storenode/sim_client_store_test.go
+++ b/internal/storenode/sim_client_store_test.go
@@ -8,11 +8,11 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// callStore sends a copy of a request, and returns a copy of the reply.
+// callStore sends a copy of a request and returns a copy of the reply.
 func callStore[Request, Reply proto.Message](ctx context.Context, c *storeClient, method string, request Request,
 	serve func(*Node, context.Context, Request) (Reply, error)) (Reply, error) {
 	copied := proto.CloneOf(request)
-	r := &remote[Reply]{world: c.world, from: c.from, caller: c.caller, address: c.address, method: method,
+	r := &remoteCall[Reply]{world: c.world, from: c.from, caller: c.caller, address: c.address, method: method,
 		serve: func(ctx context.Context, p *process) (Reply, error) {
 			reply, err := serve(p.node, ctx, copied)
 			if err != nil {
--- a/internal/storenode/sim_control_test.go
+++ b/internal/storenode/sim_control_test.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	simLease       = 2 * time.Second
-	simLeaseMargin = 300 * time.Millisecond // by which the control plane waits longer
-	simHolderSlack = 100 * time.Millisecond // by which a store stops earlier
-	simRenew       = 400 * time.Millisecond
-	simPlan        = 100 * time.Millisecond
-	simWhole       = 300 * time.Millisecond // for which all have reported enough copies before a new disk is whole
-	simRetire      = time.Second            // and before a store that is emptied may be taken away
-	simMoves       = 4
+	simLease            = 2 * time.Second
+	simLeaseMargin      = 300 * time.Millisecond // added to leases by the control plane
+	simLeaseSlack       = 100 * time.Millisecond // subtracted from leases by their holders
+	simRenewInterval    = 400 * time.Millisecond
+	simPlanInterval     = 100 * time.Millisecond
+	simWholeSettleTime  = 300 * time.Millisecond // how long all stores must have reported enough copies before a new disk is whole
+	simRetireSettleTime = time.Second            // the same before a retiring store may be removed
+	simMaxMoves         = 4
 )
 
-// controlPlane is one process that never fails: it plays internal/controlplane with the same leases and placement.
+// controlPlane simulates internal/controlplane by one process that never fails, with the real leases and placement.
 type controlPlane struct {
 	world *world
 
@@ -36,18 +36,18 @@
 	partitions []placement.Partition
 	statuses   map[string]*storeStatus // by node
 	fences     map[string]uint64
-	joined     map[string]simMoment // by disk
-	retiring   string               // the store that is being emptied
-	emptySince simMoment            // since when it has owned nothing and known that it leaves; zero if it does not
-	retired    bool                 // it may be taken away, and is no member any more
+	joinedAt   map[string]mapMoment // by disk
+	retiring   string               // the store that is being retired
+	emptySince mapMoment            // since when it has owned nothing and known of its retirement; zero if it does not
+	retired    bool                 // the store may be removed and is no longer a member
 	version    uint64
 	config     *catalog.Config
 	view       *cluster.View
 	changed    chan struct{} // closed when view is replaced
-	muted      atomic.Bool   // the streams bring nothing, while renewals are answered
+	muted      atomic.Bool   // streams deliver nothing, but renewals are answered
 }
 
-// storeStatus is what a store told last.
+// storeStatus is the last report of a store.
 type storeStatus struct {
 	request    *rpc.RenewRequest
 	renewedAt  time.Time
@@ -58,14 +58,14 @@
 
 func newControlPlane(w *world) *controlPlane {
 	c := &controlPlane{world: w, leases: lease.New(lease.Options{Length: simLease, Margin: simLeaseMargin, Reusable: true}),
-		statuses: map[string]*storeStatus{}, fences: map[string]uint64{}, joined: map[string]simMoment{},
+		statuses: map[string]*storeStatus{}, fences: map[string]uint64{}, joinedAt: map[string]mapMoment{},
 		partitions: make([]placement.Partition, w.scale.partitions), changed: make(chan struct{}), config: simConfig(1)}
 	c.publish()
 	go c.run()
 	return c
 }
 
-// simConfig returns a configuration; the second has lost a route.
+// simConfig returns a configuration. Version 2 lacks a route of version 1.
 func simConfig(version uint64) *catalog.Config {
 	config := &catalog.Config{Version: version, Services: []catalog.Service{{Name: "s", MaxConns: 100}}}
 	for _, name := range []string{"plain", "fifo", "short", "dropped"} {
@@ -85,7 +85,7 @@
 func (c *controlPlane) run() {
 	for {
 		select {
-		case <-time.After(simPlan):
+		case <-time.After(simPlanInterval):
 			c.mutex.Lock()
 			c.plan()
 			c.mutex.Unlock()
@@ -105,7 +105,7 @@
 	c.publish()
 }
 
-// publish makes a view of what is in force now.
+// publish creates a view of the current state.
 func (c *controlPlane) publish() {
 	c.version++
 	view := &cluster.View{Config: c.config, Table: catalog.NewTable(c.config), ConfigVersion: c.config.Version,
@@ -125,7 +125,7 @@
 			return store.Node == p.Owner && store.Incarnation == p.Incarnation
 		})
 	}
-	// Package cluster derives this index where it merges updates, and has no other way to make a view.
+	// Package cluster computes this index when it merges updates and offers no other way to create a view.
 	field := reflect.ValueOf(view).Elem().FieldByName("owners")
 	reflect.NewAt(field.Type(), field.Addr().UnsafePointer()).Elem().Set(reflect.ValueOf(owners))
 	c.view = view
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// renew takes a renewal and reports whether a lease is granted.
+// renew processes a lease renewal and reports whether the lease is granted.
 func (c *controlPlane) renew(request *rpc.RenewRequest) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -199,7 +199,7 @@
 	return !status.granted || request.MapVersion >= c.version
 }
 
-// admit records a new disk or incarnation.
+// admit records a new disk or incarnation of a store.
 func (c *controlPlane) admit(status *storeStatus) {
 	request := status.request
 	member := c.member(request.Node)
@@ -211,7 +211,7 @@
 		member.Disk = request.Disk
 		member.Whole = c.partitions[0].Epoch == 0
 		if !member.Whole {
-			c.joined[member.Disk] = simMoment{at: time.Now(), table: c.version + 1} // which is published below
+			c.joinedAt[member.Disk] = mapMoment{at: time.Now(), mapVersion: c.version + 1} // the version that is published below
 		}
 	}
 	member.Address, member.Zone, member.Incarnation = request.Address, request.Zone, request.Incarnation
@@ -219,32 +219,32 @@
 	c.publish()
 }
 
-// plan moves partitions and marks disks whole.
+// plan moves partitions and marks disks as whole.
 func (c *controlPlane) plan() {
 	changed := false
 	for _, store := range c.stores {
-		if !store.Whole && c.settled(c.joined[store.Disk], simWhole) {
+		if !store.Whole && c.settled(c.joinedAt[store.Disk], simWholeSettleTime) {
 			store.Whole = true
 			changed = true
 		}
 	}
 	if len(c.stores) < c.world.scale.stores {
-		return // the first assignment waits for all
+		return // the first assignment waits for all stores
 	}
 	changed = c.completeRetirement() || changed
 	before := c.partitions
-	next, moved, err := placement.Plan(c.members(), before, simMoves)
+	next, moved, err := placement.Plan(c.members(), before, simMaxMoves)
 	if err != nil {
 		panic(err)
 	}
-	c.fenceLosers(before, next)
+	c.fencePreviousOwners(before, next)
 	c.partitions = next
 	if changed || moved {
 		c.publish()
 	}
 }
 
-// retire begins to empty a store.
+// retire starts the retirement of a store.
 func (c *controlPlane) retire(node string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -253,45 +253,45 @@
 	c.publish()
 }
 
-// isRetired reports whether a store was emptied and may be taken away.
+// isRetired reports whether the retirement of a store is completed.
 func (c *controlPlane) isRetired(store *rpc.StoreMember) bool {
 	return c.retired && store.Node == c.retiring
 }
 
-// hasRetired reports whether the store that was to be emptied may be taken away.
+// hasRetired reports whether a retirement is completed, so that the store may be removed.
 func (c *controlPlane) hasRetired() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.retired
 }
 
-// completeRetirement ends the retirement of a store that owns nothing and knows that it leaves, once its copies were restored.
+// completeRetirement ends the retirement of a store that owns nothing and knows of its retirement, once its copies were restored elsewhere.
 func (c *controlPlane) completeRetirement() bool {
 	if c.retiring == "" || c.retired {
 		return false
 	}
 	for _, p := range c.partitions {
 		if p.Owner == c.retiring {
-			c.emptySince = simMoment{}
+			c.emptySince = mapMoment{}
 			return false
 		}
 	}
 	member, status := c.member(c.retiring), c.statuses[c.retiring]
 	alive := c.leases.Alive(member.Node, member.Incarnation, c.now())
 	if alive && (status.request.Incarnation != member.Incarnation || status.request.MapVersion < c.version) {
-		c.emptySince = simMoment{}
+		c.emptySince = mapMoment{}
 		return false
 	}
 	if c.emptySince.at.IsZero() {
-		c.emptySince = simMoment{at: time.Now(), table: c.version}
+		c.emptySince = mapMoment{at: time.Now(), mapVersion: c.version}
 	}
-	c.retired = c.settled(c.emptySince, simRetire)
+	c.retired = c.settled(c.emptySince, simRetireSettleTime)
 	return c.retired
 }
 
-// settled reports whether every partition has an owner, all owners know the newest map, and all stores that hold a lease have
-// reported for so long since a moment that no message has too few copies.
-func (c *controlPlane) settled(since simMoment, settle time.Duration) bool {
+// settled reports whether every partition has an owner, all owners know the newest map, and all stores that hold a lease have reported for
+// the settle time since the given moment that no message has too few copies.
+func (c *controlPlane) settled(since mapMoment, settle time.Duration) bool {
 	for _, store := range c.stores {
 		status := c.statuses[store.Node]
 		if !c.leases.Alive(store.Node, store.Incarnation, c.now()) || status.request.Incarnation != store.Incarnation {
@@ -313,10 +313,10 @@
 	return true
 }
 
-// cleanFor reports whether the store has reported for so long since a moment that no message has too few copies, and tells of no copy that
-// a dispatcher began to place under an earlier table and its owner may not know.
-func (s *storeStatus) cleanFor(since simMoment, settle time.Duration) bool {
-	if s.cleanSince.IsZero() || s.request.Unconfirmed > 0 && s.request.UnconfirmedUnder < since.table {
+// cleanFor reports whether the store has reported for the settle time since the given moment that no message has too few copies, and no
+// unconfirmed copy that a dispatcher started to place under an earlier map.
+func (s *storeStatus) cleanFor(since mapMoment, settle time.Duration) bool {
+	if s.cleanSince.IsZero() || s.request.Unconfirmed > 0 && s.request.UnconfirmedUnder < since.mapVersion {
 		return false
 	}
 	from := since.at
@@ -326,14 +326,14 @@
 	return s.renewedAt.Sub(from) >= settle
 }
 
-// simMoment is a moment, and the table of owners that was in force then.
-type simMoment struct {
-	at    time.Time
-	table uint64
+// mapMoment is a point in time and the map version in force then.
+type mapMoment struct {
+	at         time.Time
+	mapVersion uint64
 }
 
-// tableInForce is the version of the newest table of owners.
-func (c *controlPlane) tableInForce() uint64 {
+// currentMapVersion returns the version of the newest map.
+func (c *controlPlane) currentMapVersion() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.version
@@ -365,7 +365,7 @@
 	return members
 }
 
-func (c *controlPlane) fenceLosers(before, next []placement.Partition) {
+func (c *controlPlane) fencePreviousOwners(before, next []placement.Partition) {
 	for i, p := range before {
 		if p.Epoch == next[i].Epoch || p.Owner == "" {
 			continue
@@ -377,7 +377,7 @@
 	}
 }
 
-// release takes partitions back.
+// release removes the owner of the given partitions.
 func (c *controlPlane) release(node, incarnation string, partitions []*rpc.PartitionEpoch) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -394,7 +394,7 @@
 	c.publish()
 }
 
-// allWhole reports whether every store runs and is a member whose present disk is whole.
+// allWhole reports whether every store is running and is a member whose current disk is whole.
 func (c *controlPlane) allWhole() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -415,11 +415,11 @@
 	process *process
 	kicks   chan struct{}
 
-	mutex    sync.Mutex
-	view     *cluster.View
-	inForce  uint64 // map version that the callback has seen
-	callback func(*cluster.View)
-	leaseEnd time.Time
+	mutex             sync.Mutex
+	view              *cluster.View
+	appliedMapVersion uint64 // map version that the callback has processed
+	callback          func(*cluster.View)
+	leaseEnd          time.Time
 
 	confirmations cluster.Confirmations
 }
@@ -471,7 +471,7 @@
 // Release implements coordinator.
 func (f *fakeCluster) Release(ctx context.Context, partitions []*rpc.PartitionEpoch) error {
 	p := f.process
-	_, ok := askControl(p, "release", func(c *controlPlane) bool {
+	_, ok := callControl(p, "release", func(c *controlPlane) bool {
 		c.release(p.machine.name, p.node.incarnation, partitions)
 		return true
 	})
@@ -482,14 +482,14 @@
 	return nil
 }
 
-// askControl carries a call to the control plane out. It reports false where no answer comes.
-func askControl(p *process, method string, ask func(*controlPlane) bool) (granted, ok bool) {
+// callControl performs a call to the control plane. It returns ok = false if no answer comes.
+func callControl(p *process, method string, ask func(*controlPlane) bool) (granted, ok bool) {
 	w, name := p.world, p.machine.name
 	if !p.awaitThaw() {
 		return false, false
 	}
 	time.Sleep(w.latency(name, controlName, method))
-	if w.isCut(name, controlName) || w.losesCall(name, controlName, method) || p.isDead() {
+	if w.isCut(name, controlName) || w.losesCall(name, controlName, method) || p.isKilled() {
 		return false, false
 	}
 	granted = ask(w.control)
@@ -500,7 +500,7 @@
 	return granted, true
 }
 
-// follow calls the callback with each newer view.
+// follow passes each newer view to the callback.
 func (f *fakeCluster) follow() {
 	p := f.process
 	w := p.world
@@ -509,7 +509,7 @@
 		if view == f.View() {
 			select {
 			case <-changed:
-			case <-p.dead:
+			case <-p.killed:
 				return
 			}
 			time.Sleep(w.latency(controlName, p.machine.name, "view"))
@@ -524,7 +524,7 @@
 		f.mutex.Unlock()
 		f.callback(view)
 		f.mutex.Lock()
-		f.inForce = view.Map.Version
+		f.appliedMapVersion = view.Map.Version
 		f.mutex.Unlock()
 		f.Kick()
 	}
@@ -537,8 +537,8 @@
 		select {
 		case <-f.kicks:
 			time.Sleep(50 * time.Millisecond)
-		case <-time.After(simRenew):
-		case <-p.dead:
+		case <-time.After(simRenewInterval):
+		case <-p.killed:
 			return
 		}
 	}
@@ -547,14 +547,14 @@
 func (f *fakeCluster) renew() {
 	p := f.process
 	f.mutex.Lock()
-	version := f.inForce
+	version := f.appliedMapVersion
 	f.mutex.Unlock()
 	request := &rpc.RenewRequest{Node: p.machine.name, Incarnation: p.node.incarnation, Zone: p.machine.zone,
 		Disk: p.node.disk, Address: p.machine.address, MapVersion: version}
-	p.node.status(request)
+	p.node.fillRenewRequest(request)
 	sent := time.Now()
 	var newest uint64
-	granted, ok := askControl(p, "renew", func(c *controlPlane) bool {
+	granted, ok := callControl(p, "renew", func(c *controlPlane) bool {
 		newest = c.config.Version
 		return c.renew(request)
 	})
@@ -566,7 +566,7 @@
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if end := sent.Add(simLease - simHolderSlack); end.After(f.leaseEnd) {
+	if end := sent.Add(simLease - simLeaseSlack); end.After(f.leaseEnd) {
 		f.leaseEnd = end
 	}
 }
--- a/internal/storenode/sim_dispatcher_test.go
+++ b/internal/storenode/sim_dispatcher_test.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	simPatience = 40 * time.Millisecond // after which a silent owner is gone round
-	simDeadline = 2500 * time.Millisecond
+	simBypassDelay      = 40 * time.Millisecond   // after which a dispatcher bypasses an owner that does not answer
+	simDispatchDeadline = 2500 * time.Millisecond // after which a client gives up
 )
 
-// dispatch is the course of one message from its client to the answer, as internal/ingest plays it.
+// dispatch handles one message from the client's request to the answer, as internal/ingest does.
 type dispatch struct {
-	world       *world
-	message     *sent
-	maybeStored bool
-	pending     int
-	placedUnder uint64 // table in force when it began
-	outcomes    chan putAnswer
-	goneRound   uint64 // epoch for which it was written to holders
-	holders     int    // that have stored it under that epoch
+	world         *world
+	message       *sentMessage
+	maybeStored   bool
+	pendingPuts   int
+	placedUnder   uint64 // map version in force at the start
+	answers       chan putAnswer
+	bypassedEpoch uint64 // epoch under which the message was written to holders
+	holderCount   int    // holders that have stored it under that epoch
 }
 
-// putAnswer is the end of one Put.
+// putAnswer is the result of one Put.
 type putAnswer struct {
 	mode   rpc.PutMode
 	epoch  uint64
@@ -35,51 +35,51 @@
 	err    error
 }
 
-// run sends the message until there is an answer.
+// run sends the message until it is accepted or the deadline has passed, and records the result.
 func (d *dispatch) run() {
 	w := d.world
-	ctx, cancel := context.WithTimeout(w.ctx, simDeadline)
+	ctx, cancel := context.WithTimeout(w.ctx, simDispatchDeadline)
 	defer cancel()
-	d.outcomes = make(chan putAnswer, 64)
-	d.placedUnder = w.control.tableInForce()
-	var asked uint64
+	d.answers = make(chan putAnswer, 64)
+	d.placedUnder = w.control.currentMapVersion()
+	var askedEpoch uint64
 	var askedAt time.Time
 	for ctx.Err() == nil {
 		view, _ := w.control.current()
 		owner, epoch, ok := view.Owner(d.message.partition)
-		if ok && (epoch > asked || d.pending == 0 && time.Since(askedAt) > 100*time.Millisecond) {
-			asked, askedAt = epoch, time.Now()
+		if ok && (epoch > askedEpoch || d.pendingPuts == 0 && time.Since(askedAt) > 100*time.Millisecond) {
+			askedEpoch, askedAt = epoch, time.Now()
 			d.put(ctx, owner.Address, rpc.PutMode_OWNER, epoch, view.ConfigVersion)
 		}
-		if ok && d.pending > 0 && time.Since(askedAt) >= simPatience && d.message.key == "" && d.goneRound < epoch {
-			d.goRound(ctx, view, owner, epoch)
+		if ok && d.pendingPuts > 0 && time.Since(askedAt) >= simBypassDelay && d.message.key == "" && d.bypassedEpoch < epoch {
+			d.bypassOwner(ctx, view, owner, epoch)
 		}
 		select {
-		case outcome := <-d.outcomes:
-			if d.take(outcome) {
-				w.ledger.accept(d.message.name)
+		case answer := <-d.answers:
+			if d.handleAnswer(answer) {
+				w.checker.recordAccepted(d.message.name)
 				return
 			}
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
 		}
 	}
-	for d.pending > 0 && w.ctx.Err() == nil {
-		if d.take(<-d.outcomes) {
-			w.ledger.accept(d.message.name)
+	for d.pendingPuts > 0 && w.ctx.Err() == nil {
+		if d.handleAnswer(<-d.answers) {
+			w.checker.recordAccepted(d.message.name)
 			return
 		}
 	}
 	if !d.maybeStored {
-		w.ledger.refuse(d.message.name)
+		w.checker.recordRefused(d.message.name)
 	}
 }
 
-// goRound writes the message to other stores than the owner.
-func (d *dispatch) goRound(ctx context.Context, view *cluster.View, owner *rpc.StoreMember, epoch uint64) {
-	d.goneRound, d.holders = epoch, 0
+// bypassOwner writes the message to stores other than the owner.
+func (d *dispatch) bypassOwner(ctx context.Context, view *cluster.View, owner *rpc.StoreMember, epoch uint64) {
+	d.bypassedEpoch, d.holderCount = epoch, 0
 	stores := slices.Clone(view.Stores())
-	start := int(d.world.draw(d.message.name, "holders") * float64(len(stores)))
+	start := int(d.world.drawRandom(d.message.name, "holders") * float64(len(stores)))
 	count := 0
 	for i := range stores {
 		store := stores[(start+i)%len(stores)]
@@ -95,12 +95,12 @@
 	m := d.message
 	request := &rpc.PutRequest{Mode: mode, ConfigVersion: version, PlacedUnder: d.placedUnder, Epochs: []uint64{epoch}, Messages: []*rpc.Message{{
 		Name: m.name, Partition: m.partition, Route: m.route, Method: "POST", Path: "/" + m.route, Host: "h",
-		RequestId: m.name, OrderKey: m.key, Body: m.body, Epoch: epoch, AgeMs: time.Since(m.first).Milliseconds(),
-		DelayLeftMs: max(0, (m.delay-time.Since(m.first)).Milliseconds()+1)}}}
+		RequestId: m.name, OrderKey: m.key, Body: m.body, Epoch: epoch, AgeMs: time.Since(m.firstSentAt).Milliseconds(),
+		DelayLeftMs: max(0, (m.delay-time.Since(m.firstSentAt)).Milliseconds()+1)}}}
 	if mode == rpc.PutMode_OWNER && m.delay == 0 || m.delay == 0 {
 		request.Messages[0].DelayLeftMs = 0
 	}
-	d.pending++
+	d.pendingPuts++
 	client := &storeClient{world: d.world, from: clientName, address: address}
 	go func() {
 		answer := putAnswer{mode: mode, epoch: epoch}
@@ -109,13 +109,13 @@
 		if err == nil {
 			answer.status = reply.Statuses[0]
 		}
-		d.outcomes <- answer
+		d.answers <- answer
 	}()
 }
 
-// take counts the end of a Put. It reports whether the message is accepted.
-func (d *dispatch) take(answer putAnswer) bool {
-	d.pending--
+// handleAnswer processes the result of a Put. It reports whether the message is accepted.
+func (d *dispatch) handleAnswer(answer putAnswer) bool {
+	d.pendingPuts--
 	if answer.err != nil {
 		d.maybeStored = d.maybeStored || answer.err != errRefused
 		return false
@@ -126,19 +126,19 @@
 		if answer.mode == rpc.PutMode_OWNER {
 			return true
 		}
-		if answer.epoch == d.goneRound {
-			d.holders++
+		if answer.epoch == d.bypassedEpoch {
+			d.holderCount++
 		}
-		return d.holders > d.world.scale.tolerance
+		return d.holderCount > d.world.scale.tolerance
 	case rpc.PutStatus_FAILED:
 		d.maybeStored = true
 	}
 	return false
 }
 
-// send begins one message of the load.
+// send starts to send one message of the load.
 func (w *world) send(number int) {
-	m := &sent{name: fmt.Sprintf("m%d", number), first: time.Now(), nature: w.random.Float64(), route: "plain"}
+	m := &sentMessage{name: fmt.Sprintf("m%d", number), firstSentAt: time.Now(), outcomeDraw: w.random.Float64(), route: "plain"}
 	m.body = make([]byte, 30+w.random.IntN(900))
 	for i := range m.body {
 		m.body[i] = byte(w.random.Uint32())
@@ -155,15 +155,15 @@
 	case x < 0.7:
 		m.delay = time.Duration(w.random.IntN(4000)) * time.Millisecond
 	}
-	if m.route == "dropped" && !w.ledger.dropAt.IsZero() {
+	if m.route == "dropped" && !w.checker.routeDroppedAt.IsZero() {
 		m.route = "plain"
 	}
-	w.ledger.add(m)
+	w.checker.add(m)
 	w.requests.Go((&dispatch{world: w, message: m}).run)
 }
 
 // lookup asks the owner of a message, then all other stores, as a dispatcher does.
-func (w *world) lookup(m *sent, body bool) *rpc.LookupReply {
+func (w *world) lookup(m *sentMessage, body bool) *rpc.LookupReply {
 	ctx, cancel := context.WithTimeout(w.ctx, 2*time.Second)
 	defer cancel()
 	best := &rpc.LookupReply{}
