--- a/internal/storenode/sim_faults_test.go
+++ b/internal/storenode/sim_faults_test.go
@@ -6,83 +6,82 @@
 	"foldlb.example/foldlb/internal/message"
 )
 
-// messageEntry is short for the entries of the table.
+// messageEntry shortens the name of the table's entry type.
 type messageEntry = message.Entry
 
-// faults draws what goes wrong, and ends it again. It belongs to the driver goroutine.
-type faults struct {
-	world *world
-	next  time.Time
-	pause time.Duration // between two faults at most
-	open  []*openFault
+// faultInjector starts random faults and ends them again. It belongs to the driver goroutine.
+type faultInjector struct {
+	world    *world
+	nextAt   time.Time
+	maxPause time.Duration // maximum between two faults
+	active   []*activeFault
 
-	retiring *machine  // the one that is being emptied, or was; nil for none
-	checked  time.Time // end of the last fault after which all copies were counted
+	retiring  *machine  // the machine whose store is being retired, or was; nil for none
+	checkedAt time.Time // end of the last fault after which all copies were counted
 }
 
-// openFault is one that is under way.
-type openFault struct {
-	until time.Time
-	heal  func()
-	done  func() // tells the ledger
-	busy  string // machine that has it
+// activeFault is a fault in progress.
+type activeFault struct {
+	endsAt      time.Time
+	heal        func()
+	done        func() // reports the end of the fault to the checker
+	machineName string // machine affected
 }
 
-func newFaults(w *world) *faults {
+func newFaultInjector(w *world) *faultInjector {
 	pauses := []time.Duration{3 * time.Second, time.Second, 300 * time.Millisecond}
-	return &faults{world: w, next: time.Now().Add(2 * time.Second), pause: pauses[w.random.IntN(len(pauses))]}
+	return &faultInjector{world: w, nextAt: time.Now().Add(2 * time.Second), maxPause: pauses[w.random.IntN(len(pauses))]}
 }
 
-// step ends what is due to end, and may begin something.
-func (f *faults) step() {
-	f.takeAway()
+// step ends the faults that are due to end, and may start a new one.
+func (f *faultInjector) step() {
+	f.removeRetired()
 	now := time.Now()
-	kept := f.open[:0]
-	for _, each := range f.open {
-		if now.Before(each.until) {
+	kept := f.active[:0]
+	for _, each := range f.active {
+		if now.Before(each.endsAt) {
 			kept = append(kept, each)
 			continue
 		}
 		each.heal()
 		each.done()
 	}
-	f.open = kept
-	f.checkRestored(now)
-	if now.Before(f.next) {
+	f.active = kept
+	f.checkCopies(now)
+	if now.Before(f.nextAt) {
 		return
 	}
-	f.begin()
-	f.next = now.Add(200*time.Millisecond + time.Duration(f.world.random.Int64N(int64(f.pause))))
+	f.injectFault()
+	f.nextAt = now.Add(200*time.Millisecond + time.Duration(f.world.random.Int64N(int64(f.maxPause))))
 	if f.world.random.IntN(6) == 0 {
-		f.next = f.next.Add(6 * time.Second) // a calm time, in which nothing may run twice
+		f.nextAt = f.nextAt.Add(6 * time.Second) // a quiet period, in which no message may run twice
 	}
 }
 
-// checkRestored counts the copies of all that was accepted, once nothing has been amiss for the time that the successor of a lost disk is
-// given: from then on another disk may be lost.
-func (f *faults) checkRestored(now time.Time) {
-	w, l := f.world, f.world.ledger
-	l.mutex.Lock()
-	ended := l.faultEnd
-	calm := l.faults == 0 && len(f.open) == 0 && now.Sub(ended) > timeToRestore
-	l.mutex.Unlock()
-	if !calm || f.checked.Equal(ended) {
+// checkCopies counts the copies of all accepted messages once there was no fault for timeToRestore: from then on another disk may be lost.
+func (f *faultInjector) checkCopies(now time.Time) {
+	w, c := f.world, f.world.checker
+	c.mutex.Lock()
+	ended := c.lastFaultEnd
+	calm := c.activeFaults == 0 && len(f.active) == 0 && now.Sub(ended) > timeToRestore
+	c.mutex.Unlock()
+	if !calm || f.checkedAt.Equal(ended) {
 		return
 	}
-	f.checked = ended
-	kept := w.keptCopies()
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	for _, m := range l.messages {
+	f.checkedAt = ended
+	kept := w.copyCounts()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for _, m := range c.messages {
 		if accepted := m.acceptedAt; accepted.IsZero() || now.Sub(accepted) < timeToRestore || kept[m.name] > w.scale.tolerance {
 			continue
 		}
-		l.violate("SCARCE", m, "%d stores keep it, ended: %t; %s", kept[m.name], l.hasEnded(m), w.where(m))
+		c.violate("SCARCE", m, "%d stores keep it, ended: %t; %s", kept[m.name], c.hasEnded(m), w.describe(m))
 	}
 }
 
-// keptCopies counts for each message the stores whose log holds what is owed for it.
-func (w *world) keptCopies() map[string]int {
+// copyCounts returns for each message the number of stores whose log holds it or, for completed messages, their final state.
+func (w *world) copyCounts() map[string]int {
 	kept := map[string]int{}
 	for _, m := range w.machines {
 		p := m.running()
@@ -100,35 +99,35 @@
 	return kept
 }
 
-func (f *faults) endAll() {
-	for _, each := range f.open {
+func (f *faultInjector) endAll() {
+	for _, each := range f.active {
 		each.heal()
 		each.done()
 	}
-	f.open = nil
+	f.active = nil
 }
 
-func (f *faults) isBusy(name string) bool {
-	for _, each := range f.open {
-		if each.busy == name {
+func (f *faultInjector) hasFault(name string) bool {
+	for _, each := range f.active {
+		if each.machineName == name {
 			return true
 		}
 	}
 	return false
 }
 
-// begin draws one fault at one machine.
-func (f *faults) begin() {
+// injectFault starts a random fault at a random machine.
+func (f *faultInjector) injectFault() {
 	w := f.world
 	m := w.machines[w.random.IntN(len(w.machines))]
-	if m.gone || f.isBusy(m.name) || m.running() == nil {
+	if m.removed || f.hasFault(m.name) || m.running() == nil {
 		return
 	}
 	switch w.random.IntN(17) {
 	case 0, 1:
-		f.down(m, end{}, 200, 1500)
+		f.stopFor(m, shutdown{}, 200, 1500)
 	case 2, 3:
-		f.down(m, end{off: true}, 300, 5000)
+		f.stopFor(m, shutdown{powerLost: true}, 300, 5000)
 	case 4:
 		f.loseDisk(m)
 	case 5, 6:
@@ -140,84 +139,84 @@
 	case 9:
 		f.handOver(m)
 	case 10:
-		f.lossy()
+		f.loseCalls()
 	case 11:
-		f.slow(m)
+		f.slowLinks(m)
 	case 12, 13, 14:
-		f.afterAccept()
+		f.faultAfterAccept()
 	case 15:
-		f.blackout()
+		f.cutPower()
 	case 16:
 		f.retire(m)
 	}
 }
 
-// retire empties a store, once in a simulation and where enough are left.
-func (f *faults) retire(m *machine) {
+// retire starts to retire a store, once per simulation and if enough stores are left.
+func (f *faultInjector) retire(m *machine) {
 	w := f.world
 	if f.retiring != nil || !w.control.allWhole() || w.scale.stores <= w.scale.tolerance+2 {
 		return
 	}
-	w.note("%s is to be emptied", m.name)
+	w.tracef("%s is being retired", m.name)
 	f.retiring = m
 	w.control.retire(m.name)
 }
 
-// takeAway takes the machine that was emptied away with its disk. That is no loss, so another disk may be lost at the same
-// moment, while all others lose power.
-func (f *faults) takeAway() {
+// removeRetired removes the machine of the retired store with its disk. That does not count as a loss, so another disk may be lost at the
+// same moment while all other machines lose power.
+func (f *faultInjector) removeRetired() {
 	w, m := f.world, f.retiring
-	if m == nil || m.gone || !w.control.hasRetired() {
+	if m == nil || m.removed || !w.control.hasRetired() {
 		return
 	}
-	m.gone = true
-	w.note("%s was emptied and is taken away", m.name)
-	m.stop(end{off: true, loseDisk: true})
+	m.removed = true
+	w.tracef("%s is retired and removed", m.name)
+	m.stop(shutdown{powerLost: true, loseDisk: true})
 	other := w.machines[w.random.IntN(len(w.machines))]
-	if other.gone || f.isBusy(other.name) || other.running() == nil {
+	if other.removed || f.hasFault(other.name) || other.running() == nil {
 		return
 	}
 	f.loseDisk(other)
 	if other.running() == nil && w.random.IntN(2) == 0 {
-		f.blackout()
+		f.cutPower()
 	}
 }
 
-// between draws a time from least to most milliseconds.
-func (f *faults) between(least, most int) time.Duration {
-	return time.Duration(least+f.world.random.IntN(most-least)) * time.Millisecond
+// randomDuration returns a duration between minMs and maxMs milliseconds.
+func (f *faultInjector) randomDuration(minMs, maxMs int) time.Duration {
+	return time.Duration(minMs+f.world.random.IntN(maxMs-minMs)) * time.Millisecond
 }
 
-// during keeps a fault open for a time.
-func (f *faults) during(m *machine, length time.Duration, heal func()) {
-	f.open = append(f.open, &openFault{until: time.Now().Add(length), heal: heal, busy: m.name,
-		done: f.world.ledger.faultBegins()})
+// schedule keeps a fault active for the given time.
+func (f *faultInjector) schedule(m *machine, length time.Duration, heal func()) {
+	f.active = append(f.active, &activeFault{endsAt: time.Now().Add(length), heal: heal, machineName: m.name,
+		done: f.world.checker.beginFault()})
 }
 
-func (f *faults) down(m *machine, how end, least, most int) {
-	length := f.between(least, most)
+func (f *faultInjector) stopFor(m *machine, how shutdown, minMs, maxMs int) {
+	length := f.randomDuration(minMs, maxMs)
 	m.stop(how)
-	f.during(m, length, m.start)
+	f.schedule(m, length, m.start)
 }
 
-// loseDisk takes a disk away while all stores run and are whole.
-func (f *faults) loseDisk(m *machine) {
+// loseDisk loses a disk, if all stores are running and whole.
+func (f *faultInjector) loseDisk(m *machine) {
 	if !f.world.control.allWhole() {
 		return
 	}
-	f.down(m, end{off: true, loseDisk: true}, 300, 4000)
+	f.stopFor(m, shutdown{powerLost: true, loseDisk: true}, 300, 4000)
 }
 
-// afterAccept takes the power or the disk of a message's owner or of another store right after its 202.
-func (f *faults) afterAccept() {
+// faultAfterAccept stops a message's owner or another store right after the message was accepted with status 202.
+func (f *faultInjector) faultAfterAccept() {
 	w := f.world
 	select {
-	case <-w.ledger.acceptances:
+	case <-w.checker.justAccepted:
 	default:
 	}
-	var accepted *sent
+	var accepted *sentMessage
 	select {
-	case accepted = <-w.ledger.acceptances:
+	case accepted = <-w.checker.justAccepted:
 	case <-time.After(200 * time.Millisecond):
 		return
 	}
@@ -225,45 +224,45 @@
 	if m == nil || w.random.IntN(2) == 0 {
 		m = w.machines[w.random.IntN(len(w.machines))]
 	}
-	if f.isBusy(m.name) || m.running() == nil {
+	if f.hasFault(m.name) || m.running() == nil {
 		return
 	}
-	w.note("right after the 202 of %s:", accepted.name)
+	w.tracef("right after the 202 of %s:", accepted.name)
 	switch w.random.IntN(4) {
 	case 0:
 		f.loseDisk(m)
 		return
-	case 1: // one disk at the same moment as the power of all others
+	case 1: // one disk at the same time as the power of all other machines
 		if f.loseDisk(m); m.running() == nil {
-			f.blackout()
+			f.cutPower()
 		}
 		return
 	}
-	f.down(m, end{off: w.random.IntN(3) > 0}, 200, 3000)
+	f.stopFor(m, shutdown{powerLost: w.random.IntN(3) > 0}, 200, 3000)
 }
 
-// blackout takes the power of all stores at once.
-func (f *faults) blackout() {
-	length := f.between(300, 2500)
+// cutPower cuts the power of all machines at once.
+func (f *faultInjector) cutPower() {
+	length := f.randomDuration(300, 2500)
 	for _, m := range f.world.machines {
-		if f.isBusy(m.name) || m.running() == nil {
+		if f.hasFault(m.name) || m.running() == nil {
 			continue
 		}
-		m.stop(end{off: true})
-		f.during(m, length+f.between(0, 1500), m.start)
+		m.stop(shutdown{powerLost: true})
+		f.schedule(m, length+f.randomDuration(0, 1500), m.start)
 	}
 }
 
-func (f *faults) freeze(m *machine) {
+func (f *faultInjector) freeze(m *machine) {
 	p := m.running()
-	length := f.between(300, 6000)
-	f.world.note("%s freezes for %s", m.name, length)
+	length := f.randomDuration(300, 6000)
+	f.world.tracef("%s freezes for %s", m.name, length)
 	p.freeze()
-	f.during(m, length, p.thaw)
+	f.schedule(m, length, p.thaw)
 }
 
 // cutLinks cuts some or all links of a machine, in one direction or both.
-func (f *faults) cutLinks(m *machine, all bool) {
+func (f *faultInjector) cutLinks(m *machine, all bool) {
 	w := f.world
 	ends := []string{controlName, workersName, clientName}
 	for _, other := range w.machines {
@@ -280,65 +279,65 @@
 		both := w.random.IntN(2) == 0
 		outward := w.random.IntN(2) == 0
 		if all || both || outward {
-			heals = append(heals, w.cut(m.name, name))
+			heals = append(heals, w.cutLink(m.name, name))
 			cut += " >" + name
 		}
 		if all || both || !outward {
-			heals = append(heals, w.cut(name, m.name))
+			heals = append(heals, w.cutLink(name, m.name))
 			cut += " <" + name
 		}
 	}
-	length := f.between(300, 5000)
-	w.note("%s is cut off for %s:%s", m.name, length, cut)
-	f.during(m, length, func() {
+	length := f.randomDuration(300, 5000)
+	w.tracef("%s is cut off for %s:%s", m.name, length, cut)
+	f.schedule(m, length, func() {
 		for _, heal := range heals {
 			heal()
 		}
 	})
 }
 
-// handOver ends a process as planned, which is no trouble, and starts it again.
-func (f *faults) handOver(m *machine) {
+// handOver stops a process gracefully, which is not a fault, and starts it again.
+func (f *faultInjector) handOver(m *machine) {
 	p := m.running()
-	f.world.note("%s leaves", m.name)
+	f.world.tracef("%s hands over", m.name)
 	finished := make(chan struct{})
 	go func() { p.node.HandOver(); close(finished) }()
-	f.open = append(f.open, &openFault{until: time.Now().Add(6 * time.Second), busy: m.name, done: func() {}, heal: func() {
+	f.active = append(f.active, &activeFault{endsAt: time.Now().Add(6 * time.Second), machineName: m.name, done: func() {}, heal: func() {
 		select {
 		case <-finished:
 		default:
-			f.world.note("%s is killed while it leaves", m.name)
-			f.world.ledger.faultBegins()()
+			f.world.tracef("%s is killed during its handover", m.name)
+			f.world.checker.beginFault()()
 		}
 		if m.running() == p {
-			m.stop(end{})
+			m.stop(shutdown{})
 		}
 		m.start()
 	}})
 }
 
-func (f *faults) lossy() {
+func (f *faultInjector) loseCalls() {
 	w := f.world
 	w.mutex.Lock()
-	w.lossy = 0.02 + 0.2*w.random.Float64()
+	w.lossRate = 0.02 + 0.2*w.random.Float64()
 	w.mutex.Unlock()
-	w.note("calls are lost")
-	f.during(w.machines[0], f.between(300, 4000), func() {
+	w.tracef("calls are lost")
+	f.schedule(w.machines[0], f.randomDuration(300, 4000), func() {
 		w.mutex.Lock()
-		w.lossy = 0
+		w.lossRate = 0
 		w.mutex.Unlock()
 	})
 }
 
-func (f *faults) slow(m *machine) {
+func (f *faultInjector) slowLinks(m *machine) {
 	w := f.world
 	w.mutex.Lock()
-	w.slow = m.name
+	w.slowMachine = m.name
 	w.mutex.Unlock()
-	w.note("%s is slow", m.name)
-	f.during(m, f.between(300, 4000), func() {
+	w.tracef("%s is slow", m.name)
+	f.schedule(m, f.randomDuration(300, 4000), func() {
 		w.mutex.Lock()
-		w.slow = ""
+		w.slowMachine = ""
 		w.mutex.Unlock()
 	})
 }
--- a/internal/storenode/sim_test.go
+++ b/internal/storenode/sim_test.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	simSeedVariable = "STORENODE_SEED"  // runs this one seed
-	simCountSeeds   = "STORENODE_SEEDS" // runs so many seeds
-	simSeeds        = 24
-	simSeedsShort   = 4
-	simSendEvery    = 25 * time.Millisecond
-	simFinish       = 60 * time.Second // within which all accepted messages end once the faults are over
-	simDrain        = time.Minute      // within which all goroutines end
-	simForgetSlack  = 20 * time.Second // within which all copies have learnt it
+	simSeedEnv         = "STORENODE_SEED"  // runs this seed only
+	simSeedCountEnv    = "STORENODE_SEEDS" // number of seeds to run
+	simSeedCount       = 24
+	simShortSeedCount  = 4
+	simSendInterval    = 25 * time.Millisecond
+	simFinishTimeout   = 60 * time.Second // for all accepted messages to end after the last fault
+	simDrainTime       = time.Minute      // for all goroutines to end
+	simPropagationTime = 20 * time.Second // for all holders to receive the final states
 )
 
-// TestSimulation drives stores through faults drawn from a seed, and checks the rules.
+// TestSimulation runs stores under faults drawn from a seed and checks the delivery guarantees (see checker).
 func TestSimulation(t *testing.T) {
 	for _, seed := range seedsToRun(t) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -34,7 +34,7 @@
 				size.stores, size.tolerance = 5, 2
 			}
 			if seed%5 == 4 {
-				size.diskMb = 1 // so that logs are rewritten
+				size.diskMb = 1 // small enough that logs are rewritten
 			}
 			synctest.Test(t, func(t *testing.T) { simulate(t, seed, directory, size) })
 		})
@@ -42,18 +42,18 @@
 }
 
 func seedsToRun(t *testing.T) []uint64 {
-	if value := os.Getenv(simSeedVariable); value != "" {
+	if value := os.Getenv(simSeedEnv); value != "" {
 		seed, err := strconv.ParseUint(value, 10, 64)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return []uint64{seed}
 	}
-	count := simSeeds
+	count := simSeedCount
 	if raceEnabled || testing.Short() {
-		count = simSeedsShort
+		count = simShortSeedCount
 	}
-	if value, err := strconv.Atoi(os.Getenv(simCountSeeds)); err == nil {
+	if value, err := strconv.Atoi(os.Getenv(simSeedCountEnv)); err == nil {
 		count = value
 	}
 	seeds := make([]uint64, count)
@@ -66,113 +66,113 @@
 func simulate(t *testing.T, seed uint64, directory string, size scale) {
 	w := newWorld(t, seed, directory, size)
 	time.Sleep(3 * time.Second)
-	w.traffic()
-	w.healAll()
-	w.finish()
-	w.end()
+	w.runTraffic()
+	w.restartAll()
+	w.awaitCompletion()
+	w.shutdown()
 	w.report()
 }
 
-// end stops everything and waits until all goroutines are gone: time stands still once the first one has ended.
-func (w *world) end() {
+// shutdown stops everything and waits until all goroutines have ended: the time of the bubble stops once its first goroutine has ended.
+func (w *world) shutdown() {
 	w.cancel()
 	for _, m := range w.machines {
-		m.stop(end{})
+		m.stop(shutdown{})
 	}
-	time.Sleep(simDrain)
+	time.Sleep(simDrainTime)
 }
 
-// traffic sends the load and injects the faults.
-func (w *world) traffic() {
-	faults := newFaults(w)
+// runTraffic sends the messages and injects the faults.
+func (w *world) runTraffic() {
+	faults := newFaultInjector(w)
 	stop := time.Now().Add(w.scale.traffic)
 	dropAt := time.Now().Add(time.Duration(w.random.Int64N(int64(w.scale.traffic))))
 	for number := 0; time.Now().Before(stop); number++ {
 		w.send(number)
 		faults.step()
-		if w.ledger.dropAt.IsZero() && time.Now().After(dropAt) {
+		if w.checker.routeDroppedAt.IsZero() && time.Now().After(dropAt) {
 			w.dropRoute()
 		}
-		time.Sleep(simSendEvery/2 + time.Duration(w.random.Int64N(int64(simSendEvery))))
+		time.Sleep(simSendInterval/2 + time.Duration(w.random.Int64N(int64(simSendInterval))))
 	}
 	faults.endAll()
 }
 
 func (w *world) dropRoute() {
-	w.ledger.mutex.Lock()
-	w.ledger.dropAt = time.Now()
-	w.ledger.mutex.Unlock()
+	w.checker.mutex.Lock()
+	w.checker.routeDroppedAt = time.Now()
+	w.checker.mutex.Unlock()
 	w.control.dropRoute()
-	w.note("route dropped")
+	w.tracef("route dropped")
 }
 
-// healAll starts what does not run.
-func (w *world) healAll() {
+// restartAll starts the stores that are not running.
+func (w *world) restartAll() {
 	for _, m := range w.machines {
 		if m.running() == nil {
 			m.start()
 		}
 	}
-	w.note("all faults are over")
+	w.tracef("all faults are over")
 }
 
-// finish waits until no request is open, every accepted message has ended and all stores know it.
-func (w *world) finish() {
+// awaitCompletion waits until no request is open, every accepted message has ended, and all stores know that.
+func (w *world) awaitCompletion() {
 	w.requests.Wait()
-	deadline := time.Now().Add(simFinish)
-	for w.unfinished() > 0 && time.Now().Before(deadline) {
+	deadline := time.Now().Add(simFinishTimeout)
+	for w.countUnfinished() > 0 && time.Now().Before(deadline) {
 		time.Sleep(500 * time.Millisecond)
 	}
-	w.note("unfinished: %d", w.unfinished())
+	w.tracef("unfinished: %d", w.countUnfinished())
 	w.checkMessages()
-	time.Sleep(simForgetSlack)
+	time.Sleep(simPropagationTime)
 	w.checkTables()
 }
 
-func (w *world) unfinished() int {
-	l := w.ledger
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+func (w *world) countUnfinished() int {
+	c := w.checker
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	count := 0
-	for _, m := range l.messages {
-		if !m.acceptedAt.IsZero() && !l.hasEnded(m) {
+	for _, m := range c.messages {
+		if !m.acceptedAt.IsZero() && !c.hasEnded(m) {
 			count++
 		}
 	}
 	return count
 }
 
-// checkMessages looks up everything that was accepted.
+// checkMessages looks up every message and checks the answers.
 func (w *world) checkMessages() {
-	l := w.ledger
-	for _, m := range l.messages {
+	c := w.checker
+	for _, m := range c.messages {
 		reply := w.lookup(m, false)
-		l.checkState(m, reply)
+		c.checkState(m, reply)
 		if m.acceptedAt.IsZero() {
 			continue
 		}
-		l.mutex.Lock()
-		ended := l.hasEnded(m)
-		l.mutex.Unlock()
+		c.mutex.Lock()
+		ended := c.hasEnded(m)
+		c.mutex.Unlock()
 		if reply.State == rpc.State_QUEUED {
 			reply = w.lookup(m, true)
-			l.checkState(m, reply)
+			c.checkState(m, reply)
 		}
-		l.mutex.Lock()
+		c.mutex.Lock()
 		if !ended {
-			l.violate("STRANDED", m, "it has not ended; %d starts, %s", m.starts, w.where(m))
+			c.violate("STRANDED", m, "it has not ended; %d runs, %s", m.runs, w.describe(m))
 		}
 		if !reply.Found {
-			l.violate("LOST", m, "no store knows it, ended: %t", ended)
+			c.violate("LOST", m, "no store knows it, ended: %t", ended)
 		} else if reply.State == rpc.State_QUEUED && !reply.HasBody && !ended {
-			l.violate("LOST", m, "its body is gone")
+			c.violate("LOST", m, "its body is gone")
 		}
-		l.mutex.Unlock()
+		c.mutex.Unlock()
 	}
 }
 
-// where tells what each store knows of a message.
-func (w *world) where(m *sent) string {
+// describe returns what each store knows of a message.
+func (w *world) describe(m *sentMessage) string {
 	var parts []string
 	for _, each := range w.machines {
 		p := each.process
@@ -194,11 +194,11 @@
 	return strings.Join(parts, "; ")
 }
 
-// checkTables checks that no store still holds a message that it believes queued.
+// checkTables checks that no store still holds a message as queued.
 func (w *world) checkTables() {
 	for _, each := range w.machines {
 		if each.process == nil {
-			continue // taken away
+			continue // removed for good
 		}
 		var names []string
 		each.process.node.do(func() {
@@ -209,35 +209,35 @@
 			})
 		})
 		for _, name := range names {
-			w.ledger.mutex.Lock()
-			m := w.ledger.messages[name]
-			w.ledger.violate("FORGOTTEN", m, "%s holds it as queued after %d runs, ended %t: %s", each.name, m.starts,
-				w.ledger.hasEnded(m), w.where(m))
-			w.ledger.mutex.Unlock()
+			w.checker.mutex.Lock()
+			m := w.checker.messages[name]
+			w.checker.violate("FORGOTTEN", m, "%s holds it as queued after %d runs, ended %t: %s", each.name, m.runs,
+				w.checker.hasEnded(m), w.describe(m))
+			w.checker.mutex.Unlock()
 		}
 	}
 }
 
-// report fails the test where a rule was broken.
+// report fails the test if a guarantee was violated.
 func (w *world) report() {
-	l := w.ledger
+	c := w.checker
 	accepted, refused, runs := 0, 0, 0
-	for _, m := range l.messages {
+	for _, m := range c.messages {
 		if !m.acceptedAt.IsZero() {
 			accepted++
 		}
 		if m.refused {
 			refused++
 		}
-		runs += m.starts
+		runs += m.runs
 	}
 	w.t.Logf("seed %d: %d messages, %d accepted, %d refused, %d runs, emptied and taken away: %t, %d violations", w.seed,
-		len(l.messages), accepted, refused, runs, w.control.hasRetired(), len(l.violations))
-	if len(l.violations) == 0 {
-		if accepted < len(l.messages)/3 {
-			w.t.Errorf("seed %d: only %d of %d messages were accepted\n%s", w.seed, accepted, len(l.messages), strings.Join(w.trace, "\n"))
+		len(c.messages), accepted, refused, runs, w.control.hasRetired(), len(c.violations))
+	if len(c.violations) == 0 {
+		if accepted < len(c.messages)/3 {
+			w.t.Errorf("seed %d: only %d of %d messages were accepted\n%s", w.seed, accepted, len(c.messages), strings.Join(w.trace, "\n"))
 		}
 		return
 	}
-	w.t.Errorf("seed %d:\n%s\n%s", w.seed, strings.Join(l.violations[:min(12, len(l.violations))], "\n"), strings.Join(w.trace, "\n"))
+	w.t.Errorf("seed %d:\n%s\n%s", w.seed, strings.Join(c.violations[:min(12, len(c.violations))], "\n"), strings.Join(w.trace, "\n"))
 }
--- a/internal/storenode/sim_worker_test.go
+++ b/internal/storenode/sim_worker_test.go
@@ -9,7 +9,7 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// Bounds of the simulated routes.
+// Limits of the simulated routes.
 const (
 	simRetries        = 3
 	simRetention      = 300 * time.Second
@@ -17,24 +17,24 @@
 	simTimeout        = 1200 * time.Millisecond // of one attempt
 )
 
-// fakeEngine plays the delivery engine of one process, and the workers that it calls.
+// fakeEngine simulates the delivery engine of one process and the workers that it calls.
 type fakeEngine struct {
 	process *process
 }
 
-// SetCatalog implements engine.
+// SetCatalog implements Engine.
 func (e *fakeEngine) SetCatalog(uint64, *catalog.Config) {}
 
-// SetWorkers implements engine.
+// SetWorkers implements Engine.
 func (e *fakeEngine) SetWorkers([]*rpc.Worker) {}
 
-// SetDispatchers implements engine.
+// SetDispatchers implements Engine.
 func (e *fakeEngine) SetDispatchers(int) {}
 
-// Close implements engine.
+// Close implements Engine.
 func (e *fakeEngine) Close() {}
 
-// Submit implements engine.
+// Submit implements Engine.
 func (e *fakeEngine) Submit(job *delivery.Job, guard func() bool, done func(delivery.Outcome)) {
 	go func() {
 		outcome := e.attempt(job, guard)
@@ -42,13 +42,13 @@
 			return
 		}
 		if outcome.Kind == delivery.Succeeded {
-			e.process.world.ledger.knowSuccess(job.Name)
+			e.process.world.checker.recordSuccessSeen(job.Name)
 		}
 		done(outcome)
 	}()
 }
 
-// attempt sends a job to a worker and waits for its answer.
+// attempt sends a job to a worker and returns the outcome.
 func (e *fakeEngine) attempt(job *delivery.Job, guard func() bool) delivery.Outcome {
 	p := e.process
 	w, name := p.world, p.machine.name
@@ -60,8 +60,8 @@
 		time.Sleep(simTimeout)
 		return delivery.Outcome{}
 	}
-	w.ledger.checkOwner(job, p)
-	outcome := w.ledger.work(job, name)
+	w.checker.checkOwner(job, p)
+	outcome := w.checker.runWorker(job, name)
 	if p.awaitThaw() && w.isCut(workersName, name) {
 		time.Sleep(simTimeout)
 		return delivery.Outcome{}
@@ -69,10 +69,10 @@
 	return outcome
 }
 
-// work plays a worker that gets a job. It returns what the sender learns.
-func (l *ledger) work(job *delivery.Job, sender string) delivery.Outcome {
-	w := l.world
-	x := w.draw(job.Name, "outcome")
+// runWorker simulates a worker that receives a job. It returns the outcome as the sender sees it.
+func (c *checker) runWorker(job *delivery.Job, sender string) delivery.Outcome {
+	w := c.world
+	x := w.drawRandom(job.Name, "outcome")
 	switch {
 	case x < 0.04:
 		return delivery.Outcome{Kind: delivery.NotRun, RetryAfter: 20 * time.Millisecond}
@@ -80,26 +80,26 @@
 		time.Sleep(simTimeout / 2)
 		return delivery.Outcome{}
 	}
-	attempt := l.start(job, sender)
-	time.Sleep(5*time.Millisecond + time.Duration(w.draw(job.Name, "run")*float64(60*time.Millisecond)))
-	kind := l.verdict(job.Name, attempt)
+	attempt := c.recordRun(job, sender)
+	time.Sleep(5*time.Millisecond + time.Duration(w.drawRandom(job.Name, "run")*float64(60*time.Millisecond)))
+	kind := c.workerOutcome(job.Name, attempt)
 	stamp := ""
 	if kind == delivery.Succeeded {
 		stamp = fmt.Sprintf("%s.%d", job.Name, attempt)
 	}
-	l.answered(job.Name, kind, stamp)
-	if w.draw(job.Name, "lost") < 0.03 {
+	c.recordAnswer(job.Name, kind, stamp)
+	if w.drawRandom(job.Name, "lost") < 0.03 {
 		time.Sleep(simTimeout)
 		return delivery.Outcome{}
 	}
 	return delivery.Outcome{Kind: kind, Stamp: stamp}
 }
 
-// verdict decides what a worker says to the attempt of a message.
-func (l *ledger) verdict(name string, attempt int) delivery.OutcomeKind {
-	l.mutex.Lock()
-	nature := l.messages[name].nature
-	l.mutex.Unlock()
+// workerOutcome returns the answer of a worker to an attempt of a message.
+func (c *checker) workerOutcome(name string, attempt int) delivery.OutcomeKind {
+	c.mutex.Lock()
+	nature := c.messages[name].outcomeDraw
+	c.mutex.Unlock()
 	switch {
 	case nature < 0.03:
 		return delivery.Rejected
--- a/internal/storenode/sim_world_test.go
+++ b/internal/storenode/sim_world_test.go
@@ -19,7 +19,7 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// Names of the ends of links that are no store.
+// Names of the endpoints that are not stores.
 const (
 	controlName = "control"
 	workersName = "workers"
@@ -31,27 +31,27 @@
 	errReset   = errors.New("simulation: connection reset")
 )
 
-// world is one simulated deployment: stores that run the real code, and stand-ins for all else. The seed decides the
-// load, the faults, the latencies and the workers' answers; the order of goroutines at one moment stays the scheduler's.
+// world is a simulated deployment: stores that run the real code, and fakes for everything else. The seed determines the load, the faults,
+// the latencies and the workers' answers; the order of goroutines that run at the same moment is up to the scheduler.
 type world struct {
 	t         *testing.T
 	seed      uint64
-	random    *rand.Rand // of the driver goroutine
+	random    *rand.Rand // used by the driver goroutine only
 	scale     scale
 	directory string
 	started   time.Time
 	control   *controlPlane
-	ledger    *ledger
+	checker   *checker
 	ctx       context.Context
 	cancel    context.CancelFunc
-	requests  sync.WaitGroup // of clients, until each has its answer or its time is over
-
-	mutex    sync.Mutex
-	machines []*machine
-	cuts     map[[2]string]int // links that carry nothing, by sender and receiver
-	lossy    float64           // share of calls of which the request or the answer is lost
-	slow     string            // machine whose links are slow
-	trace    []string
+	requests  sync.WaitGroup // of clients; done once answered or timed out
+
+	mutex       sync.Mutex
+	machines    []*machine
+	cuts        map[[2]string]int // by sender and receiver: number of faults that cut the link
+	lossRate    float64           // fraction of calls whose request or response is lost
+	slowMachine string            // machine whose links have a high latency
+	trace       []string
 }
 
 // scale is the size of a simulation.
@@ -63,38 +63,38 @@
 	diskMb     int
 }
 
-// machine is one machine of a store. It outlives processes and disks.
+// machine is a host of a store. It outlives processes and disks.
 type machine struct {
-	world    *world
-	name     string
-	zone     string
-	address  string
-	settings *settings.Settings
-	disks    int           // directories made so far
-	process  *process      // nil while none runs; guarded by world.mutex
-	stalled  chan struct{} // the disk answers nothing until it is closed; nil while it does; guarded by world.mutex
-	gone     bool          // taken away for good
-	off      bool          // without power: nothing is refused, all is silent
+	world     *world
+	name      string
+	zone      string
+	address   string
+	settings  *settings.Settings
+	diskCount int           // directories created so far
+	process   *process      // nil while none is running; guarded by world.mutex
+	stalled   chan struct{} // nil unless the disk is stalled; closed when it recovers; guarded by world.mutex
+	removed   bool          // removed for good
+	powerLost bool          // powered off: connections are not refused, but get no answer
 }
 
-// process is one life of a store.
+// process is one run of a store on a machine.
 type process struct {
 	world   *world
 	machine *machine
 	node    *Node
 	cluster *fakeCluster
-	dead    chan struct{} // closed when it is killed
+	killed  chan struct{} // closed when the process is killed
 
-	mutex  sync.Mutex
-	thawed chan struct{} // nil while it is not frozen
-	synced int64         // bytes of the log that a sync has covered
+	mutex       sync.Mutex
+	thawed      chan struct{} // nil unless the process is frozen; closed when it is thawed
+	syncedBytes int64         // length of the log that a sync has covered
 }
 
 func newWorld(t *testing.T, seed uint64, directory string, size scale) *world {
 	w := &world{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), scale: size, directory: directory,
 		started: time.Now(), cuts: map[[2]string]int{}}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
-	w.ledger = newLedger(w)
+	w.checker = newChecker(w)
 	w.control = newControlPlane(w)
 	zones := []string{"a", "b", "c"}
 	for i := range size.stores {
@@ -114,16 +114,16 @@
 	return w
 }
 
-// note adds a line to the trace that a failure prints.
-func (w *world) note(format string, values ...any) {
+// tracef adds a line to the trace, which is printed on failure.
+func (w *world) tracef(format string, values ...any) {
 	line := fmt.Sprintf("%8.3f ", time.Since(w.started).Seconds()) + fmt.Sprintf(format, values...)
 	w.mutex.Lock()
 	w.trace = append(w.trace, line)
 	w.mutex.Unlock()
 }
 
-// draw returns a number in [0, 1) that depends on the seed, the values and the moment alone.
-func (w *world) draw(values ...any) float64 {
+// drawRandom returns a number in [0, 1) that depends only on the seed, the values and the simulated time.
+func (w *world) drawRandom(values ...any) float64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, w.seed, time.Since(w.started), values)
 	x := h.Sum64()
@@ -139,8 +139,8 @@
 	return w.cuts[[2]string{from, to}] > 0
 }
 
-// cut stops what goes from one end to the other; it returns the function that heals the link.
-func (w *world) cut(from, to string) func() {
+// cutLink drops all messages from one endpoint to the other. It returns the function that restores the link.
+func (w *world) cutLink(from, to string) func() {
 	key := [2]string{from, to}
 	w.mutex.Lock()
 	w.cuts[key]++
@@ -152,15 +152,15 @@
 	}
 }
 
-// latency is that of one leg of a call.
+// latency returns the latency of a request or a response.
 func (w *world) latency(from, to, method string) time.Duration {
-	x := w.draw(from, to, method)
+	x := w.drawRandom(from, to, method)
 	latency := 300*time.Microsecond + time.Duration(x*float64(2*time.Millisecond))
-	if tail := w.draw(from, to, method, "tail"); tail < 0.03 {
+	if tail := w.drawRandom(from, to, method, "tail"); tail < 0.03 {
 		latency += time.Duration(tail / 0.03 * float64(60*time.Millisecond))
 	}
 	w.mutex.Lock()
-	slow := w.slow == from || w.slow == to
+	slow := w.slowMachine == from || w.slowMachine == to
 	w.mutex.Unlock()
 	if slow {
 		latency += time.Duration(x * float64(400*time.Millisecond))
@@ -171,9 +171,9 @@
 // losesCall reports whether a call is lost on this leg.
 func (w *world) losesCall(from, to, leg string) bool {
 	w.mutex.Lock()
-	lossy := w.lossy
+	lossy := w.lossRate
 	w.mutex.Unlock()
-	return lossy > 0 && w.draw(from, to, leg, "lost") < lossy
+	return lossy > 0 && w.drawRandom(from, to, leg, "lost") < lossy
 }
 
 func (w *world) machineAt(address string) *machine {
@@ -185,15 +185,15 @@
 	return nil
 }
 
-// reach returns the process at the end of a link, an error where the connection is refused, or silence.
-func (w *world) reach(from, address string) (p *process, err error, silent bool) {
+// resolve returns the process at an address. It returns an error if the connection is refused, and silent if no answer will come.
+func (w *world) resolve(from, address string) (p *process, err error, silent bool) {
 	m := w.machineAt(address)
 	if m == nil {
 		return nil, errRefused, false
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if m.off || w.cuts[[2]string{from, m.name}] > 0 {
+	if m.powerLost || w.cuts[[2]string{from, m.name}] > 0 {
 		return nil, nil, true
 	}
 	if m.process == nil {
@@ -202,8 +202,8 @@
 	return m.process, nil, false
 }
 
-// remote is one call to a store.
-type remote[T any] struct {
+// remoteCall is one call to a store.
+type remoteCall[T any] struct {
 	world   *world
 	from    string
 	caller  *process // nil for clients
@@ -212,22 +212,22 @@
 	serve   func(context.Context, *process) (T, error)
 }
 
-type answer[T any] struct {
+type callResult[T any] struct {
 	value T
 	err   error
 }
 
-// call carries a call out, and returns at the latest when ctx ends.
-func (r *remote[T]) call(ctx context.Context) (T, error) {
+// call performs the call. It returns when ctx ends at the latest.
+func (r *remoteCall[T]) call(ctx context.Context) (T, error) {
 	var none T
 	if r.caller != nil {
 		if !r.caller.awaitThaw() {
 			return none, errReset
 		}
 	}
-	answers := make(chan answer[T], 1)
-	go r.travel(ctx, answers)
-	result := answer[T]{}
+	answers := make(chan callResult[T], 1)
+	go r.deliver(ctx, answers)
+	result := callResult[T]{}
 	select {
 	case result = <-answers:
 	case <-ctx.Done():
@@ -241,29 +241,29 @@
 	return result.value, result.err
 }
 
-// travel sends the answer to a call, or nothing where the caller hears nothing.
-func (r *remote[T]) travel(ctx context.Context, answers chan<- answer[T]) {
+// deliver sends the response to a call, or nothing if the request or the response is lost.
+func (r *remoteCall[T]) deliver(ctx context.Context, answers chan<- callResult[T]) {
 	w := r.world
 	time.Sleep(w.latency(r.from, r.address, r.method))
-	p, err, silent := w.reach(r.from, r.address)
+	p, err, silent := w.resolve(r.from, r.address)
 	if silent || w.losesCall(r.from, r.address, "request") {
 		return
 	}
 	if err != nil {
-		answers <- answer[T]{err: err}
+		answers <- callResult[T]{err: err}
 		return
 	}
 	if !p.awaitThaw() {
-		answers <- answer[T]{err: errReset}
+		answers <- callResult[T]{err: errReset}
 		return
 	}
 	value, err := r.serve(ctx, p)
 	if !p.awaitThaw() {
 		w.mutex.Lock()
-		off := p.machine.off
+		off := p.machine.powerLost
 		w.mutex.Unlock()
 		if !off {
-			answers <- answer[T]{err: errReset}
+			answers <- callResult[T]{err: errReset}
 		}
 		return
 	}
@@ -271,83 +271,83 @@
 		return
 	}
 	time.Sleep(w.latency(r.address, r.from, r.method))
-	answers <- answer[T]{value: value, err: err}
+	answers <- callResult[T]{value: value, err: err}
 }
 
-// newDisk makes an empty directory.
+// newDisk replaces the data directory by an empty one.
 func (m *machine) newDisk() {
-	m.disks++
-	m.settings.DataDir = filepath.Join(m.world.directory, fmt.Sprintf("%s-%d", m.name, m.disks))
+	m.diskCount++
+	m.settings.DataDir = filepath.Join(m.world.directory, fmt.Sprintf("%s-%d", m.name, m.diskCount))
 	if err := os.MkdirAll(m.settings.DataDir, 0o755); err != nil {
 		panic(err)
 	}
 }
 
-// start begins a life of the store.
+// start starts a new process of the store.
 func (m *machine) start() {
 	w := m.world
-	if m.gone {
+	if m.removed {
 		return
 	}
-	p := &process{world: w, machine: m, dead: make(chan struct{})}
+	p := &process{world: w, machine: m, killed: make(chan struct{})}
 	node, err := Open(Options{Settings: m.settings, Log: logr.Discard(), AroundSync: p.sync})
 	if err != nil {
 		panic(err)
 	}
 	p.node = node
-	node.draw = func(n int) int { return int(w.draw(m.name, "draw", n) * float64(n)) }
+	node.drawRandom = func(n int) int { return int(w.drawRandom(m.name, "draw", n) * float64(n)) }
 	p.cluster = newFakeCluster(p)
 	w.mutex.Lock()
-	m.process, m.off = p, false
+	m.process, m.powerLost = p, false
 	w.mutex.Unlock()
-	node.connect(p.cluster, &fakeEngine{process: p})
+	node.startWith(p.cluster, &fakeEngine{process: p})
 	p.cluster.run()
-	w.note("%s starts, disk %s, incarnation %s", m.name, node.disk[:4], node.incarnation[:4])
+	w.tracef("%s starts, disk %s, incarnation %s", m.name, node.disk[:4], node.incarnation[:4])
 }
 
-// end describes how a process ends.
-type end struct {
-	off      bool // power is lost: what was not synced may be gone, and calls get no answer
-	loseDisk bool
+// shutdown describes how a process ends.
+type shutdown struct {
+	powerLost bool // unsynced data may be lost, and calls get no answer
+	loseDisk  bool
 }
 
-// stop ends the process as given. The driver goroutine alone calls it.
-func (m *machine) stop(how end) {
+// stop ends the process in the given way. Only the driver goroutine calls it.
+func (m *machine) stop(how shutdown) {
 	synctest.Wait()
 	w := m.world
 	w.mutex.Lock()
 	p := m.process
-	m.process, m.off = nil, how.off
+	m.process, m.powerLost = nil, how.powerLost
 	w.mutex.Unlock()
 	if p == nil {
 		return
 	}
-	content, err := os.ReadFile(filepath.Join(m.settings.DataDir, logName))
+	content, err := os.ReadFile(filepath.Join(m.settings.DataDir, logFileName))
 	if err != nil {
 		panic(err)
 	}
 	m.newDisk()
-	if how.off {
-		content = p.tear(content, w.random)
+	if how.powerLost {
+		content = p.tearLog(content, w.random)
 	}
 	if !how.loseDisk {
-		if err := os.WriteFile(filepath.Join(m.settings.DataDir, logName), content, 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(m.settings.DataDir, logFileName), content, 0o644); err != nil {
 			panic(err)
 		}
 	}
 	p.thaw()
-	close(p.dead)
+	close(p.killed)
 	go func() { _ = p.node.Close() }()
-	w.note("%s stops, power lost %t, disk lost %t, %d bytes", m.name, how.off, how.loseDisk, len(content))
+	w.tracef("%s stops, power lost %t, disk lost %t, %d bytes", m.name, how.powerLost, how.loseDisk, len(content))
 }
 
-// tear drops some of what was not synced before an answer was given, and may leave noise in its place.
-func (p *process) tear(content []byte, random *rand.Rand) []byte {
+// tearLog drops part of the data that was not synced, and may leave random bytes in its place.
+func (p *process) tearLog(content []byte, random *rand.Rand) []byte {
 	p.mutex.Lock()
-	synced := p.synced
+	synced := p.syncedBytes
 	p.mutex.Unlock()
 	length := int64(len(content))
-	if synced >= length || p.world.scale.diskMb < 8 { // a small log is rewritten: where it was synced is not known
+	if synced >= length || p.world.scale.diskMb < 8 { // a small log is rewritten, so the synced length is not known
 		return content
 	}
 	kept := synced + random.Int64N(length-synced+1)
@@ -361,8 +361,8 @@
 	return torn
 }
 
-// sync takes the time of a disk, and notes what the log's file holds for good after it. What is appended while it takes its time
-// waits for the next one.
+// sync simulates the time of a sync and records the length of the log that it has made durable. Data appended in the meantime waits for the
+// next sync.
 func (p *process) sync(commit func() error) error {
 	w, m := p.world, p.machine
 	time.Sleep(w.syncTime(m.name))
@@ -372,33 +372,33 @@
 	if stalled != nil {
 		select {
 		case <-stalled:
-		case <-p.dead:
+		case <-p.killed:
 		}
 	}
-	if p.isDead() {
-		return errReset // it lost power, or was killed, before the disk was written
+	if p.isKilled() {
+		return errReset // lost power or was killed before the data was written
 	}
 	err := commit()
-	info, statErr := os.Stat(filepath.Join(m.settings.DataDir, logName))
+	info, statErr := os.Stat(filepath.Join(m.settings.DataDir, logFileName))
 	if err == nil && statErr == nil {
 		p.mutex.Lock()
-		p.synced = info.Size()
+		p.syncedBytes = info.Size()
 		p.mutex.Unlock()
 	}
 	return err
 }
 
-// syncTime is how long a sync takes.
+// syncTime returns the duration of a sync.
 func (w *world) syncTime(name string) time.Duration {
-	x := w.draw(name, "sync")
+	x := w.drawRandom(name, "sync")
 	if x < 0.1 {
 		return time.Duration(x / 0.1 * float64(40*time.Millisecond))
 	}
 	return time.Duration(x * float64(3*time.Millisecond))
 }
 
-// stall has the disk of a machine answer nothing until the function returned is called.
-func (m *machine) stall() (heal func()) {
+// stallDisk makes the disk of a machine stop responding until the returned function is called.
+func (m *machine) stallDisk() (heal func()) {
 	stalled := make(chan struct{})
 	m.world.mutex.Lock()
 	defer m.world.mutex.Unlock()
@@ -411,29 +411,29 @@
 	}
 }
 
-func (p *process) isDead() bool {
+func (p *process) isKilled() bool {
 	select {
-	case <-p.dead:
+	case <-p.killed:
 		return true
 	default:
 		return false
 	}
 }
 
-// awaitThaw waits while the process is frozen. It reports false for a process that has ended.
+// awaitThaw waits while the process is frozen. It returns false if the process has ended.
 func (p *process) awaitThaw() bool {
 	for {
 		p.mutex.Lock()
 		thawed := p.thawed
 		p.mutex.Unlock()
 		if thawed == nil {
-			return !p.isDead()
+			return !p.isKilled()
 		}
 		<-thawed
 	}
 }
 
-// freeze has the process stand still: its calls, those that it serves, and its owner goroutine.
+// freeze suspends the process: the calls that it makes, those that it serves, and its event loop goroutine.
 func (p *process) freeze() {
 	thawed := make(chan struct{})
 	p.mutex.Lock()
--- a/internal/storenode/takeover.go
+++ b/internal/storenode/takeover.go
@@ -9,120 +9,125 @@
 )
 
 const (
-	gatherWithin = time.Second            // for one store's answer
-	gatherGrace  = 300 * time.Millisecond // that missing stores are waited for once enough have answered
-	gatherPause  = 50 * time.Millisecond  // between tries at one store
-	gatherMost   = 20 * time.Second       // that missing stores are asked on in the background
-	gatherCheck  = 500 * time.Millisecond // between looks for stores that came, and for a newer owner
+	gatherTimeout       = time.Second            // for the answer of one store, or of the control plane to a release
+	gatherGracePeriod   = 300 * time.Millisecond // how long missing stores are waited for once enough have answered
+	gatherRetryDelay    = 50 * time.Millisecond  // between attempts to query one store
+	gatherMaxDuration   = 20 * time.Second       // how long one query goroutine retries
+	gatherCheckInterval = 500 * time.Millisecond // between checks for new stores and for a newer owner
 )
 
-// applyMap takes over, pauses, resumes and gives up partitions as the table of the control plane says.
-func (n *Node) applyMap(view *rpc.MapView) {
-	var taken []*rpc.PartitionEpoch
-	for id, ownership := range view.Partitions {
+// applyMap acquires, pauses, resumes and drops partitions as the map assigns them.
+func (n *Node) applyMap(partitionMap *rpc.MapView) {
+	var assigned []*rpc.PartitionEpoch
+	for id, ownership := range partitionMap.Partitions {
 		partition := uint32(id)
 		owned := n.table.OwnedEpoch(partition)
-		mine := ownership.Node == n.settings.Node && ownership.Incarnation == n.incarnation
+		isMine := ownership.Node == n.settings.Node && ownership.Incarnation == n.incarnation
 		switch {
-		case mine && ownership.Epoch > owned:
-			n.own(partition, ownership.Epoch)
-			taken = append(taken, &rpc.PartitionEpoch{Partition: partition, Epoch: ownership.Epoch})
-		case !mine && owned > 0:
-			n.disown(partition)
+		case isMine && ownership.Epoch > owned:
+			n.acquirePartition(partition, ownership.Epoch)
+			assigned = append(assigned, &rpc.PartitionEpoch{Partition: partition, Epoch: ownership.Epoch})
+		case !isMine && owned > 0:
+			n.dropPartition(partition)
 		}
-		if mine && ownership.Releasing {
-			n.pause(partition)
-		} else if mine {
-			n.resume(partition)
+		if isMine && ownership.Releasing {
+			n.pausePartition(partition)
+		} else if isMine {
+			n.resumePartition(partition)
 		}
 	}
-	if len(taken) > 0 {
-		n.underCopied.addLacking(uint64(len(taken)))
-		n.log.Info("partitions assigned", "map", view.Version, "partitions", len(taken))
-		go n.gather(taken)
+	if len(assigned) > 0 {
+		n.underCopied.addMissing(uint64(len(assigned)))
+		n.log.Info("partitions assigned", "map", partitionMap.Version, "partitions", len(assigned))
+		go n.takeOver(assigned)
 	}
 	n.releasePaused()
 }
 
-func (n *Node) own(partition uint32, epoch uint64) {
+// acquirePartition makes this store the owner of a partition under an epoch. No attempts start before startPartitions.
+func (n *Node) acquirePartition(partition uint32, epoch uint64) {
 	if n.table.Fence(partition) > epoch {
-		return // a newer owner has been here; a newer map follows
+		return // a newer owner exists; a newer map will follow
 	}
 	n.table.Own(partition, epoch)
 	n.appendFence(partition, epoch)
-	n.owned[partition].Store(0)
-	delete(n.releases, partition)
+	n.attemptEpochs[partition].Store(0)
+	delete(n.requestedReleases, partition)
 }
 
-func (n *Node) disown(partition uint32) {
+// dropPartition ends the ownership of a partition. The copies here are scrubbed soon after, so that the new owner learns of them.
+func (n *Node) dropPartition(partition uint32) {
 	n.log.V(1).Info("partition given up", "partition", partition)
-	n.owned[partition].Store(0)
+	n.attemptEpochs[partition].Store(0)
 	n.table.Disown(partition)
-	delete(n.releases, partition)
-	soon := n.now() + scrubFirst
-	n.table.Partition(partition, func(e *message.Entry) { e.ScrubAt = soon })
+	delete(n.requestedReleases, partition)
+	scrubAt := n.now() + scrubInitialDelay
+	n.table.Partition(partition, func(e *message.Entry) { e.ScrubAt = scrubAt })
 }
 
-// pause begins no further attempts of a partition that is to be released.
-func (n *Node) pause(partition uint32) {
-	n.owned[partition].Store(0)
+// pausePartition stops new attempts of a partition that is to be released.
+func (n *Node) pausePartition(partition uint32) {
+	n.attemptEpochs[partition].Store(0)
 	n.table.Pause(partition)
 }
 
-func (n *Node) resume(partition uint32) {
+// resumePartition allows attempts of a paused partition again, unless a newer owner has raised its fence.
+func (n *Node) resumePartition(partition uint32) {
 	epoch := n.table.OwnedEpoch(partition)
 	if !n.table.IsReady(partition) || n.table.Fence(partition) > epoch {
 		return
 	}
 	n.table.Resume(partition, n.now())
-	n.owned[partition].Store(epoch)
+	n.attemptEpochs[partition].Store(epoch)
 }
 
-// releasePaused gives up the partitions that are to be released and have no attempt under way.
+// releasePaused releases the partitions that are to be released and have no attempt in progress.
 func (n *Node) releasePaused() {
 	if n.view == nil || n.view.Map == nil {
 		return
 	}
-	var done []*rpc.PartitionEpoch
+	var releasable []*rpc.PartitionEpoch
 	for id, ownership := range n.view.Map.Partitions {
 		partition := uint32(id)
 		epoch := n.table.OwnedEpoch(partition)
-		if !ownership.Releasing || epoch == 0 || epoch != ownership.Epoch || n.releases[partition] == epoch {
+		if !ownership.Releasing || epoch == 0 || epoch != ownership.Epoch || n.requestedReleases[partition] == epoch {
 			continue
 		}
 		if n.table.Running(partition) > 0 || !n.table.IsReady(partition) {
 			continue
 		}
-		n.releases[partition] = epoch
-		done = append(done, &rpc.PartitionEpoch{Partition: partition, Epoch: epoch})
+		n.requestedReleases[partition] = epoch
+		releasable = append(releasable, &rpc.PartitionEpoch{Partition: partition, Epoch: epoch})
 	}
-	if len(done) > 0 {
-		go n.release(done)
+	if len(releasable) > 0 {
+		go n.releasePartitions(releasable)
 	}
 }
 
-func (n *Node) release(partitions []*rpc.PartitionEpoch) {
-	ctx, cancel := context.WithTimeout(context.Background(), gatherWithin)
+// releasePartitions reports partitions as released to the control plane.
+func (n *Node) releasePartitions(partitions []*rpc.PartitionEpoch) {
+	ctx, cancel := context.WithTimeout(context.Background(), gatherTimeout)
 	defer cancel()
 	if err := n.cluster.Release(ctx, partitions); err == nil {
 		return
 	}
-	n.post(func() { // asked for again at the next housekeeping
+	n.post(func() { // retried by the next housekeeping
 		for _, p := range partitions {
-			if n.releases[p.Partition] == p.Epoch {
-				delete(n.releases, p.Partition)
+			if n.requestedReleases[p.Partition] == p.Epoch {
+				delete(n.requestedReleases, p.Partition)
 			}
 		}
 	})
 }
 
+// appendFence writes the fence of a partition to the log.
 func (n *Node) appendFence(partition uint32, epoch uint64) {
 	data, err := encodeRecord(recordFence, time.Now(), &rpc.PartitionEpoch{Partition: partition, Epoch: epoch})
 	if err != nil {
 		return
 	}
 	if _, err := n.file.Append(data); err != nil {
-		n.unwritten = true
+		n.rewriteNeeded = true
 		n.log.Error(err, "fence not written", "partition", partition, "epoch", epoch)
 	}
 }
--- a/internal/storenode/upkeep.go
+++ b/internal/storenode/upkeep.go
@@ -8,227 +8,229 @@
 )
 
 const (
-	repairBatch    = 500                    // copies restored at a time, at least
-	repairRounds   = 8                      // within so many times all are restored, however many
-	repairAgain    = 600 * time.Millisecond // before a copy that is still missing is sent anew
-	repairPause    = 150 * time.Millisecond // between two looks while copies are missing
-	statusSlack    = 30 * time.Second
-	retentionMost  = 15 * time.Minute // for which states are kept beyond statusS
-	retentionSlack = 2 * time.Second
+	minRepairBatch        = 500                    // minimum number of copies restored in one upkeep run
+	repairRounds          = 8                      // all missing copies are sent within this many runs
+	repairRetryDelay      = 600 * time.Millisecond // before a copy that is still missing is sent again
+	upkeepRetryDelay      = 150 * time.Millisecond // between two runs while copies are missing
+	statusRetentionMargin = 30 * time.Second       // see endedRetention
+	maxEndedRetention     = 15 * time.Minute       // bound on the route retention that extends statusS
+	expiryMargin          = 2 * time.Second        // added to a route's retention before its messages expire
 )
 
-// housekeep runs once a second on the owner goroutine.
+// housekeep runs every housekeepingInterval on the event loop goroutine.
 func (n *Node) housekeep() {
 	now := n.now()
 	n.backlog.Store(uint64(n.table.Queued()))
-	if keep, known := n.keepEnded(); known {
-		n.counters.endsForgotten.Add(uint64(n.table.Forget(keep, now)))
+	if retention, known := n.endedRetention(); known {
+		n.counters.endsForgotten.Add(uint64(n.table.Forget(retention, now)))
 	}
 	if n.view == nil || n.view.Map == nil {
 		return
 	}
 	n.releasePaused()
 	n.upkeep(now)
-	n.maybeRewrite()
-	n.verifySome()
-	n.checkHeld()
-	n.pumpDue = true
+	n.rewriteIfNeeded()
+	n.verifyNextBatch()
+	n.checkRemoteCopies()
+	n.schedulePending = true
 }
 
-// keepEnded is how long the state of a message is kept after its end: as long as clients may ask for it, and as long as a store
-// that was out of touch may still hold it for one that has not ended. It is not known before the first configuration.
-func (n *Node) keepEnded() (keep time.Duration, known bool) {
+// endedRetention returns how long the final state of a message is kept: as long as clients may ask for it, and as long as a store that was
+// disconnected may still hold the message as queued. It is unknown before the first configuration.
+func (n *Node) endedRetention() (keepFor time.Duration, known bool) {
 	if n.view == nil || n.view.Config == nil {
 		return 0, false
 	}
-	keep = time.Duration(n.settings.Bounds.StatusS * float64(time.Second))
+	keepFor = time.Duration(n.settings.Bounds.StatusS * float64(time.Second))
 	for i := range n.view.Config.Routes {
 		retention := time.Duration(n.view.Config.Routes[i].RetentionS * float64(time.Second))
-		keep = max(keep, min(retention, retentionMost))
+		keepFor = max(keepFor, min(retention, maxEndedRetention))
 	}
-	return keep + statusSlack, true
+	return keepFor + statusRetentionMargin, true
 }
 
-// upkeep looks at every message: those past their retention end, copies that are missing are restored, of messages and of the ends of
-// completed ones alike, and owners are asked about copies that are held for them.
+// upkeep checks all messages: it expires messages past their retention, restores missing copies of messages and of final states, reads
+// copies back after the loss of a disk, and scrubs the copies held for other owners. It updates the counts that are reported to the control
+// plane.
 func (n *Node) upkeep(now time.Duration) {
-	alive, wanted := n.holders.domains, n.holders.wanted
-	var expired, missing, scarceEnds, unread, unheld []*message.Entry
-	var scarce scarceCopies
-	ask := map[string][]*rpc.Fate{}
+	failureDomains, required := n.replicaPolicy.failureDomains, n.replicaPolicy.requiredCopies
+	var expired, missing, underCopiedEnded, unread, notStored []*message.Entry
+	var underCopied underCopiedCount
+	fatesByOwner := map[string][]*rpc.Fate{}
 	n.table.Each(func(e *message.Entry) {
 		if e.State == rpc.State_COMPLETED {
-			if n.isScarceEnd(e, alive, wanted) {
-				scarceEnds = append(scarceEnds, e)
+			if n.isFinalStateUnderCopied(e, failureDomains, required) {
+				underCopiedEnded = append(underCopiedEnded, e)
 			}
 			return
 		}
 		if n.table.OwnedEpoch(e.Partition) == 0 {
-			if !e.Stored && !e.Ended() && !e.Running { // known from the time when this store owned it
-				unheld = append(unheld, e)
+			if !e.Stored && !e.Ended() && !e.Running { // left over from when this store owned the partition
+				notStored = append(notStored, e)
 				return
 			}
 			if n.isUnconfirmed(e) {
-				scarce.addUnconfirmed(e.PlacedUnder)
+				underCopied.addUnconfirmed(e.PlacedUnder)
 			}
-			n.collectScrub(e, now, ask)
+			n.collectScrub(e, now, fatesByOwner)
 			return
 		}
-		if !e.Ended() && !e.Running && n.expired(e, now) {
+		if !e.Ended() && !e.Running && n.isExpired(e, now) {
 			expired = append(expired, e)
 			return
 		}
-		if e.Accepting == n.view.Map.Version { // its copies are on their way to stores of this map
+		if e.Accepting == n.view.Map.Version { // its copies are being sent to stores of this map
 			return
 		}
 		if !n.table.IsReady(e.Partition) {
 			return
 		}
-		if e.Copies(alive, n.ownDomain()) < wanted {
+		if e.Copies(failureDomains, n.ownDomain()) < required {
 			missing = append(missing, e)
-		} else if n.losses.restsOnUnread(e) {
+		} else if n.diskLosses.needsReadBack(e) {
 			unread = append(unread, e)
 		}
 	})
 	for _, e := range expired {
 		n.table.End(e, rpc.State_DEAD, "", now)
-		n.tell(e)
+		n.publishFate(e)
 	}
-	for _, e := range unheld {
+	for _, e := range notStored {
 		n.table.Drop(e)
 	}
-	missing = append(missing, scarceEnds...)
-	ready, takenOver := n.ownedPartitions()
+	missing = append(missing, underCopiedEnded...)
+	ready, pending := n.countOwnedPartitions()
 	n.readyPartitions.Store(uint32(ready))
-	scarce.lacking = uint64(len(missing) + len(unread) + takenOver)
-	n.underCopied.store(scarce)
+	underCopied.missing = uint64(len(missing) + len(unread) + pending)
+	n.underCopied.set(underCopied)
 	n.repairAll(missing, now)
-	n.readBackAll(unread, now)
+	n.startReadBack(unread, now)
 	if len(missing)+len(unread) > 0 {
-		n.lookAgainSoon()
+		n.scheduleUpkeep()
 	}
-	for disk, fates := range ask {
-		if one := n.peers.get(disk); one != nil {
-			go n.scrub(one, fates)
+	for disk, fates := range fatesByOwner {
+		if peer := n.peers.get(disk); peer != nil {
+			go n.scrub(peer, fates)
 		}
 	}
 }
 
-// isScarceEnd reports whether fewer disks than wanted keep the end of a completed message that this store has to answer for. A disk that
-// holds the message as queued counts: it is told, and until then the message can't be unknown. Which disks keep an end only grows
-// in number under one map, so one look for each map is enough.
-func (n *Node) isScarceEnd(e *message.Entry, alive map[string]string, wanted int) bool {
+// isFinalStateUnderCopied reports whether fewer disks than required keep the final state of a completed message in an owned partition. A
+// disk that holds the message as queued counts: it will be sent the final state, and until then the message can't be unknown. Under one map
+// the number of disks that keep a final state only grows, so the result is cached per map version once there are enough.
+func (n *Node) isFinalStateUnderCopied(e *message.Entry, failureDomains map[string]string, required int) bool {
 	version := n.view.Map.Version
 	if e.EnoughAt == version || e.Accepting == version || !n.table.IsReady(e.Partition) {
 		return false
 	}
-	if e.Copies(alive, n.ownDomain()) < wanted {
+	if e.Copies(failureDomains, n.ownDomain()) < required {
 		return true
 	}
 	e.EnoughAt = version
 	return false
 }
 
-// repairAll restores copies, a bounded number at a time.
+// repairAll starts to restore copies, a bounded number per run.
 func (n *Node) repairAll(missing []*message.Entry, now time.Duration) {
-	begun, most := 0, max(repairBatch, len(missing)/repairRounds)
+	started, limit := 0, max(minRepairBatch, len(missing)/repairRounds)
 	for _, e := range missing {
-		if begun == most {
+		if started == limit {
 			break
 		}
 		if now < e.RepairAt {
 			continue
 		}
-		e.RepairAt = now + repairAgain
-		n.repair(e)
-		begun++
+		e.RepairAt = now + repairRetryDelay
+		n.repairCopy(e)
+		started++
 	}
 }
 
-// lookAgainSoon looks at every message anew after a short pause.
-func (n *Node) lookAgainSoon() {
-	if n.repairing {
+// scheduleUpkeep schedules another upkeep run after a short delay.
+func (n *Node) scheduleUpkeep() {
+	if n.upkeepScheduled {
 		return
 	}
-	n.repairing = true
-	time.AfterFunc(repairPause, func() {
+	n.upkeepScheduled = true
+	time.AfterFunc(upkeepRetryDelay, func() {
 		n.post(func() {
-			n.repairing = false
+			n.upkeepScheduled = false
 			n.upkeep(n.now())
 		})
 	})
 }
 
-// ownedPartitions counts the owned partitions that are ready, and those of which it is not yet known what other stores hold: each of
-// the latter may have a message with too few copies.
-func (n *Node) ownedPartitions() (ready, takenOver int) {
+// countOwnedPartitions counts the owned partitions that are ready, and the pending ones, for which other stores have not been gathered yet.
+// Each pending partition may have a message with too few copies.
+func (n *Node) countOwnedPartitions() (ready, pending int) {
 	for id := range n.view.Map.Partitions {
 		switch {
 		case n.table.OwnedEpoch(uint32(id)) == 0:
 		case n.table.IsReady(uint32(id)):
 			ready++
 		default:
-			takenOver++
+			pending++
 		}
 	}
-	return ready, takenOver
+	return ready, pending
 }
 
-// expired reports whether a message's route is gone or its retention has passed.
-func (n *Node) expired(e *message.Entry, now time.Duration) bool {
-	if n.view.Config == nil || n.view.ConfigVersion < n.needs {
+// isExpired reports whether a message's route is gone or its retention has passed.
+func (n *Node) isExpired(e *message.Entry, now time.Duration) bool {
+	if n.view.Config == nil || n.view.ConfigVersion < n.minConfigVersion {
 		return false
 	}
-	route := n.routeNamed(e.Route)
+	route := n.routeByName(e.Route)
 	if route == nil {
 		return true
 	}
-	return route.RetentionS > 0 && now-e.Arrived > time.Duration(route.RetentionS*float64(time.Second))+retentionSlack
+	return route.RetentionS > 0 && now-e.Arrived > time.Duration(route.RetentionS*float64(time.Second))+expiryMargin
 }
 
-// repair restores one copy of a message that has too few.
-func (n *Node) repair(e *message.Entry) {
-	alive := n.holders.domains
+// repairCopy restores one copy of a message that has too few: this store's own if it has none, else one on another store.
+func (n *Node) repairCopy(e *message.Entry) {
+	failureDomains := n.replicaPolicy.failureDomains
 	if !e.IsKept() {
 		name, holders := e.Name, append([]string(nil), e.Holders...)
 		go func() {
-			if m := n.fetch(name, holders); m != nil {
-				n.post(func() { n.keepFetched(e, m) })
+			if m := n.fetchFromHolders(name, holders); m != nil {
+				n.post(func() { n.appendFetched(e, m) })
 			}
 		}()
 		return
 	}
 	tried := map[string]bool{}
 	for _, disk := range e.Holders {
-		if _, counts := alive[disk]; counts {
+		if _, counts := failureDomains[disk]; counts {
 			tried[disk] = true
 		}
 	}
-	one := n.peers.choose(tried)
-	if one == nil {
+	peer := n.peers.choose(tried)
+	if peer == nil {
 		return
 	}
 	epoch := n.table.OwnedEpoch(e.Partition)
 	if e.State == rpc.State_COMPLETED {
-		n.sendCopy(one, epoch, e.End(n.now()), func() { e.AddHolder(one.disk) })
+		n.sendCopy(peer, epoch, e.End(n.now()), func() { e.AddHolder(peer.disk) })
 		return
 	}
-	at := e.Record
+	position := e.Record
 	current := e.Message(n.now())
 	go func() {
-		m, err := n.readCopy(verified{entry: e, record: at})
+		m, err := n.readCopy(recordRef{entry: e, record: position})
 		if err != nil {
 			return
 		}
-		n.sendCopy(one, epoch, withBody(current, m.Body), func() { n.addHolder(e, one.disk) })
+		n.sendCopy(peer, epoch, withBody(current, m.Body), func() { n.addHolder(e, peer.disk) })
 	}()
 }
 
-// sendCopy sends a copy of a message, or its end alone, to another store. held is called on the owner goroutine once it is synced there.
-func (n *Node) sendCopy(one *peer, epoch uint64, m *rpc.Message, held func()) {
-	one.put(&copyItem{message: m, epoch: epoch, done: func(status rpc.PutStatus) {
+// sendCopy sends a message, or its final state alone, to another store. onStored is called on the event loop goroutine once the copy is
+// synced there.
+func (n *Node) sendCopy(target *peer, epoch uint64, m *rpc.Message, onStored func()) {
+	target.enqueueCopy(&outgoingCopy{message: m, epoch: epoch, done: func(status rpc.PutStatus) {
 		if status == rpc.PutStatus_STORED {
-			n.post(held)
+			n.post(onStored)
 		}
 	}})
 }
--- a/internal/storenode/verify.go
+++ b/internal/storenode/verify.go
@@ -8,103 +8,106 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// verifyBatch is how many records are read and checked each second. A store with little to keep reads all of them about every
-// verifyBatch-th part of their number in seconds.
-const verifyBatch = 32
+// verifyPerSecond is the number of records read and checked per second. All records of a store with N messages are read about every
+// N/verifyPerSecond seconds.
+const verifyPerSecond = 32
 
-// verified is one record that is to be read.
-type verified struct {
+// recordRef identifies the record of a message, at its position when the reference was made.
+type recordRef struct {
 	entry  *message.Entry
 	record applog.Position
 }
 
-// verifySome reads records of messages whose bodies are still owed, in turn, and has broken ones written anew from another store.
-func (n *Node) verifySome() {
-	if n.verifying {
+// verifyNextBatch reads the next records of messages whose bodies are still needed. Corrupt ones are restored from another store.
+func (n *Node) verifyNextBatch() {
+	if n.verifyRunning {
 		return
 	}
-	if len(n.unverified) == 0 {
+	if len(n.verifyQueue) == 0 {
 		n.table.Each(func(e *message.Entry) {
 			if e.Stored && e.State != rpc.State_COMPLETED {
-				n.unverified = append(n.unverified, e)
+				n.verifyQueue = append(n.verifyQueue, e)
 			}
 		})
 	}
-	count := min(verifyBatch, len(n.unverified))
+	count := min(verifyPerSecond, len(n.verifyQueue))
 	if count == 0 {
 		return
 	}
-	batch := make([]verified, 0, count)
-	for _, e := range n.unverified[:count] {
+	batch := make([]recordRef, 0, count)
+	for _, e := range n.verifyQueue[:count] {
 		if e.Stored && e.State != rpc.State_COMPLETED {
-			batch = append(batch, verified{entry: e, record: e.Record})
+			batch = append(batch, recordRef{entry: e, record: e.Record})
 		}
 	}
-	n.unverified = n.unverified[count:]
-	n.verifying = true
-	go n.verify(batch)
+	n.verifyQueue = n.verifyQueue[count:]
+	n.verifyRunning = true
+	go n.verifyRecords(batch)
 }
 
-func (n *Node) verify(batch []verified) {
-	for _, one := range batch {
-		_, _ = n.readCopy(one)
+// verifyRecords reads a batch of records; readCopy starts to restore corrupt ones.
+func (n *Node) verifyRecords(batch []recordRef) {
+	for _, ref := range batch {
+		_, _ = n.readCopy(ref)
 	}
-	n.post(func() { n.verifying = false })
+	n.post(func() { n.verifyRunning = false })
 }
 
-// readCopy reads a message from the log, and has it restored from another store where its record is broken. A message that was written
-// elsewhere meanwhile is an error too, and none that isBroken reports.
-func (n *Node) readCopy(one verified) (*rpc.Message, error) {
-	m, err := n.readMessage(one.record, one.entry.Name)
-	if !isBroken(err) {
+// readCopy reads a message from the log. If its record is corrupt, it is restored from another store. If the record has been moved by a
+// rewrite meanwhile, the error is one for which isCorrupt returns false.
+func (n *Node) readCopy(ref recordRef) (*rpc.Message, error) {
+	m, err := n.readMessage(ref.record, ref.entry.Name)
+	if !isCorrupt(err) {
 		return m, err
 	}
 	isMoved := false
 	n.do(func() {
-		isMoved = one.entry.Record != one.record
-		n.restore(one)
+		isMoved = ref.entry.Record != ref.record
+		n.restoreRecord(ref)
 	})
 	if isMoved {
-		return nil, errors.New("storenode: the log was rewritten during a reading")
+		return nil, errors.New("storenode: the log was rewritten during the read")
 	}
 	return nil, err
 }
 
-// isBroken reports whether a record turned out not to be the message that was written there. A disk that does not answer proves nothing.
-func isBroken(err error) bool { return errors.Is(err, applog.ErrCorrupt) }
+// isCorrupt reports whether a record turned out not to be the message that was written there. Errors of a disk that does not answer prove
+// nothing.
+func isCorrupt(err error) bool { return errors.Is(err, applog.ErrCorrupt) }
 
-// markUnreadable has a copy whose record is broken count no longer, here and at the owner of its partition. It reports whether it did until
-// now.
-func (n *Node) markUnreadable(one verified) bool {
-	entry := one.entry
-	isCurrent := entry.Stored && entry.Record == one.record
+// markUnreadable stops counting a copy whose record is corrupt, here and at the owner of its partition. It returns false if the copy did
+// not count before.
+func (n *Node) markUnreadable(ref recordRef) bool {
+	entry := ref.entry
+	isCurrent := entry.Stored && entry.Record == ref.record
 	if !isCurrent || entry.Unreadable {
 		return false
 	}
-	n.log.Info("a record is broken; it is restored from another store", "message", entry.Name, "offset", one.record.Offset)
+	n.log.Info("a record is corrupt; restoring it from another store", "message", entry.Name, "offset", ref.record.Offset)
 	n.counters.copiesUnreadable.Add(1)
 	entry.Unreadable = true
 	entry.ScrubAt = n.now()
 	if n.table.OwnedEpoch(entry.Partition) > 0 {
-		n.underCopied.addLacking(1)
+		n.underCopied.addMissing(1)
 	}
 	return true
 }
 
-// restore writes a message whose record is broken anew, from another store that holds it. It tries once: later the owner sees to it.
-func (n *Node) restore(one verified) {
-	if !n.markUnreadable(one) {
+// restoreRecord restores a message whose record is corrupt from another store that holds it. It tries only once; after that the owner
+// restores the copy.
+func (n *Node) restoreRecord(ref recordRef) {
+	if !n.markUnreadable(ref) {
 		return
 	}
-	sources := append([]string(nil), one.entry.Holders...)
+	sources := append([]string(nil), ref.entry.Holders...)
 	if n.view != nil {
-		if owner, _, ok := n.view.Owner(one.entry.Partition); ok && owner.Disk != n.disk {
+		if owner, _, ok := n.view.Owner(ref.entry.Partition); ok && owner.Disk != n.disk {
 			sources = append(sources, owner.Disk)
 		}
 	}
 	go func() {
-		if m := n.fetch(one.entry.Name, sources); m != nil {
-			n.post(func() { n.keepFetched(one.entry, m) })
+		if m := n.fetchFromHolders(ref.entry.Name, sources); m != nil {
+			n.post(func() { n.appendFetched(ref.entry, m) })
 		}
 	}()
 }
