--- a/internal/storenode/disk_restore_test.go
+++ b/internal/storenode/disk_restore_test.go
@@ -21,7 +21,7 @@
 		for i := range int(timeToRestore / every) {
 			_, epoch := w.owner(0)
 			for _, holder := range w.nonOwners(0)[:2] {
-				w.put(holder, rpc.PutMode_HOLDER, epoch, w.delayedMessage(fmt.Sprint("round", i), ""))
+				w.put(holder, rpc.PutMode_HOLDER, epoch, w.delayedMessage(fmt.Sprint("bypassing", i), ""))
 			}
 			time.Sleep(every)
 		}
@@ -71,7 +71,7 @@
 			w.cutLink(owner.name, m.name)
 		}
 		for _, m := range []*machine{lost, holder} {
-			must.Eq(t, rpc.PutStatus_STORED, w.put(m, rpc.PutMode_HOLDER, epoch, w.delayedMessage("round", "")))
+			must.Eq(t, rpc.PutStatus_STORED, w.put(m, rpc.PutMode_HOLDER, epoch, w.delayedMessage("bypassing", "")))
 		}
 		lost.stop(shutdown{powerLost: true, loseDisk: true})
 		lost.start()
@@ -86,6 +86,6 @@
 		w.mutex.Unlock()
 		time.Sleep(timeToRestore)
 		must.True(t, w.control.allWhole())
-		must.GreaterEq(t, 2, w.copyCount("round"))
+		must.GreaterEq(t, 2, w.copyCount("bypassing"))
 	})
 }
--- a/internal/storenode/final_states_test.go
+++ b/internal/storenode/final_states_test.go
@@ -11,15 +11,15 @@
 )
 
 // mustKnowStates checks that the final state of every message is found unchanged.
-func (w *world) mustKnowStates(messages []*sentMessage, ends map[string]rpc.State) {
+func (w *world) mustKnowStates(messages []*sentMessage, states map[string]rpc.State) {
 	unknown := map[string]int{}
 	for _, m := range messages {
 		reply := w.lookup(m, false)
 		if !reply.Found {
-			unknown[ends[m.name].String()]++
+			unknown[states[m.name].String()]++
 			continue
 		}
-		must.EqOp(w.t, ends[m.name], reply.State, must.Sprintf("%s: %s", m.name, w.describe(m)))
+		must.EqOp(w.t, states[m.name], reply.State, must.Sprintf("%s: %s", m.name, w.describe(m)))
 		w.checker.checkState(m, reply)
 	}
 	must.MapEmpty(w.t, unknown, must.Sprintf("known to no store, of %d messages: %v", len(messages), unknown))
@@ -28,11 +28,11 @@
 
 // statesOf looks up the state of every message.
 func (w *world) statesOf(messages []*sentMessage) map[string]rpc.State {
-	ends := map[string]rpc.State{}
+	states := map[string]rpc.State{}
 	for _, m := range messages {
-		ends[m.name] = w.lookup(m, false).State
+		states[m.name] = w.lookup(m, false).State
 	}
-	return ends
+	return states
 }
 
 // Incident 0007: the final state of a message must be available for statusS. Like the message itself, it must survive the loss of every
@@ -40,11 +40,11 @@
 func TestFinalStatesSurviveLossOfAllDisksInTurn(t *testing.T) {
 	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		messages := w.sendAndAwaitEnd(24)
-		ends := w.statesOf(messages)
+		states := w.statesOf(messages)
 		for range 2 {
 			for _, m := range w.machines {
 				w.replaceDisk(m)
-				w.mustKnowStates(messages, ends)
+				w.mustKnowStates(messages, states)
 			}
 		}
 	})
@@ -177,7 +177,7 @@
 	five := scale{stores: 5, tolerance: 1, partitions: 1, diskMb: 64}
 	runScenario(t, five, func(t *testing.T, w *world) {
 		messages := w.sendAndAwaitEnd(24)
-		ends := w.statesOf(messages)
+		states := w.statesOf(messages)
 		w.addFinalStates(manyFinalStates)
 		leaving := w.nonOwners(0)[0]
 		w.control.retire(leaving.name)
@@ -189,7 +189,7 @@
 		leaving.stop(shutdown{powerLost: true, loseDisk: true})
 		owner, _ := w.owner(0)
 		w.replaceDisk(owner)
-		w.mustKnowStates(messages, ends)
+		w.mustKnowStates(messages, states)
 	})
 }
 
--- a/internal/storenode/metrics_test.go
+++ b/internal/storenode/metrics_test.go
@@ -24,8 +24,8 @@
 func TestMetricsReportFinalStates(t *testing.T) {
 	runScenario(t, smallScale, func(t *testing.T, w *world) {
 		messages := w.sendAndAwaitEnd(8)
-		w.checker.add(&sentMessage{name: "stranger", firstSentAt: time.Now()})
-		must.False(t, w.lookup(&sentMessage{name: "stranger"}, false).Found)
+		w.checker.add(&sentMessage{name: "unknown", firstSentAt: time.Now()})
+		must.False(t, w.lookup(&sentMessage{name: "unknown"}, false).Found)
 		owner, _ := w.owner(0)
 		values := owner.running().node.metricValues()
 		must.EqOp(t, uint64(len(messages)), metricNamed(t, values, "foldlb_store_owned_ended"))
--- a/internal/storenode/ordering_test.go
+++ b/internal/storenode/ordering_test.go
@@ -110,7 +110,7 @@
 			w.cutLink(owner.name, other.name)
 		}
 		must.NotEq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, w.delayedMessage("owners", "")))
-		must.Eq(t, rpc.PutStatus_FULL, w.put(leaving, rpc.PutMode_HOLDER, epoch, w.delayedMessage("round", "")))
+		must.Eq(t, rpc.PutStatus_FULL, w.put(leaving, rpc.PutMode_HOLDER, epoch, w.delayedMessage("bypassing", "")))
 	})
 }
 
--- a/internal/storenode/readback_test.go
+++ b/internal/storenode/readback_test.go
@@ -132,12 +132,12 @@
 func TestDiskThatCountsAgainIsNotLost(t *testing.T) {
 	var lost diskLosses
 	entry := &message.Entry{Holders: []string{"a", "b"}}
-	both, one := map[string]string{"a": "zone-1", "b": "zone-2"}, map[string]string{"a": "zone-1"}
+	both, reduced := map[string]string{"a": "zone-1", "b": "zone-2"}, map[string]string{"a": "zone-1"}
 	lost.update(nil, both, 1)
 	must.False(t, lost.needsReadBack(entry))
-	lost.update(both, one, 2)
+	lost.update(both, reduced, 2)
 	must.True(t, lost.needsReadBack(entry))
-	lost.update(one, both, 3)
+	lost.update(reduced, both, 3)
 	must.False(t, lost.needsReadBack(entry))
 }
 
@@ -157,12 +157,12 @@
 		must.Eq(t, rpc.PutStatus_STORED, w.put(next, rpc.PutMode_OWNER, epoch, w.delayedMessage("accepted", "")))
 		must.False(t, next.needsReadBack("accepted"))
 		other := w.holderOf("m", next)
-		must.Eq(t, rpc.PutStatus_STORED, w.put(other, rpc.PutMode_HOLDER, epoch, w.delayedMessage("round the owner", "")))
-		must.False(t, other.needsReadBack("round the owner"))
-		for next.countedCopies("round the owner") < 0 { // until the owner has fetched it from its holder
+		must.Eq(t, rpc.PutStatus_STORED, w.put(other, rpc.PutMode_HOLDER, epoch, w.delayedMessage("bypassing", "")))
+		must.False(t, other.needsReadBack("bypassing"))
+		for next.countedCopies("bypassing") < 0 { // until the owner has fetched it from its holder
 			time.Sleep(time.Millisecond)
 		}
-		must.False(t, next.needsReadBack("round the owner"))
+		must.False(t, next.needsReadBack("bypassing"))
 	})
 }
 
--- a/internal/storenode/sim_control_test.go
+++ b/internal/storenode/sim_control_test.go
@@ -35,11 +35,11 @@
 	stores     []*rpc.StoreMember
 	partitions []placement.Partition
 	statuses   map[string]*storeStatus // by node
-	fences     map[string]uint64
-	joinedAt   map[string]mapMoment // by disk
-	retiring   string               // the store that is being retired
-	emptySince mapMoment            // since when it has owned nothing and known of its retirement; zero if it does not
-	retired    bool                 // the store may be removed and is no longer a member
+	fences     map[string]uint64       // by node: lowest map version that the store must know to be granted a lease
+	joinedAt   map[string]mapMoment    // by disk
+	retiring   string                  // the store that is being retired
+	emptySince mapMoment               // since when it has owned nothing and known of its retirement; zero if it does not
+	retired    bool                    // the store may be removed and is no longer a member
 	version    uint64
 	config     *catalog.Config
 	view       *cluster.View
@@ -51,8 +51,8 @@
 type storeStatus struct {
 	request    *rpc.RenewRequest
 	renewedAt  time.Time
-	cleanSince time.Time
-	granted    bool
+	cleanSince time.Time // since when it has reported enough copies; zero if it has not
+	granted    bool      // a lease was granted to this incarnation
 	admittedAt time.Time
 }
 
--- a/internal/storenode/sim_faults_test.go
+++ b/internal/storenode/sim_faults_test.go
@@ -63,9 +63,9 @@
 	w, c := f.world, f.world.checker
 	c.mutex.Lock()
 	ended := c.lastFaultEnd
-	calm := c.activeFaults == 0 && len(f.active) == 0 && now.Sub(ended) > timeToRestore
+	quiet := c.activeFaults == 0 && len(f.active) == 0 && now.Sub(ended) > timeToRestore
 	c.mutex.Unlock()
-	if !calm || f.checkedAt.Equal(ended) {
+	if !quiet || f.checkedAt.Equal(ended) {
 		return
 	}
 	f.checkedAt = ended
