--- a/internal/storenode/disk_restore_test.go
+++ b/internal/storenode/disk_restore_test.go
@@ -17,13 +17,13 @@
 		lost.stop(shutdown{powerLost: true, loseDisk: true})
 		time.Sleep(time.Second)
 		lost.start()
-		const every = 200 * time.Millisecond
-		for i := range int(timeToRestore / every) {
+		const interval = 200 * time.Millisecond
+		for i := range int(timeToRestore / interval) {
 			_, epoch := w.owner(0)
 			for _, holder := range w.nonOwners(0)[:2] {
 				w.put(holder, rpc.PutMode_HOLDER, epoch, w.delayedMessage(fmt.Sprint("bypassing", i), ""))
 			}
-			time.Sleep(every)
+			time.Sleep(interval)
 		}
 		must.True(t, w.control.allWhole())
 	})
--- a/internal/storenode/incident_test.go
+++ b/internal/storenode/incident_test.go
@@ -91,8 +91,8 @@
 		}
 		after := <-left
 		must.Less(t, 4*time.Second, after) // well before the grace period ends
-		asked := uint64(0)
-		node.do(func() { asked = node.table.Fence(0) })
-		must.EqOp(t, newer, asked)
+		fence := uint64(0)
+		node.do(func() { fence = node.table.Fence(0) })
+		must.EqOp(t, newer, fence)
 	})
 }
--- a/internal/storenode/sim_worker_test.go
+++ b/internal/storenode/sim_worker_test.go
@@ -98,14 +98,14 @@
 // workerOutcome returns the answer of a worker to an attempt of a message.
 func (c *checker) workerOutcome(name string, attempt int) delivery.OutcomeKind {
 	c.mutex.Lock()
-	nature := c.messages[name].outcomeDraw
+	outcomeDraw := c.messages[name].outcomeDraw
 	c.mutex.Unlock()
 	switch {
-	case nature < 0.03:
+	case outcomeDraw < 0.03:
 		return delivery.Rejected
-	case nature < 0.06:
+	case outcomeDraw < 0.06:
 		return delivery.FailedAttempt
-	case nature < 0.12 && attempt == 1:
+	case outcomeDraw < 0.12 && attempt == 1:
 		return delivery.FailedAttempt
 	default:
 		return delivery.Succeeded
