--- a/internal/storenode/accept.go
+++ b/internal/storenode/accept.go
@@ -107,9 +107,9 @@
 		if n.table.Queued() >= maxQueuedMessages {
 			return rpc.PutStatus_FULL, nil, false
 		}
-		entry = message.FromMessage(m, n.now())
+		entry = message.NewEntry(m, n.now())
 		entry.ReadUnder = n.mapVersion()
-		n.table.Number(entry)
+		n.table.AssignSeq(entry)
 		m.Epoch, m.Seq = entry.Epoch, entry.Seq
 		if status := n.appendMessage(entry, m); status != rpc.PutStatus_STORED {
 			return status, nil, false
@@ -121,7 +121,7 @@
 		n.schedulePending = true
 	}
 	m = n.currentCopy(entry, m)
-	if !entry.IsKept() { // known only from another store: the awaited sync must cover a copy in this log
+	if !entry.HasLocalCopy() { // known only from another store: the awaited sync must cover a copy in this log
 		if status := n.appendMessage(entry, m); status != rpc.PutStatus_STORED {
 			return status, nil, false
 		}
@@ -136,7 +136,7 @@
 // meanwhile.
 func (n *Node) currentCopy(entry *message.Entry, m *rpc.Message) *rpc.Message {
 	if entry.State == rpc.State_COMPLETED {
-		return entry.End(n.now())
+		return entry.CompletionMessage(n.now())
 	}
 	m.Epoch, m.Seq = entry.Epoch, entry.Seq
 	if entry.Ended() {
@@ -161,14 +161,14 @@
 		}
 		return rpc.PutStatus_FAILED
 	}
-	entry.KeepAt(position)
+	entry.SetRecord(position)
 	return rpc.PutStatus_STORED
 }
 
 // run waits until the message is synced in this log and on other stores.
 func (a *acceptance) run(ctx context.Context) rpc.PutStatus {
 	defer a.node.post(func() { a.entry.Accepting = 0 })
-	a.node.file.Sync(func(err error) {
+	a.node.file.RequestSync(func(err error) {
 		a.node.reportDiskError(err)
 		a.recordCopy("", a.node.ownDomain(), err == nil)
 	})
@@ -286,20 +286,20 @@
 		return n.storeFinalState(m)
 	}
 	known := n.table.Get(m.Name)
-	if known != nil && known.IsKept() {
+	if known != nil && known.HasLocalCopy() {
 		n.mergeRemote(m)
 		return rpc.PutStatus_STORED
 	}
 	if known == nil && n.table.Queued() >= maxQueuedMessages {
 		return rpc.PutStatus_FULL
 	}
-	entry := message.FromMessage(m, n.now())
+	entry := message.NewEntry(m, n.now())
 	entry.ReadUnder = n.mapVersion()
 	if status := n.appendMessage(entry, m); status != rpc.PutStatus_STORED {
 		return status
 	}
 	if known != nil {
-		known.KeepAt(entry.Record)
+		known.SetRecord(entry.Record)
 	}
 	entry.Body = nil
 	entry.ScrubAt = n.now() + scrubInitialDelay
--- a/internal/storenode/copy_checks.go
+++ b/internal/storenode/copy_checks.go
@@ -177,7 +177,7 @@
 		reply.Store = n.disk
 		for _, name := range request.Names {
 			entry := n.table.Get(name)
-			if entry == nil || !entry.IsKept() {
+			if entry == nil || !entry.HasLocalCopy() {
 				reply.Lacking = append(reply.Lacking, name)
 			} else if request.Read && entry.Stored {
 				toRead = append(toRead, recordRef{entry: entry, record: entry.Record})
--- a/internal/storenode/deliver.go
+++ b/internal/storenode/deliver.go
@@ -29,14 +29,14 @@
 	}
 	now := n.now()
 	n.table.Advance(now)
-	n.table.Routes(func(name string, waiting, running int) {
+	n.table.EachWaitingRoute(func(name string, waiting, running int) {
 		route := n.routeByName(name)
 		limit, scheduleTarget := 1, defaultScheduleTarget
 		if route != nil {
 			limit, scheduleTarget = n.attemptLimits[route.Name], time.Duration(route.ScheduleTargetMs)*time.Millisecond
 		}
 		for ; running < limit; running++ {
-			entry := n.table.Start(name, scheduleTarget, now)
+			entry := n.table.StartNext(name, scheduleTarget, now)
 			if entry == nil {
 				return
 			}
@@ -106,7 +106,7 @@
 			n.appendFetched(entry, fetched)
 		}
 		if !found {
-			n.table.Stop(entry, n.now()+bodyRetryDelay, n.now())
+			n.table.Requeue(entry, n.now()+bodyRetryDelay, n.now())
 			n.attemptEnded(entry)
 			return
 		}
@@ -133,11 +133,11 @@
 
 // appendFetched writes a message fetched from another store to this store's log.
 func (n *Node) appendFetched(entry *message.Entry, m *rpc.Message) {
-	if entry.IsKept() || n.table.Get(entry.Name) != entry {
+	if entry.HasLocalCopy() || n.table.Get(entry.Name) != entry {
 		return
 	}
 	if n.appendMessage(entry, withBody(entry.Message(n.now()), m.Body)) == rpc.PutStatus_STORED {
-		n.file.Sync(n.reportDiskError)
+		n.file.RequestSync(n.reportDiskError)
 	}
 }
 
@@ -201,14 +201,14 @@
 			n.finishMessage(entry, rpc.State_DEAD, "")
 			return
 		}
-		n.table.Stop(entry, now+failedRetryDelay, now)
+		n.table.Requeue(entry, now+failedRetryDelay, now)
 		n.publishFate(entry)
 	case delivery.NotRun:
-		n.table.Stop(entry, now+max(notRunRetryDelay, outcome.RetryAfter), now)
+		n.table.Requeue(entry, now+max(notRunRetryDelay, outcome.RetryAfter), now)
 	default:
 		entry.Retries++
 		delay := min(unknownRetryDelay<<min(entry.Retries, 5), maxUnknownRetryDelay)
-		n.table.Stop(entry, now+delay, now)
+		n.table.Requeue(entry, now+delay, now)
 	}
 	if entry.Due-now > maxCachedDelay || n.table.LiveBytes() > maxCachedBodyBytes {
 		entry.Body = nil
@@ -236,7 +236,7 @@
 
 // finishMessage sets the final state of a message after an attempt and publishes it.
 func (n *Node) finishMessage(entry *message.Entry, state rpc.State, stamp string) {
-	n.table.Finish(entry, state, stamp, n.now())
+	n.table.FinishAttempt(entry, state, stamp, n.now())
 	n.publishFate(entry)
 	n.attemptEnded(entry)
 }
--- a/internal/storenode/disk_health.go
+++ b/internal/storenode/disk_health.go
@@ -11,7 +11,7 @@
 // isImpaired reports whether the disk keeps this store from accepting messages, so that other stores should own its partitions.
 func (n *Node) isImpaired() bool {
 	refused := n.lastRefusedAt.Load()
-	return n.file.Waiting() >= stalledSyncThreshold || n.file.Full() || refused > 0 && n.now()-time.Duration(refused) < refusalImpairedFor
+	return n.file.OldestSyncWait() >= stalledSyncThreshold || n.file.Full() || refused > 0 && n.now()-time.Duration(refused) < refusalImpairedFor
 }
 
 // hasRoom reports whether a message of this size may be written. Part of the log is reserved for fates and fences. Messages are also
@@ -21,5 +21,5 @@
 		n.lastRefusedAt.Store(int64(n.now()))
 		return false
 	}
-	return n.file.Buffered() <= maxAcceptBufferedBytes
+	return n.file.BufferedBytes() <= maxAcceptBufferedBytes
 }
--- a/internal/storenode/fates.go
+++ b/internal/storenode/fates.go
@@ -36,7 +36,7 @@
 // writeAndSyncFate writes a message's fate to the log and requests a sync.
 func (n *Node) writeAndSyncFate(entry *message.Entry) {
 	if n.writeFate(entry) == nil {
-		n.file.Sync(n.reportDiskError)
+		n.file.RequestSync(n.reportDiskError)
 	}
 }
 
@@ -70,7 +70,7 @@
 	if known != nil {
 		previous = known.State
 	}
-	entry := n.table.Add(message.FromMessage(m, now), now)
+	entry := n.table.Add(message.NewEntry(m, now), now)
 	if entry.State == previous {
 		return entry
 	}
@@ -89,7 +89,7 @@
 	if known != nil && known.State == rpc.State_COMPLETED {
 		return rpc.PutStatus_STORED
 	}
-	entry := n.table.Add(message.FromMessage(m, n.now()), n.now())
+	entry := n.table.Add(message.NewEntry(m, n.now()), n.now())
 	if n.writeFate(entry) != nil {
 		return rpc.PutStatus_FAILED // the state is known here but may not be durable
 	}
@@ -117,7 +117,7 @@
 	changed := fate.Attempts > entry.Attempts
 	entry.Attempts = max(entry.Attempts, fate.Attempts)
 	if fate.State != rpc.State_QUEUED {
-		changed = n.table.End(entry, fate.State, fate.Stamp, n.now()) || changed
+		changed = n.table.MarkEnded(entry, fate.State, fate.Stamp, n.now()) || changed
 	}
 	if changed {
 		n.writeAndSyncFate(entry)
--- a/internal/storenode/gather.go
+++ b/internal/storenode/gather.go
@@ -59,7 +59,7 @@
 	for _, p := range partitions {
 		n.table.Partition(p.Partition, func(e *message.Entry) {
 			if e.State == rpc.State_COMPLETED {
-				messages = append(messages, e.End(now))
+				messages = append(messages, e.CompletionMessage(now))
 				return
 			}
 			if e.Stored {
@@ -167,7 +167,7 @@
 			entry.AddHolder(disk)
 		}
 	}
-	n.file.Sync(n.reportDiskError)
+	n.file.RequestSync(n.reportDiskError)
 	n.schedulePending = true
 }
 
@@ -248,7 +248,7 @@
 		if n.table.OwnedEpoch(p.Partition) != p.Epoch {
 			continue
 		}
-		n.table.Ready(p.Partition, now)
+		n.table.MarkReady(p.Partition, now)
 		n.attemptEpochs[p.Partition].Store(p.Epoch)
 	}
 	n.log.Info("partitions taken over", "partitions", len(partitions), "queued", n.table.Queued(),
--- a/internal/storenode/handover.go
+++ b/internal/storenode/handover.go
@@ -43,7 +43,7 @@
 				complete = false // the new owner has not gathered here yet
 				return
 			}
-			if n.table.OwnedEpoch(uint32(id)) > 0 || n.table.Running(uint32(id)) > 0 {
+			if n.table.OwnedEpoch(uint32(id)) > 0 || n.table.RunningCount(uint32(id)) > 0 {
 				complete = false
 				return
 			}
--- a/internal/storenode/node.go
+++ b/internal/storenode/node.go
@@ -145,7 +145,7 @@
 	case <-ctx.Done():
 	case <-n.diskFailed:
 		_ = server.Close()
-		return errors.Wrap(applog.ErrFailed, "storenode: stopping; restart the process to replay the log")
+		return errors.Wrap(applog.ErrWriteFailed, "storenode: stopping; restart the process to replay the log")
 	}
 	n.HandOver()
 	_ = server.Close()
@@ -180,7 +180,7 @@
 // reportDiskError makes Run return if the log has failed for good: what the disk holds since the last sync is unknown, and only a restart,
 // which replays the log, can tell.
 func (n *Node) reportDiskError(err error) {
-	if errors.Is(err, applog.ErrFailed) {
+	if errors.Is(err, applog.ErrWriteFailed) {
 		n.diskFailedOnce.Do(func() { close(n.diskFailed) })
 	}
 }
--- a/internal/storenode/scrub.go
+++ b/internal/storenode/scrub.go
@@ -142,10 +142,10 @@
 		return
 	}
 	now := n.now()
-	entry := message.FromMessage(m, now)
+	entry := message.NewEntry(m, now)
 	entry.ReadUnder = n.mapVersion()
 	if entry.OrderKey != "" && entry.Seq == 0 {
-		n.table.Number(entry)
+		n.table.AssignSeq(entry)
 	}
 	if n.appendMessage(entry, m) != rpc.PutStatus_STORED {
 		return
@@ -154,7 +154,7 @@
 	entry = n.table.Add(entry, now)
 	entry.AddHolder(holder)
 	if !entry.Ended() && n.isExpired(entry, now) { // the holder does not know whether it has run, so it must not run here
-		n.table.End(entry, rpc.State_DEAD, "", now)
+		n.table.MarkEnded(entry, rpc.State_DEAD, "", now)
 		n.publishFate(entry)
 	}
 	n.schedulePending = true
--- a/internal/storenode/takeover.go
+++ b/internal/storenode/takeover.go
@@ -49,7 +49,7 @@
 	if n.table.Fence(partition) > epoch {
 		return // a newer owner exists; a newer map will follow
 	}
-	n.table.Own(partition, epoch)
+	n.table.BeginOwnership(partition, epoch)
 	n.appendFence(partition, epoch)
 	n.attemptEpochs[partition].Store(0)
 	delete(n.requestedReleases, partition)
@@ -59,7 +59,7 @@
 func (n *Node) dropPartition(partition uint32) {
 	n.log.V(1).Info("partition given up", "partition", partition)
 	n.attemptEpochs[partition].Store(0)
-	n.table.Disown(partition)
+	n.table.EndOwnership(partition)
 	delete(n.requestedReleases, partition)
 	scrubAt := n.now() + scrubInitialDelay
 	n.table.Partition(partition, func(e *message.Entry) { e.ScrubAt = scrubAt })
@@ -93,7 +93,7 @@
 		if !ownership.Releasing || epoch == 0 || epoch != ownership.Epoch || n.requestedReleases[partition] == epoch {
 			continue
 		}
-		if n.table.Running(partition) > 0 || !n.table.IsReady(partition) {
+		if n.table.RunningCount(partition) > 0 || !n.table.IsReady(partition) {
 			continue
 		}
 		n.requestedReleases[partition] = epoch
--- a/internal/storenode/upkeep.go
+++ b/internal/storenode/upkeep.go
@@ -22,7 +22,7 @@
 	now := n.now()
 	n.backlog.Store(uint64(n.table.Queued()))
 	if retention, known := n.endedRetention(); known {
-		n.counters.endsForgotten.Add(uint64(n.table.Forget(retention, now)))
+		n.counters.endsForgotten.Add(uint64(n.table.ExpireEnded(retention, now)))
 	}
 	if n.view == nil || n.view.Map == nil {
 		return
@@ -85,18 +85,18 @@
 		if !n.table.IsReady(e.Partition) {
 			return
 		}
-		if e.Copies(failureDomains, n.ownDomain()) < required {
+		if e.CountCopies(failureDomains, n.ownDomain()) < required {
 			missing = append(missing, e)
 		} else if n.diskLosses.needsReadBack(e) {
 			unread = append(unread, e)
 		}
 	})
 	for _, e := range expired {
-		n.table.End(e, rpc.State_DEAD, "", now)
+		n.table.MarkEnded(e, rpc.State_DEAD, "", now)
 		n.publishFate(e)
 	}
 	for _, e := range notStored {
-		n.table.Drop(e)
+		n.table.Remove(e)
 	}
 	missing = append(missing, underCopiedEnded...)
 	ready, pending := n.countOwnedPartitions()
@@ -123,7 +123,7 @@
 	if e.EnoughAt == version || e.Accepting == version || !n.table.IsReady(e.Partition) {
 		return false
 	}
-	if e.Copies(failureDomains, n.ownDomain()) < required {
+	if e.CountCopies(failureDomains, n.ownDomain()) < required {
 		return true
 	}
 	e.EnoughAt = version
@@ -190,7 +190,7 @@
 // repairCopy restores one copy of a message that has too few: this store's own if it has none, else one on another store.
 func (n *Node) repairCopy(e *message.Entry) {
 	failureDomains := n.replicaPolicy.failureDomains
-	if !e.IsKept() {
+	if !e.HasLocalCopy() {
 		name, holders := e.Name, append([]string(nil), e.Holders...)
 		go func() {
 			if m := n.fetchFromHolders(name, holders); m != nil {
@@ -211,7 +211,7 @@
 	}
 	epoch := n.table.OwnedEpoch(e.Partition)
 	if e.State == rpc.State_COMPLETED {
-		n.sendCopy(peer, epoch, e.End(n.now()), func() { e.AddHolder(peer.disk) })
+		n.sendCopy(peer, epoch, e.CompletionMessage(n.now()), func() { e.AddHolder(peer.disk) })
 		return
 	}
 	position := e.Record
