--- a/internal/ingest/accept.go
+++ b/internal/ingest/accept.go
@@ -7,76 +7,76 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// verdict is the answer to a message.
-type verdict int
+// acceptResult is the outcome of accepting one message; it decides the response to the client.
+type acceptResult int
 
 const (
-	undecided verdict = iota
-	accepted          // f + 1 stores have synced it
-	refused           // nothing was stored, and nothing will be
-	unknown           // it may have been stored
+	undecided acceptResult = iota
+	accepted               // f + 1 stores have synced the message
+	refused                // no store has stored the message, and none will
+	unknown                // a store may have stored the message
 )
 
 const (
-	maxPuts       = 24                     // of one message, over all stores
-	ownerPatience = 40 * time.Millisecond  // after it a silent owner is gone round, within the hedge budget
-	silenceBound  = 200 * time.Millisecond // after it a silent owner is gone round in any case, and counts as unreachable
-	hopelessCheck = 50 * time.Millisecond  // between looks at whether other stores answer, while the owner is silent
-	silentPart    = 0.45                   // of the time a client gives, after which a message that nobody answers for is given up
-	takeoverMost  = 3 * time.Second        // from an owner's silence to the next one: its lease, an election, the leader's margin
-	repeatDelay   = 100 * time.Millisecond // before a repeat at an owner that failed
-	staleDelay    = 25 * time.Millisecond  // before a repeat at an owner that disowned the partition
+	maxPuts               = 24                     // per message, over all stores
+	hedgeDelay            = 40 * time.Millisecond  // a Put unanswered for this long is hedged to holders, within the hedge budget
+	storeTimeout          = 200 * time.Millisecond // like hedgeDelay, but regardless of the budget; also counts against the store's health
+	abandonCheckInterval  = 50 * time.Millisecond  // how often reachability of the other stores is checked while the owner does not respond
+	maxUnansweredFraction = 0.45                   // share of the client's deadline after which a message without any store response is abandoned
+	maxTakeoverTime       = 3 * time.Second        // from an owner's failure to its successor: lease expiry, election, the leader's margin
+	retryDelay            = 100 * time.Millisecond // before a retry at an owner whose Put failed
+	staleRetryDelay       = 25 * time.Millisecond  // before a retry at an owner that answered NOT_OWNER or STALE_EPOCH
 )
 
-// acceptance is the course of one message until its answer. It belongs to the goroutine of the request. The
-// message may move to another partition, and so get another name, while nothing of it may be stored.
+// acceptance tracks one message from its receipt to its response. Only the request's goroutine uses it. The
+// message may move to another partition, and so get another name, as long as no store can have stored it.
 type acceptance struct {
 	dispatcher *dispatcher
 	message    *request
 	putter     putter
-	random     uint64
-
-	view      *cluster.View
-	partition uint32
-	name      string
-	avoid     []string // nodes of stores that refused or could not be reached
-
-	sent        int       // Puts begun
-	pending     int       // Puts to owners under way
-	owner       target    // of the newest Put to an owner
-	ownerSent   time.Time // of that Put
-	lateNoted   bool      // that Put was noted as late
-	silentNoted bool      // that Put was noted as silent
-	nextTry     time.Time // not before this is the same owner tried again
-	unanswered  time.Time // since when Puts have been sent without an answer of any store; zero before the first
-	maybeStored bool
-	holders     holderWrite
+	randomPart uint64
+
+	view       *cluster.View
+	partition  uint32
+	name       string
+	avoidNodes []string // nodes whose store rejected a Put or could not be reached
+
+	putsStarted     int       // Puts started, to owners and holders
+	pendingPuts     int       // Puts to owners in progress
+	ownerTarget     target    // of the newest Put to an owner
+	ownerPutAt      time.Time // start of the newest Put to an owner
+	lateHandled     bool      // hedgeDelay has been handled for that Put
+	timeoutHandled  bool      // storeTimeout has been handled for that Put
+	nextOwnerPut    time.Time // earliest retry at the same owner
+	unansweredSince time.Time // start of the time without a response from any store; zero before the first Put
+	maybeStored     bool
+	holders         holderWrite
 }
 
-// accept has a message stored. It returns the name the message got, and the answer to give.
-func (d *dispatcher) accept(message *request) (name string, result verdict) {
+// accept stores a message at f + 1 stores. It returns the message's name and the result.
+func (d *dispatcher) accept(message *request) (name string, result acceptResult) {
 	view := d.cluster.View()
-	course := &acceptance{
+	operation := &acceptance{
 		dispatcher: d,
 		message:    message,
-		putter:     putter{dispatcher: d, message: message, under: view.Map.GetVersion(), outcomes: make(chan putOutcome, maxPuts)},
-		random:     randomName(),
+		putter:     putter{dispatcher: d, message: message, placedUnder: view.Map.GetVersion(), outcomes: make(chan putOutcome, maxPuts)},
+		randomPart: randomID(),
 		view:       view,
 	}
-	if course.view.Partitions() == 0 || !course.choosePartition() {
+	if operation.view.Partitions() == 0 || !operation.choosePartition() {
 		return "", refused
 	}
-	return course.run()
+	return operation.run()
 }
 
-// run acts on every outcome, newer view and moment to act until there is an answer.
-func (a *acceptance) run() (string, verdict) {
-	timer := time.NewTimer(ownerPatience)
+// run repeats step and wait until there is a result.
+func (a *acceptance) run() (string, acceptResult) {
+	timer := time.NewTimer(hedgeDelay)
 	defer timer.Stop()
 	for {
-		wake, result := a.act()
+		wakeAt, result := a.step()
 		if result == undecided {
-			timer.Reset(time.Until(wake))
+			timer.Reset(time.Until(wakeAt))
 			result = a.wait(timer)
 		}
 		if result != undecided {
@@ -85,8 +85,8 @@
 	}
 }
 
-// wait returns after an outcome, a newer view, or the timer, whichever comes first.
-func (a *acceptance) wait(timer *time.Timer) verdict {
+// wait returns after a Put outcome, a newer view or the timer, whichever comes first.
+func (a *acceptance) wait(timer *time.Timer) acceptResult {
 	select {
 	case outcome := <-a.putter.outcomes:
 		return a.onOutcome(outcome)
@@ -97,115 +97,116 @@
 	return undecided
 }
 
-// act does what is due now, and returns when to act again at the latest.
-func (a *acceptance) act() (wake time.Time, result verdict) {
+// step does everything that is due now. It returns the time by which it must be called again.
+func (a *acceptance) step() (wakeAt time.Time, result acceptResult) {
 	now := time.Now()
 	if !now.Before(a.message.deadline) {
-		return now, a.failure()
+		return now, a.failureResult()
 	}
-	a.noteSilence(now)
-	if a.hopeless(now) {
-		return now, a.failure()
+	a.checkOwnerTimeouts(now)
+	if a.shouldAbandon(now) {
+		return now, a.failureResult()
 	}
-	if a.holders.begun {
+	if a.holders.started {
 		a.sendToHolders()
 	}
-	if a.waitsForPut() {
-		return a.nextNote(), undecided
+	if a.awaitsPut() {
+		return a.nextCheck(), undecided
 	}
 	return a.tryOwner(now)
 }
 
-// failure is the answer to a message that is not known to be stored.
-func (a *acceptance) failure() verdict {
-	if a.maybeStored || a.pending > 0 || a.holders.pending > 0 {
+// failureResult returns the result for a message that is not known to be stored.
+func (a *acceptance) failureResult() acceptResult {
+	if a.maybeStored || a.pendingPuts > 0 || a.holders.pendingPuts > 0 {
 		return unknown
 	}
 	return refused
 }
 
-// movable reports whether the message may still go to another partition.
-func (a *acceptance) movable() bool {
-	return a.message.pinnedTo == "" && a.failure() == refused
+// canMove reports whether the message may still move to another partition.
+func (a *acceptance) canMove() bool {
+	return a.message.partitionKey == "" && a.failureResult() == refused
 }
 
-// waitsForPut reports whether a Put is under way that a new one to the present owner would only repeat.
-func (a *acceptance) waitsForPut() bool {
-	if a.pending == 0 && a.holders.pending == 0 {
+// awaitsPut reports whether a Put is in progress that a Put to the current owner would merely repeat.
+func (a *acceptance) awaitsPut() bool {
+	if a.pendingPuts == 0 && a.holders.pendingPuts == 0 {
 		return false
 	}
 	owner, epoch, ok := a.view.Owner(a.partition)
-	return !ok || sameOwner(a.owner, target{store: owner, epoch: epoch})
+	return !ok || sameOwner(a.ownerTarget, target{store: owner, epoch: epoch})
 }
 
-// tryOwner puts the message to the owner of its partition, moves it to another partition, goes round the owner, or waits.
-func (a *acceptance) tryOwner(now time.Time) (wake time.Time, result verdict) {
+// tryOwner sends the message to the owner of its partition. If the owner is missing or unreachable, the message
+// moves to another partition, is written to holders, or waits.
+func (a *acceptance) tryOwner(now time.Time) (wakeAt time.Time, result acceptResult) {
 	owner, epoch, ok := a.view.Owner(a.partition)
 	if !ok || a.dispatcher.health.unreachable(owner.Address) {
 		switch {
-		case a.movable() && a.choosePartition():
+		case a.canMove() && a.choosePartition():
 			owner, epoch, ok = a.view.Owner(a.partition)
-		case ok && a.goRoundUnreachable(target{store: owner, epoch: epoch, mode: rpc.PutMode_OWNER}, now):
-			return a.untilGivenUp(), undecided
-		case a.failure() == refused:
+		case ok && a.bypassUnreachableOwner(target{store: owner, epoch: epoch, mode: rpc.PutMode_OWNER}, now):
+			return a.idleCheck(), undecided
+		case a.failureResult() == refused:
 			return a.waitForOwner(now)
 		}
 	}
 	if !ok {
-		return a.untilGivenUp(), undecided
+		return a.idleCheck(), undecided
 	}
 	to := target{store: owner, epoch: epoch, mode: rpc.PutMode_OWNER}
-	if sameOwner(a.owner, to) && now.Before(a.nextTry) {
-		return a.atMost(a.nextTry), undecided
+	if sameOwner(a.ownerTarget, to) && now.Before(a.nextOwnerPut) {
+		return a.capAtDeadline(a.nextOwnerPut), undecided
 	}
-	if a.sent >= maxPuts {
-		return a.untilGivenUp(), undecided
+	if a.putsStarted >= maxPuts {
+		return a.idleCheck(), undecided
 	}
 	a.sendToOwner(to, now)
-	return a.nextNote(), undecided
+	return a.nextCheck(), undecided
 }
 
-// waitForOwner waits a little for an owner that can be reached, and then refuses, so that the client may try
-// another dispatcher in time.
-func (a *acceptance) waitForOwner(now time.Time) (wake time.Time, result verdict) {
-	end := a.message.arrived.Add(a.message.patience)
+// waitForOwner waits up to ownerWait for a reachable owner and then refuses the message, so that the client has
+// time to try another dispatcher.
+func (a *acceptance) waitForOwner(now time.Time) (wakeAt time.Time, result acceptResult) {
+	end := a.message.receivedAt.Add(a.message.ownerWait)
 	if !now.Before(end) {
 		return now, refused
 	}
-	a.dispatcher.kick()
-	return a.atMost(end), undecided
+	a.dispatcher.requestRenewal()
+	return a.capAtDeadline(end), undecided
 }
 
 func (a *acceptance) sendToOwner(to target, now time.Time) {
-	a.owner = to
-	a.ownerSent = now
-	a.lateNoted = false
-	a.silentNoted = false
-	a.nextTry = now.Add(repeatDelay)
-	a.pending++
+	a.ownerTarget = to
+	a.ownerPutAt = now
+	a.lateHandled = false
+	a.timeoutHandled = false
+	a.nextOwnerPut = now.Add(retryDelay)
+	a.pendingPuts++
 	a.send(to)
 }
 
 func (a *acceptance) send(to target) {
-	a.sent++
-	if a.unanswered.IsZero() {
-		a.unanswered = time.Now()
+	a.putsStarted++
+	if a.unansweredSince.IsZero() {
+		a.unansweredSince = time.Now()
 	}
 	a.putter.start(a.name, a.partition, to, a.view.ConfigVersion)
 }
 
-// choosePartition sets partition and name. It reports false where there is no partition to try.
+// choosePartition sets the partition and the name. It returns false if no partition is available.
 func (a *acceptance) choosePartition() bool {
-	if key := a.message.pinnedTo; key != "" {
-		a.partition = hashPartition(key, a.view.Partitions())
+	if key := a.message.partitionKey; key != "" {
+		a.partition = partitionForKey(key, a.view.Partitions())
 	} else {
-		partition, ok := a.dispatcher.freePartition(a.view, a.avoid)
+		partition, ok := a.dispatcher.chooseFreePartition(a.view, a.avoidNodes)
 		if !ok {
 			return false
 		}
 		a.partition = partition
 	}
-	a.name = messageName(a.partition, a.random)
+	a.name = messageName(a.partition, a.randomPart)
 	a.holders = holderWrite{}
 	return true
 }
--- a/internal/ingest/accept_test.go
+++ b/internal/ingest/accept_test.go
@@ -15,12 +15,12 @@
 var catalogLimits = catalog.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 1000, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000}
 
 func TestStoredMessageIsAcceptedUnderItsName(t *testing.T) {
-	w := newWorld(t)
-	answer := w.send("PUT", "/free/x?q=%20a&b", "the bytes", "X-Request-Id", "id-1", "X-Delay-Ms", "1500", "X-Order-Key", "ignored")
+	h := newHarness(t)
+	answer := h.send("PUT", "/free/x?q=%20a&b", "the bytes", "X-Request-Id", "id-1", "X-Delay-Ms", "1500", "X-Order-Key", "ignored")
 	must.Eq(t, fasthttp.StatusAccepted, answer.status)
 	name := answer.header.Get("X-Msg-Id")
-	must.True(t, w.ownerOf(name) == w.stores[0], must.Sprint("the owner is not one of our zone"))
-	put := w.stores[0].received()[0]
+	must.True(t, h.ownerOf(name) == h.stores[0], must.Sprint("the owner is not in the dispatcher's zone"))
+	put := h.stores[0].received()[0]
 	must.Eq(t, rpc.PutMode_OWNER, put.Mode)
 	must.Eq(t, 1, put.ConfigVersion)
 	must.Eq(t, []uint64{10}, put.Epochs)
@@ -34,89 +34,89 @@
 	must.Eq(t, "", message.OrderKey)
 	must.Eq(t, "the bytes", string(message.Body))
 	must.Between(t, 1400, message.DelayLeftMs, 1500)
-	must.Eq(t, 1, w.puts(rpc.PutMode_OWNER))
+	must.Eq(t, 1, h.puts(rpc.PutMode_OWNER))
 }
 
-func TestNothingIsTakenWithoutARoute(t *testing.T) {
-	w := newWorld(t)
+func TestMessageWithoutRouteIsRejected(t *testing.T) {
+	h := newHarness(t)
 	for _, path := range []string{"/none/", "/free", "/sync/x", "/"} {
-		must.Eq(t, fasthttp.StatusNotFound, w.send("POST", path, "x").status)
+		must.Eq(t, fasthttp.StatusNotFound, h.send("POST", path, "x").status)
 	}
-	must.Eq(t, 0, w.puts(rpc.PutMode_OWNER))
+	must.Eq(t, 0, h.puts(rpc.PutMode_OWNER))
 }
 
-func TestNothingIsTakenBeforeAConfiguration(t *testing.T) {
-	mustRefuse(t, emptyWorld(t).send("POST", "/free/x", "x"))
+func TestMessageIsRefusedBeforeFirstConfiguration(t *testing.T) {
+	mustBeUnavailable(t, newEmptyHarness(t).send("POST", "/free/x", "x"))
 }
 
-func TestNothingIsTakenWithoutOwners(t *testing.T) {
-	w := newWorld(t)
-	w.publishMap(11, func(int) *standInStore { return nil })
-	mustRefuse(t, w.send("POST", "/free/x", "x"))
-	mustRefuse(t, w.send("POST", "/keyed/x", "x", "X-Order-Key", "k"))
+func TestMessageIsRefusedWithoutOwners(t *testing.T) {
+	h := newHarness(t)
+	h.publishMap(11, func(int) *fakeStore { return nil })
+	mustBeUnavailable(t, h.send("POST", "/free/x", "x"))
+	mustBeUnavailable(t, h.send("POST", "/keyed/x", "x", "X-Order-Key", "k"))
 }
 
 func TestMessagesOfAKeyShareAPartition(t *testing.T) {
-	w := newWorld(t)
+	h := newHarness(t)
 	for _, key := range []string{"a", "b", "a", "c"} {
-		name := w.send("POST", "/keyed/x", "x", "X-Order-Key", key).header.Get("X-Msg-Id")
+		name := h.send("POST", "/keyed/x", "x", "X-Order-Key", key).header.Get("X-Msg-Id")
 		partition, ok := partitionOf(name)
 		must.True(t, ok)
-		must.Eq(t, hashPartition(key, testPartitions), partition)
+		must.Eq(t, partitionForKey(key, testPartitions), partition)
 	}
 }
 
-func TestMessagesOfARatedServiceShareAPartition(t *testing.T) {
-	w := newWorld(t)
+func TestMessagesOfRateLimitedServiceShareAPartition(t *testing.T) {
+	h := newHarness(t)
 	for _, key := range []string{"a", "", "b"} {
-		name := w.send("POST", "/rated/x", "x", "X-Order-Key", key).header.Get("X-Msg-Id")
+		name := h.send("POST", "/rated/x", "x", "X-Order-Key", key).header.Get("X-Msg-Id")
 		partition, ok := partitionOf(name)
 		must.True(t, ok)
-		must.Eq(t, hashPartition("rated", testPartitions), partition)
+		must.Eq(t, partitionForKey("rated", testPartitions), partition)
 	}
 }
 
-func TestFreeMessageMovesFromAnOwnerThatDidNotTakeIt(t *testing.T) {
+func TestUnkeyedMessageMovesFromRejectingOwner(t *testing.T) {
 	for _, status := range []rpc.PutStatus{rpc.PutStatus_NOT_OWNER, rpc.PutStatus_STALE_EPOCH, rpc.PutStatus_FULL} {
 		t.Run(status.String(), func(t *testing.T) {
-			w := newWorld(t)
-			w.stores[0].onPut(answering(status))
-			answer := w.send("POST", "/free/x", "x")
+			h := newHarness(t)
+			h.stores[0].onPut(answering(status))
+			answer := h.send("POST", "/free/x", "x")
 			must.Eq(t, fasthttp.StatusAccepted, answer.status)
-			must.True(t, w.ownerOf(answer.header.Get("X-Msg-Id")) != w.stores[0])
-			must.Eq(t, 2, w.puts(rpc.PutMode_OWNER))
+			must.True(t, h.ownerOf(answer.header.Get("X-Msg-Id")) != h.stores[0])
+			must.Eq(t, 2, h.puts(rpc.PutMode_OWNER))
 		})
 	}
 }
 
-func TestFreeMessageMovesFromAMachineThatRefuses(t *testing.T) {
-	w := newWorld(t)
-	w.stores[0].server.Close()
+func TestUnkeyedMessageMovesFromUnreachableOwner(t *testing.T) {
+	h := newHarness(t)
+	h.stores[0].server.Close()
 	for range 3 {
-		must.Eq(t, fasthttp.StatusAccepted, w.send("POST", "/free/x", "x").status)
+		must.Eq(t, fasthttp.StatusAccepted, h.send("POST", "/free/x", "x").status)
 	}
-	must.True(t, w.dispatcher.health.unreachable(w.stores[0].member.Address))
+	must.True(t, h.dispatcher.health.unreachable(h.stores[0].member.Address))
 }
 
-func TestFullStoresRefuse(t *testing.T) {
-	w := newWorld(t)
-	for _, store := range w.stores {
+func TestMessageIsRefusedIfStoresAreFull(t *testing.T) {
+	h := newHarness(t)
+	for _, store := range h.stores {
 		store.onPut(answering(rpc.PutStatus_FULL))
 	}
-	mustRefuse(t, w.send("POST", "/free/x", "x"))
-	must.Eq(t, len(w.stores), w.puts(rpc.PutMode_OWNER))
-	mustRefuse(t, w.send("POST", "/keyed/x", "x", "X-Order-Key", "k"))
+	mustBeUnavailable(t, h.send("POST", "/free/x", "x"))
+	must.Eq(t, len(h.stores), h.puts(rpc.PutMode_OWNER))
+	mustBeUnavailable(t, h.send("POST", "/keyed/x", "x", "X-Order-Key", "k"))
 }
 
-func TestSilentOwnerIsGoneRound(t *testing.T) {
-	w := newWorld(t)
-	w.stores[0].onPut(w.stores[0].silence)
-	answer := w.send("POST", "/free/x", "x")
+func TestUnresponsiveOwnerIsBypassed(t *testing.T) {
+	h := newHarness(t)
+	h.stores[0].onPut(h.stores[0].blockPut)
+	answer := h.send("POST", "/free/x", "x")
 	must.Eq(t, fasthttp.StatusAccepted, answer.status)
 	name := answer.header.Get("X-Msg-Id")
-	must.True(t, w.ownerOf(name) == w.stores[0])
-	must.Eq(t, 2, w.puts(rpc.PutMode_HOLDER))
-	for _, store := range w.stores[1:] {
+	must.True(t, h.ownerOf(name) == h.stores[0])
+	must.Eq(t, 2, h.puts(rpc.PutMode_HOLDER))
+	for _, store := range h.stores[1:] {
 		for _, put := range store.received() {
 			must.Eq(t, name, put.Messages[0].Name)
 			must.Eq(t, []uint64{10}, put.Epochs)
@@ -124,28 +124,28 @@
 	}
 }
 
-func TestAnotherHolderStandsInForOneThatFails(t *testing.T) {
-	w := newWorld(t)
-	w.stores[0].onPut(answering(rpc.PutStatus_FAILED))
-	w.stores[1].onPut(answering(rpc.PutStatus_FULL))
-	must.Eq(t, fasthttp.StatusAccepted, w.send("POST", "/free/x", "x").status)
-	must.SliceNotEmpty(t, w.stores[2].received())
-	must.SliceNotEmpty(t, w.stores[3].received())
+func TestFailedHolderIsReplaced(t *testing.T) {
+	h := newHarness(t)
+	h.stores[0].onPut(answering(rpc.PutStatus_FAILED))
+	h.stores[1].onPut(answering(rpc.PutStatus_FULL))
+	must.Eq(t, fasthttp.StatusAccepted, h.send("POST", "/free/x", "x").status)
+	must.SliceNotEmpty(t, h.stores[2].received())
+	must.SliceNotEmpty(t, h.stores[3].received())
 }
 
 func TestTooFewHoldersLeaveTheOutcomeUnknown(t *testing.T) {
-	w := newWorld(t)
-	w.stores[0].onPut(w.stores[0].silence)
-	w.stores[1].onPut(answering(rpc.PutStatus_FULL))
-	w.stores[2].onPut(answering(rpc.PutStatus_FAILED))
-	answer := w.send("POST", "/free/x", "x", "X-Deadline-Ms", "250")
+	h := newHarness(t)
+	h.stores[0].onPut(h.stores[0].blockPut)
+	h.stores[1].onPut(answering(rpc.PutStatus_FULL))
+	h.stores[2].onPut(answering(rpc.PutStatus_FAILED))
+	answer := h.send("POST", "/free/x", "x", "X-Deadline-Ms", "250")
 	must.Eq(t, fasthttp.StatusGatewayTimeout, answer.status)
 }
 
-func TestHolderWithANewerEpochSendsToTheNewOwner(t *testing.T) {
-	w := newWorld(t)
-	w.stores[0].onPut(w.stores[0].silence)
-	for _, store := range w.stores[1:] {
+func TestHolderWithNewerEpochRedirectsToNewOwner(t *testing.T) {
+	h := newHarness(t)
+	h.stores[0].onPut(h.stores[0].blockPut)
+	for _, store := range h.stores[1:] {
 		store.onPut(func(_ context.Context, put *rpc.PutRequest) (rpc.PutStatus, error) {
 			if put.Epochs[0] < 11 {
 				return rpc.PutStatus_STALE_EPOCH, nil
@@ -153,181 +153,181 @@
 			return rpc.PutStatus_STORED, nil
 		})
 	}
-	answers := w.sendAsync("POST", "/free/x", "x", "X-Deadline-Ms", "9000")
-	first := w.stores[0].awaitPut(t)
-	w.publishMap(11, func(int) *standInStore { return w.stores[1] })
+	answers := h.sendAsync("POST", "/free/x", "x", "X-Deadline-Ms", "9000")
+	first := h.stores[0].awaitPut(t)
+	h.publishMap(11, func(int) *fakeStore { return h.stores[1] })
 	answer := <-answers
 	must.Eq(t, fasthttp.StatusAccepted, answer.status)
 	must.Eq(t, first.Messages[0].Name, answer.header.Get("X-Msg-Id"))
 }
 
-func TestKeyedMessageIsNeverWrittenRoundItsOwner(t *testing.T) {
+func TestKeyedMessageNeverBypassesOwner(t *testing.T) {
 	for _, path := range []string{"/keyed/x", "/rated/x"} {
-		w := newWorld(t)
-		for _, store := range w.stores {
-			store.onPut(store.silence)
+		h := newHarness(t)
+		for _, store := range h.stores {
+			store.onPut(store.blockPut)
 		}
-		answer := w.send("POST", path, "x", "X-Order-Key", "k", "X-Deadline-Ms", "250")
+		answer := h.send("POST", path, "x", "X-Order-Key", "k", "X-Deadline-Ms", "250")
 		must.Eq(t, fasthttp.StatusGatewayTimeout, answer.status)
-		must.Eq(t, 0, w.puts(rpc.PutMode_HOLDER))
-		must.Eq(t, 1, w.puts(rpc.PutMode_OWNER))
+		must.Eq(t, 0, h.puts(rpc.PutMode_HOLDER))
+		must.Eq(t, 1, h.puts(rpc.PutMode_OWNER))
 	}
 }
 
-func TestKeyedMessageIsRepeatedAtTheNewOwner(t *testing.T) {
-	w := newWorld(t)
-	key := w.keyOwnedBy(w.stores[0])
-	w.stores[0].onPut(w.stores[0].silence)
-	answers := w.sendAsync("POST", "/keyed/x", "x", "X-Order-Key", key, "X-Deadline-Ms", "9000")
-	first := w.stores[0].awaitPut(t)
-	w.publishMap(11, func(int) *standInStore { return w.stores[2] })
-	second := w.stores[2].awaitPut(t)
+func TestKeyedMessageIsRetriedAtNewOwner(t *testing.T) {
+	h := newHarness(t)
+	key := h.keyOwnedBy(h.stores[0])
+	h.stores[0].onPut(h.stores[0].blockPut)
+	answers := h.sendAsync("POST", "/keyed/x", "x", "X-Order-Key", key, "X-Deadline-Ms", "9000")
+	first := h.stores[0].awaitPut(t)
+	h.publishMap(11, func(int) *fakeStore { return h.stores[2] })
+	second := h.stores[2].awaitPut(t)
 	must.Eq(t, first.Messages[0].Name, second.Messages[0].Name)
 	must.Eq(t, []uint64{11}, second.Epochs)
 	must.Eq(t, fasthttp.StatusAccepted, (<-answers).status)
 }
 
-func TestKeyedMessageIsRepeatedUntilTheOwnerKnowsThatItIs(t *testing.T) {
-	w := newWorld(t)
-	key := w.keyOwnedBy(w.stores[1])
+func TestKeyedMessageIsRetriedUntilOwnerAccepts(t *testing.T) {
+	h := newHarness(t)
+	key := h.keyOwnedBy(h.stores[1])
 	tries := 0
-	w.stores[1].onPut(func(context.Context, *rpc.PutRequest) (rpc.PutStatus, error) {
+	h.stores[1].onPut(func(context.Context, *rpc.PutRequest) (rpc.PutStatus, error) {
 		tries++
 		return []rpc.PutStatus{rpc.PutStatus_NOT_OWNER, rpc.PutStatus_FAILED, rpc.PutStatus_STORED}[tries-1], nil
 	})
-	answer := w.send("POST", "/keyed/x", "x", "X-Order-Key", key, "X-Deadline-Ms", "9000")
+	answer := h.send("POST", "/keyed/x", "x", "X-Order-Key", key, "X-Deadline-Ms", "9000")
 	must.Eq(t, fasthttp.StatusAccepted, answer.status)
-	for _, put := range w.stores[1].received() {
+	for _, put := range h.stores[1].received() {
 		must.Eq(t, answer.header.Get("X-Msg-Id"), put.Messages[0].Name)
 	}
 }
 
-func TestKeyedMessageOfAnOwnerThatRefusesIsRefusedSoon(t *testing.T) {
-	w := newWorld(t)
-	w.stores[0].server.Close()
+func TestKeyedMessageOfUnreachableOwnerIsRefusedEarly(t *testing.T) {
+	h := newHarness(t)
+	h.stores[0].server.Close()
 	began := time.Now()
-	mustRefuse(t, w.send("POST", "/keyed/x", "x", "X-Order-Key", w.keyOwnedBy(w.stores[0]), "X-Deadline-Ms", "9000"))
+	mustBeUnavailable(t, h.send("POST", "/keyed/x", "x", "X-Order-Key", h.keyOwnedBy(h.stores[0]), "X-Deadline-Ms", "9000"))
 	must.Less(t, 4*time.Second, time.Since(began)) // far below the deadline
 }
 
-func TestDisownedKeyedMessageIsRefusedAtTheDeadline(t *testing.T) {
-	w := newWorld(t)
-	for _, store := range w.stores {
+func TestKeyedMessageRejectedByAllIsRefusedAtDeadline(t *testing.T) {
+	h := newHarness(t)
+	for _, store := range h.stores {
 		store.onPut(answering(rpc.PutStatus_NOT_OWNER))
 	}
-	mustRefuse(t, w.send("POST", "/keyed/x", "x", "X-Order-Key", "k", "X-Deadline-Ms", "200"))
+	mustBeUnavailable(t, h.send("POST", "/keyed/x", "x", "X-Order-Key", "k", "X-Deadline-Ms", "200"))
 }
 
 func TestBrokenConnectionLeavesTheOutcomeUnknown(t *testing.T) {
-	w := newWorld(t)
-	for _, store := range w.stores {
+	h := newHarness(t)
+	for _, store := range h.stores {
 		store.onPut(func(context.Context, *rpc.PutRequest) (rpc.PutStatus, error) {
 			store.server.CloseClientConnections()
 			return rpc.PutStatus_STORED, nil
 		})
 	}
-	answer := w.send("POST", "/keyed/x", "x", "X-Order-Key", "k", "X-Deadline-Ms", "250")
+	answer := h.send("POST", "/keyed/x", "x", "X-Order-Key", "k", "X-Deadline-Ms", "250")
 	must.Eq(t, fasthttp.StatusGatewayTimeout, answer.status)
 }
 
-func TestDeadlineOfTheClientIsKept(t *testing.T) {
-	w := newWorld(t)
-	for _, store := range w.stores {
-		store.onPut(store.silence)
+func TestClientDeadlineIsMet(t *testing.T) {
+	h := newHarness(t)
+	for _, store := range h.stores {
+		store.onPut(store.blockPut)
 	}
 	began := time.Now()
-	must.Eq(t, fasthttp.StatusGatewayTimeout, w.send("POST", "/free/x", "x", "X-Deadline-Ms", "300").status)
+	must.Eq(t, fasthttp.StatusGatewayTimeout, h.send("POST", "/free/x", "x", "X-Deadline-Ms", "300").status)
 	must.Less(t, 2*time.Second, time.Since(began))
 }
 
-func TestLateOwnerIsGoneRoundWithoutBudgetOnceItIsSilent(t *testing.T) {
-	w := newWorld(t)
-	for w.dispatcher.hedges.spend() {
+func TestTimedOutOwnerIsBypassedWithoutHedgeBudget(t *testing.T) {
+	h := newHarness(t)
+	for h.dispatcher.hedges.spend() {
 	}
-	w.stores[0].onPut(w.stores[0].silence)
+	h.stores[0].onPut(h.stores[0].blockPut)
 	began := time.Now()
-	must.Eq(t, fasthttp.StatusAccepted, w.send("POST", "/free/x", "x", "X-Deadline-Ms", "9000").status)
-	must.GreaterEq(t, silenceBound, time.Since(began))
-	must.Eq(t, 2, w.puts(rpc.PutMode_HOLDER))
+	must.Eq(t, fasthttp.StatusAccepted, h.send("POST", "/free/x", "x", "X-Deadline-Ms", "9000").status)
+	must.GreaterEq(t, storeTimeout, time.Since(began))
+	must.Eq(t, 2, h.puts(rpc.PutMode_HOLDER))
 }
 
-func TestMessageThatNoStoreAnswersForIsGivenUpInGoodTime(t *testing.T) {
+func TestMessageWithoutStoreResponseIsAbandonedEarly(t *testing.T) {
 	for _, path := range []string{"/free/x", "/keyed/x"} {
-		w := newWorld(t)
-		for _, store := range w.stores {
-			store.onPut(store.silence)
+		h := newHarness(t)
+		for _, store := range h.stores {
+			store.onPut(store.blockPut)
 		}
 		began := time.Now()
-		answer := w.send("POST", path, "x", "X-Order-Key", "k", "X-Deadline-Ms", "8000")
-		must.Eq(t, fasthttp.StatusGatewayTimeout, answer.status) // it may have been stored: never a promise
-		must.Less(t, 4*time.Second, time.Since(began))           // before half of the client's time
+		answer := h.send("POST", path, "x", "X-Order-Key", "k", "X-Deadline-Ms", "8000")
+		must.Eq(t, fasthttp.StatusGatewayTimeout, answer.status) // it may have been stored, so not 503
+		must.Less(t, 4*time.Second, time.Since(began))           // less than half of the client's deadline
 	}
 }
 
-// Only an owner orders the messages of a key: one that falls silent may have a successor within the client's time.
-func TestKeyedMessageWaitsForTheNextOwnerOfItsPartition(t *testing.T) {
-	w := newWorld(t)
-	silent, next := w.stores[1], w.stores[0]
-	silent.onPut(silent.silence)
-	key := w.keyOwnedBy(silent)
-	answer := w.sendAsync("POST", "/keyed/x", "x", "X-Order-Key", key, "X-Deadline-Ms", "3000")
+// Only an owner orders the messages of a key, so the message waits for a successor within the client's deadline.
+func TestKeyedMessageWaitsForNextOwner(t *testing.T) {
+	h := newHarness(t)
+	silent, next := h.stores[1], h.stores[0]
+	silent.onPut(silent.blockPut)
+	key := h.keyOwnedBy(silent)
+	answer := h.sendAsync("POST", "/keyed/x", "x", "X-Order-Key", key, "X-Deadline-Ms", "3000")
 	silent.awaitPut(t)
-	const late = 1500 * time.Millisecond // more than silentPart of the time
-	time.AfterFunc(late, func() { w.publishMap(9, func(int) *standInStore { return next }) })
+	const late = 1500 * time.Millisecond // longer than maxUnansweredFraction of the deadline
+	time.AfterFunc(late, func() { h.publishMap(9, func(int) *fakeStore { return next }) })
 	must.Eq(t, fasthttp.StatusAccepted, (<-answer).status)
 }
 
-func TestOwnerThatAnswersIsNotGivenUpOn(t *testing.T) {
-	w := newWorld(t)
-	key := w.keyOwnedBy(w.stores[1])
+func TestMessageOfRespondingOwnerIsNotAbandoned(t *testing.T) {
+	h := newHarness(t)
+	key := h.keyOwnedBy(h.stores[1])
 	began := time.Now()
-	w.stores[1].onPut(func(context.Context, *rpc.PutRequest) (rpc.PutStatus, error) {
-		if time.Since(began) < 500*time.Millisecond { // more than silentPart of the time
+	h.stores[1].onPut(func(context.Context, *rpc.PutRequest) (rpc.PutStatus, error) {
+		if time.Since(began) < 500*time.Millisecond { // longer than maxUnansweredFraction of the deadline
 			return rpc.PutStatus_NOT_OWNER, nil
 		}
 		return rpc.PutStatus_STORED, nil
 	})
-	answer := w.send("POST", "/keyed/x", "x", "X-Order-Key", key, "X-Deadline-Ms", "1000")
+	answer := h.send("POST", "/keyed/x", "x", "X-Order-Key", key, "X-Deadline-Ms", "1000")
 	must.Eq(t, fasthttp.StatusAccepted, answer.status)
 }
 
-// A rate is spent when a message is run, so only an order binds a message to its owner.
-func TestRatedMessageGoesRoundASilentOwner(t *testing.T) {
-	w := newWorld(t)
-	partition := hashPartition("rated", testPartitions)
-	owner := w.ownerOf(messageName(partition, 0))
-	owner.onPut(owner.silence)
-	answer := w.send("POST", "/rated/x", "x", "X-Deadline-Ms", "9000")
+// A rate limit is applied on delivery, so only an order key binds a message to its owner.
+func TestRateLimitedMessageBypassesUnresponsiveOwner(t *testing.T) {
+	h := newHarness(t)
+	partition := partitionForKey("rated", testPartitions)
+	owner := h.ownerOf(messageName(partition, 0))
+	owner.onPut(owner.blockPut)
+	answer := h.send("POST", "/rated/x", "x", "X-Deadline-Ms", "9000")
 	must.Eq(t, fasthttp.StatusAccepted, answer.status)
 	kept, ok := partitionOf(answer.header.Get("X-Msg-Id"))
 	must.True(t, ok)
 	must.Eq(t, partition, kept)
-	must.Eq(t, 2, w.puts(rpc.PutMode_HOLDER))
+	must.Eq(t, 2, h.puts(rpc.PutMode_HOLDER))
 }
 
-func TestRatedMessageGoesRoundAnOwnerThatCanNotBeReached(t *testing.T) {
-	w := newWorld(t)
-	owner := w.ownerOf(messageName(hashPartition("rated", testPartitions), 0))
+func TestRateLimitedMessageBypassesUnreachableOwner(t *testing.T) {
+	h := newHarness(t)
+	owner := h.ownerOf(messageName(partitionForKey("rated", testPartitions), 0))
 	owner.server.Close()
 	for range 3 {
-		must.Eq(t, fasthttp.StatusAccepted, w.send("POST", "/rated/x", "x", "X-Deadline-Ms", "9000").status)
+		must.Eq(t, fasthttp.StatusAccepted, h.send("POST", "/rated/x", "x", "X-Deadline-Ms", "9000").status)
 	}
-	must.Eq(t, 6, w.puts(rpc.PutMode_HOLDER))
-	must.Eq(t, 0, w.puts(rpc.PutMode_OWNER))
+	must.Eq(t, 6, h.puts(rpc.PutMode_HOLDER))
+	must.Eq(t, 0, h.puts(rpc.PutMode_OWNER))
 }
 
-func TestRatedMessageIsRefusedWhereTooFewStoresCanBeReached(t *testing.T) {
-	w := newWorld(t)
-	owner := w.ownerOf(messageName(hashPartition("rated", testPartitions), 0))
+func TestRateLimitedMessageIsRefusedWithTooFewReachableStores(t *testing.T) {
+	h := newHarness(t)
+	owner := h.ownerOf(messageName(partitionForKey("rated", testPartitions), 0))
 	left := 1
-	for _, store := range w.stores {
+	for _, store := range h.stores {
 		if store != owner && left > 0 {
 			left--
 			continue
 		}
 		store.server.Close()
-		w.dispatcher.health.refused(store.member.Address)
+		h.dispatcher.health.recordRefused(store.member.Address)
 	}
-	mustRefuse(t, w.send("POST", "/rated/x", "x"))
-	must.Eq(t, 0, w.puts(rpc.PutMode_HOLDER))
+	mustBeUnavailable(t, h.send("POST", "/rated/x", "x"))
+	must.Eq(t, 0, h.puts(rpc.PutMode_HOLDER))
 }
--- a/internal/ingest/dispatcher.go
+++ b/internal/ingest/dispatcher.go
@@ -10,8 +10,8 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// members is what the dispatcher needs of a cluster.Client.
-type members interface {
+// clusterClient is the part of cluster.Client that the dispatcher uses.
+type clusterClient interface {
 	View() *cluster.View
 	Store(address string) rpc.Store
 	Kick()
@@ -19,42 +19,43 @@
 	ConfigConfirmed(version uint64) bool
 }
 
-// dispatcher holds what the requests of one process share. It is safe for concurrent use.
+// dispatcher is the state shared by all requests of a process. It is safe for concurrent use.
 type dispatcher struct {
-	settings   *settings.Settings
-	cluster    members
-	health     *health
-	load       *load
-	hedges     *hedgeBudget
-	kicked     atomic.Int64 // when control was last asked out of turn, nanoseconds since started
-	started    time.Time
-	lookups    lookupCounters
-	rejections rejectionCounters
-	turn       atomic.Uint64 // counts messages, to spread them over partitions
-	serving    atomic.Bool   // the front address is listened on
-	stopping   atomic.Bool   // no new connections are wanted
-	closing    atomic.Bool   // connections end with their next answer
+	settings           *settings.Settings
+	cluster            clusterClient
+	health             *health
+	limiter            *limiter
+	hedges             *hedgeBudget
+	lastRenewalRequest atomic.Int64 // time of the last requestRenewal that was not throttled, in nanoseconds since started
+	started            time.Time
+	lookups            lookupCounters
+	rejections         rejectionCounters
+	messageCount       atomic.Uint64 // messages that needed a free partition; the round-robin offset
+	serving            atomic.Bool   // the front address accepts connections
+	stopping           atomic.Bool   // shutdown has begun; not ready for new connections
+	closing            atomic.Bool   // every response closes its connection
 }
 
-func newDispatcher(settings *settings.Settings, cluster members) *dispatcher {
+func newDispatcher(settings *settings.Settings, cluster clusterClient) *dispatcher {
 	return &dispatcher{
 		settings: settings,
 		cluster:  cluster,
 		health:   newHealth(),
-		load:     newLoad(settings.Limits.MemoryMb),
+		limiter:  newLimiter(settings.Limits.MemoryMb),
 		hedges:   newHedgeBudget(),
 		started:  time.Now(),
 	}
 }
 
-// kickInterval is the least time between two renewals out of turn: many messages may wait for one new map.
-const kickInterval = 250 * time.Millisecond
+// minRenewalInterval is the least time between two requested renewals: many messages may wait for the same new
+// map.
+const minRenewalInterval = 250 * time.Millisecond
 
-// kick asks for a renewal, which finds out soon whether control has another leader.
-func (d *dispatcher) kick() {
+// requestRenewal asks for a lease renewal ahead of schedule, which detects a new control-plane leader early.
+func (d *dispatcher) requestRenewal() {
 	now := int64(time.Since(d.started))
-	last := d.kicked.Load()
-	if now-last >= int64(kickInterval) && d.kicked.CompareAndSwap(last, now) {
+	last := d.lastRenewalRequest.Load()
+	if now-last >= int64(minRenewalInterval) && d.lastRenewalRequest.CompareAndSwap(last, now) {
 		d.cluster.Kick()
 	}
 }
--- a/internal/ingest/errors.go
+++ b/internal/ingest/errors.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// ListenError says that an address of the dispatcher can't be listened on, or is not set.
+// ListenError reports that an address of the dispatcher is not set or can't be listened on.
 type ListenError struct {
-	Address string // empty where the settings leave one out
+	Address string // empty if an address is missing in the settings
 	Cause   error
 }
 
-// Error names the remedy.
+// Error implements error.
 func (e *ListenError) Error() string {
 	if e.Address == "" {
 		return "dispatcher has no addresses: set listen.front and listen.ready in the settings"
--- a/internal/ingest/handler.go
+++ b/internal/ingest/handler.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	typeAsync     = "async"
-	pathMessage   = "/api/message/"
-	pathBody      = "/api/message-body/"
-	retryAfterOne = "1"
+	routeTypeAsync    = "async"
+	pathMessage       = "/api/message/"
+	pathBody          = "/api/message-body/"
+	retryAfterSeconds = "1"
 
 	headerRetryAfter = "Retry-After"
 	contentJSON      = "application/json"
 	contentBinary    = "application/octet-stream"
 )
 
-// handle answers one request of a client.
+// handle answers one client request.
 func (d *dispatcher) handle(ctx *fasthttp.RequestCtx) {
 	d.route(ctx)
 	if d.closing.Load() {
@@ -26,7 +26,7 @@
 	}
 }
 
-// route tells questions about messages from messages.
+// route dispatches a request: GET requests for a message's state or body are queries, all others are messages.
 func (d *dispatcher) route(ctx *fasthttp.RequestCtx) {
 	path := requestPath(ctx)
 	if ctx.IsGet() {
@@ -42,7 +42,7 @@
 	d.handleMessage(ctx, path)
 }
 
-// requestPath is the path as it stands in the request line, without the query.
+// requestPath returns the path as sent in the request line, neither decoded nor normalized, without the query.
 func requestPath(ctx *fasthttp.RequestCtx) string {
 	target := ctx.Request.Header.RequestURI()
 	if query := bytes.IndexByte(target, '?'); query >= 0 {
@@ -51,60 +51,61 @@
 	return string(target)
 }
 
-// handleMessage accepts a message, or says why not.
+// handleMessage accepts a message or responds with the reason why not.
 func (d *dispatcher) handleMessage(ctx *fasthttp.RequestCtx, path string) {
 	view := d.cluster.View()
 	if view.Table == nil || view.Map == nil {
-		refuse(ctx)
+		respondUnavailable(ctx)
 		return
 	}
 	route, service, ok := view.Table.Match(string(ctx.Request.Header.Host()), path)
-	if !ok || service == nil || route.Type != typeAsync {
-		d.reject(ctx, view.ConfigVersion, fasthttp.StatusNotFound)
+	if !ok || service == nil || route.Type != routeTypeAsync {
+		d.respondRejected(ctx, view.ConfigVersion, fasthttp.StatusNotFound)
 		return
 	}
 	size := len(ctx.Request.Body())
 	if size > view.Config.Limits.MaxBodyBytes {
-		d.reject(ctx, view.ConfigVersion, fasthttp.StatusRequestEntityTooLarge)
+		d.respondRejected(ctx, view.ConfigVersion, fasthttp.StatusRequestEntityTooLarge)
 		return
 	}
-	if !d.load.enter(size) {
-		refuse(ctx)
+	if !d.limiter.acquire(size) {
+		respondUnavailable(ctx)
 		return
 	}
-	defer d.load.leave(size)
-	answer(ctx, d, readRequest(ctx, route, service))
+	defer d.limiter.release(size)
+	storeAndRespond(ctx, d, parseRequest(ctx, route, service))
 }
 
-// reject answers with a status that a version of the configuration leads to. Where that has not been confirmed as the newest one lately, a
-// change may have been acknowledged that leads to another, so the client is asked to come back.
-func (d *dispatcher) reject(ctx *fasthttp.RequestCtx, version uint64, status int) {
+// respondRejected responds with a status that follows from the given configuration version. If that version has
+// not recently been confirmed as the newest one, an acknowledged change may lead to another status, so the
+// response is 503 and the client retries.
+func (d *dispatcher) respondRejected(ctx *fasthttp.RequestCtx, version uint64, status int) {
 	if !d.cluster.ConfigConfirmed(version) {
 		d.rejections.unsure.Inc()
-		d.kick()
-		refuse(ctx)
+		d.requestRenewal()
+		respondUnavailable(ctx)
 		return
 	}
-	d.rejections.sure.Inc()
+	d.rejections.confirmed.Inc()
 	ctx.SetStatusCode(status)
 }
 
-// answer has a message stored and answers the client.
-func answer(ctx *fasthttp.RequestCtx, d *dispatcher, message *request) {
+// storeAndRespond stores a message and responds to the client.
+func storeAndRespond(ctx *fasthttp.RequestCtx, d *dispatcher, message *request) {
 	name, result := d.accept(message)
 	switch result {
 	case accepted:
 		ctx.Response.Header.Set(headerMessageID, name)
 		ctx.SetStatusCode(fasthttp.StatusAccepted)
 	case refused:
-		refuse(ctx)
+		respondUnavailable(ctx)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
 	}
 }
 
-// refuse answers that nothing was taken, and that another try may succeed.
-func refuse(ctx *fasthttp.RequestCtx) {
-	ctx.Response.Header.Set(headerRetryAfter, retryAfterOne)
+// respondUnavailable responds with 503: the message was not accepted, and a retry may succeed.
+func respondUnavailable(ctx *fasthttp.RequestCtx) {
+	ctx.Response.Header.Set(headerRetryAfter, retryAfterSeconds)
 	ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 }
--- a/internal/ingest/health.go
+++ b/internal/ingest/health.go
@@ -11,37 +11,38 @@
 )
 
 const (
-	suspectAfter    = 2                      // answers in a row that did not come in time
-	lateAfter       = 4                      // answers in a row that let ownerPatience pass, before a store counts as unreachable
-	firstSuspicion  = 300 * time.Millisecond // the next in a row last longer
-	longSuspicion   = time.Second
-	failureLifetime = 3 * time.Second // a failure older than this says nothing of now
+	suspectThreshold = 2                      // consecutive late responses before a store is slow, or timeouts before it is unreachable
+	lateThreshold    = 4                      // consecutive late responses before a store is unreachable
+	minSuspicion     = 300 * time.Millisecond // doubles with each consecutive suspicion up to maxSuspicion
+	maxSuspicion     = time.Second
+	failureWindow    = 3 * time.Second // older failures say nothing about the present
 )
 
-// health remembers which stores answer. A store is slow when it let ownerPatience pass, and unreachable when
-// it refused a connection or stayed silent for much longer; slow ones are avoided where another will do, and
+// health tracks which stores respond. A store is slow if it exceeded hedgeDelay repeatedly, and unreachable if
+// it refused a connection or timed out repeatedly. Slow stores are avoided if there is another choice;
 // unreachable ones are not waited for. It is safe for concurrent use.
 type health struct {
-	prober *prober // nil where suspicions end by time alone
+	prober *prober // nil if suspicions end by time alone
 
 	mutex       sync.Mutex
 	stores      map[string]*storeHealth // by address
-	asked       bool
+	called      bool
 	lastSuccess time.Time
 	lastFailure time.Time
 }
 
-// storeHealth is what was seen of one store.
+// storeHealth is the state of one store.
 type storeHealth struct {
 	slow        suspicion
 	unreachable suspicion
-	probed      bool // a prober asks the store, and the store counts as unreachable until it answers
+	probing     bool // the prober is probing the store; it counts as unreachable until it responds
 }
 
-// isUnreachable reports whether waiting for the store is likely in vain.
-func (s *storeHealth) isUnreachable() bool { return s.probed || s.unreachable.holds() }
+// isUnreachable reports whether waiting for the store is likely futile.
+func (s *storeHealth) isUnreachable() bool { return s.probing || s.unreachable.active() }
 
-// suspicion holds for a while after failures, each time longer than before up to a bound.
+// suspicion is active for a while after failures; each one lasts longer than the one before, up to
+// maxSuspicion.
 type suspicion struct {
 	failures int
 	duration time.Duration
@@ -52,15 +53,15 @@
 	return &health{stores: map[string]*storeHealth{}}
 }
 
-// slow reports whether a store should be asked only where no other will do.
+// slow reports whether a store should be used only if there is no other choice.
 func (h *health) slow(address string) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	store := h.stores[address]
-	return store != nil && (store.slow.holds() || store.isUnreachable())
+	return store != nil && (store.slow.active() || store.isUnreachable())
 }
 
-// unreachable reports whether waiting for a store is likely in vain.
+// unreachable reports whether waiting for a store is likely futile.
 func (h *health) unreachable(address string) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -68,27 +69,28 @@
 	return store != nil && store.isUnreachable()
 }
 
-// succeeded notes an answer of a store, which ends any suspicion.
-func (h *health) succeeded(address string) {
+// recordSuccess records a response, which ends all suspicions of the store.
+func (h *health) recordSuccess(address string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.asked = true
+	h.called = true
 	h.lastSuccess = time.Now()
 	if store := h.stores[address]; store != nil {
 		*store = storeHealth{}
 	}
 }
 
-// late notes that a store has let ownerPatience pass.
-func (h *health) late(address string) {
+// recordLate records that a store has not responded within hedgeDelay.
+func (h *health) recordLate(address string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.store(address).slow.add(suspectAfter)
-	h.suspect(address, lateAfter)
+	h.entry(address).slow.recordFailure(suspectThreshold)
+	h.suspect(address, lateThreshold)
 }
 
-// mostUnreachable reports whether more than half of the stores are unreachable, so that waiting for a new owner is in vain.
-func (h *health) mostUnreachable(stores []*rpc.StoreMember) bool {
+// majorityUnreachable reports whether more than half of the stores are unreachable, so that no new owner can be
+// expected.
+func (h *health) majorityUnreachable(stores []*rpc.StoreMember) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	unreachable := 0
@@ -100,104 +102,108 @@
 	return 2*unreachable > len(stores)
 }
 
-// silent notes that a store has not answered for silenceBound.
-func (h *health) silent(address string) {
+// recordTimeout records that a store has not responded within storeTimeout.
+func (h *health) recordTimeout(address string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.asked = true
+	h.called = true
 	h.lastFailure = time.Now()
-	h.suspect(address, suspectAfter)
+	h.suspect(address, suspectThreshold)
 }
 
-// refused notes that a connection to a store was refused or broke.
-func (h *health) refused(address string) {
+// recordRefused records that a connection to a store was refused or broke.
+func (h *health) recordRefused(address string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.asked = true
+	h.called = true
 	h.lastFailure = time.Now()
 	h.suspect(address, 1)
 }
 
-// suspect counts a failure against a store. Once there are enough in a row it is unreachable, until the prober has an answer of it
-// where there is one: no request is held up to find out. The mutex is held.
-func (h *health) suspect(address string, enough int) {
-	store := h.store(address)
-	store.unreachable.add(enough)
-	if h.prober == nil || store.probed || !store.unreachable.holds() {
+// suspect counts a failure of a store. After threshold consecutive failures the store is unreachable; if there
+// is a prober, it stays so until a probe is answered, so that no request has to wait to find out. Callers hold
+// the mutex.
+func (h *health) suspect(address string, threshold int) {
+	store := h.entry(address)
+	store.unreachable.recordFailure(threshold)
+	if h.prober == nil || store.probing || !store.unreachable.active() {
 		return
 	}
-	store.probed = true
+	store.probing = true
 	until := store.unreachable.until
 	go func() {
-		if h.prober.awaitAnswer(address, until) {
-			h.succeeded(address)
+		if h.prober.awaitResponse(address, until) {
+			h.recordSuccess(address)
 			return
 		}
-		h.forget(address)
+		h.remove(address)
 	}()
 }
 
-// forget drops what was seen of a store that is none any more.
-func (h *health) forget(address string) {
+// remove discards the state of a store that has left the deployment.
+func (h *health) remove(address string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	delete(h.stores, address)
 }
 
-func (h *health) store(address string) *storeHealth {
-	store := h.stores[address]
-	if store == nil {
-		store = &storeHealth{}
-		h.stores[address] = store
+// entry returns the state of a store, which it adds if needed. Callers hold the mutex.
+func (h *health) entry(address string) *storeHealth {
+	entry := h.stores[address]
+	if entry == nil {
+		entry = &storeHealth{}
+		h.stores[address] = entry
 	}
-	return store
+	return entry
 }
 
-// failing reports whether the stores asked lately all failed.
-func (h *health) failing() bool {
+// allFailing reports whether all recent calls to stores failed.
+func (h *health) allFailing() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.asked && time.Since(h.lastSuccess) > failureLifetime && time.Since(h.lastFailure) < failureLifetime
+	return h.called && time.Since(h.lastSuccess) > failureWindow && time.Since(h.lastFailure) < failureWindow
 }
 
-// failed reports whether the newest call of all failed, however long ago.
-func (h *health) failed() bool {
+// lastCallFailed reports whether the latest call to any store failed, however long ago.
+func (h *health) lastCallFailed() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.asked && h.lastFailure.After(h.lastSuccess)
+	return h.called && h.lastFailure.After(h.lastSuccess)
 }
 
-// holds reports whether the suspicion holds now.
-func (s *suspicion) holds() bool {
+// active reports whether the store is suspected now.
+func (s *suspicion) active() bool {
 	return !s.until.IsZero() && time.Now().Before(s.until)
 }
 
-// add counts a failure; the suspicion begins once there are enough in a row. Failures while it holds come
-// from calls that were already under way, and change nothing.
-func (s *suspicion) add(enough int) {
+// recordFailure counts a failure; after threshold consecutive ones the suspicion becomes active. Failures while
+// it is active come from calls that were already in progress and change nothing.
+func (s *suspicion) recordFailure(threshold int) {
 	s.failures++
-	if s.failures < enough || s.holds() {
+	if s.failures < threshold || s.active() {
 		return
 	}
-	s.duration = min(max(2*s.duration, firstSuspicion), longSuspicion)
+	s.duration = min(max(2*s.duration, minSuspicion), maxSuspicion)
 	s.until = time.Now().Add(s.duration)
 }
 
-// broke notes a call that failed in the middle. An error that the store itself answered is a sign of life.
-func (h *health) broke(address string, err error) {
-	if isBroken(err) {
-		h.refused(address)
+// recordError records a call that failed after it was sent. An error returned by the store itself shows that it
+// is alive.
+func (h *health) recordError(address string, err error) {
+	if isConnectionError(err) {
+		h.recordRefused(address)
 	}
 }
 
-// isBroken reports whether a call failed for its connection, so that no answer of the store came.
-func isBroken(err error) bool {
-	var broken *net.OpError
-	return errors.As(err, &broken) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
+// isConnectionError reports whether a call failed because of its connection, so without a response from the
+// store.
+func isConnectionError(err error) bool {
+	var network *net.OpError
+	return errors.As(err, &network) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// neverSent reports whether a call failed before a byte of it left, because no connection was made.
-func neverSent(err error) bool {
-	var failed *net.OpError
-	return errors.As(err, &failed) && failed.Op == "dial"
+// isDialError reports whether no connection could be made, so that no byte of the call was sent.
+func isDialError(err error) bool {
+	var network *net.OpError
+	return errors.As(err, &network) && network.Op == "dial"
 }
--- a/internal/ingest/holders_test.go
+++ b/internal/ingest/holder_write_test.go
@@ -9,8 +9,8 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// A copy at a store that is being emptied counts as gone, so a write round the owner leaves it out.
-func TestNoMessageIsWrittenToAStoreThatIsBeingEmptied(t *testing.T) {
+// A copy at a store that is being drained counts as lost, so it must not be a holder.
+func TestHoldersExcludeDrainingStores(t *testing.T) {
 	stores := []*rpc.StoreMember{
 		{Node: "owner", Address: "10.0.0.1:1", Zone: "a"},
 		{Node: "leaving", Address: "10.0.0.2:1", Zone: "b", Leaving: true},
--- a/internal/ingest/lookup.go
+++ b/internal/ingest/lookup.go
@@ -13,83 +13,84 @@
 
 const (
 	lookupTimeout  = 700 * time.Millisecond
-	ownerHeadStart = 150 * time.Millisecond // before the other stores are asked too
+	ownerHeadStart = 150 * time.Millisecond // before the other stores are queried too
 )
 
-// found is what the stores know of a message.
-type found struct {
-	reply  *rpc.LookupReply // the best answer; nil for none
-	silent int              // stores that did not answer
-	asked  int
+// lookupResult is what the stores know about a message.
+type lookupResult struct {
+	reply      *rpc.LookupReply // the best reply; nil if none
+	unanswered int              // stores that have not replied
+	queries    int
 }
 
-// lookupAnswer is the answer of one store; reply is nil where there was none.
-type lookupAnswer struct {
+// lookupResponse is the response of one store; reply is nil if the call failed.
+type lookupResponse struct {
 	reply *rpc.LookupReply
 }
 
-// lookup asks the owner of a message, and all other stores where the owner does not settle it.
-func (d *dispatcher) lookup(name string, partition uint32, body bool) found {
+// lookup queries the owner of a message, and all other stores if the owner's reply does not settle the query or
+// takes longer than ownerHeadStart.
+func (d *dispatcher) lookup(name string, partition uint32, body bool) lookupResult {
 	view := d.cluster.View()
 	ctx, cancel := context.WithTimeout(context.Background(), lookupTimeout+ownerHeadStart)
 	defer cancel()
 	query := &lookupQuery{
 		dispatcher: d,
 		request:    &rpc.LookupRequest{Name: name, Body: body},
-		answers:    make(chan lookupAnswer, len(view.Stores())),
+		responses:  make(chan lookupResponse, len(view.Stores())),
 	}
 	owner, _, owned := view.Owner(partition)
 	if owned {
-		query.ask(ctx, owner.Address)
+		query.query(ctx, owner.Address)
 	}
 	query.wait(ctx, ownerHeadStart)
 	if query.settled() {
-		return query.found
+		return query.lookupResult
 	}
-	query.askOthers(ctx, view, owner)
+	query.queryOthers(ctx, view, owner)
 	query.wait(ctx, lookupTimeout)
-	return query.found
+	return query.lookupResult
 }
 
-// lookupQuery asks several stores about one message. It belongs to one goroutine.
+// lookupQuery queries several stores about one message. Only one goroutine uses it.
 type lookupQuery struct {
-	dispatcher *dispatcher
-	request    *rpc.LookupRequest
-	answers    chan lookupAnswer // has room for all
-	pending    int
-	found      found
+	dispatcher   *dispatcher
+	request      *rpc.LookupRequest
+	responses    chan lookupResponse // has capacity for all stores
+	pending      int
+	lookupResult lookupResult
 }
 
-func (q *lookupQuery) ask(ctx context.Context, address string) {
+func (q *lookupQuery) query(ctx context.Context, address string) {
 	q.pending++
-	q.found.asked++
-	q.found.silent++
+	q.lookupResult.queries++
+	q.lookupResult.unanswered++
 	store := q.dispatcher.cluster.Store(address)
 	go func() {
 		reply, err := store.Lookup(ctx, q.request)
 		if err != nil {
 			reply = nil
 		}
-		q.answers <- lookupAnswer{reply: reply}
+		q.responses <- lookupResponse{reply: reply}
 	}()
 }
 
-func (q *lookupQuery) askOthers(ctx context.Context, view *cluster.View, owner *rpc.StoreMember) {
+func (q *lookupQuery) queryOthers(ctx context.Context, view *cluster.View, owner *rpc.StoreMember) {
 	for _, store := range view.Stores() {
 		if owner == nil || store.Node != owner.Node {
-			q.ask(ctx, store.Address)
+			q.query(ctx, store.Address)
 		}
 	}
 }
 
-// wait takes answers until all have come, one settles it, or the time is over.
+// wait collects responses until all have arrived, one settles the query, or the time is over.
 func (q *lookupQuery) wait(ctx context.Context, bound time.Duration) {
 	timer := time.NewTimer(bound)
 	defer timer.Stop()
 	for q.pending > 0 && !q.settled() {
 		select {
-		case answer := <-q.answers:
-			q.take(answer.reply)
+		case response := <-q.responses:
+			q.record(response.reply)
 		case <-timer.C:
 			return
 		case <-ctx.Done():
@@ -98,20 +99,20 @@
 	}
 }
 
-// take keeps the better of the answers.
-func (q *lookupQuery) take(reply *rpc.LookupReply) {
+// record keeps a reply if it is better than the best one so far.
+func (q *lookupQuery) record(reply *rpc.LookupReply) {
 	q.pending--
 	if reply == nil {
 		return
 	}
-	q.found.silent--
-	if q.rank(reply) > q.rank(q.found.reply) {
-		q.found.reply = reply
+	q.lookupResult.unanswered--
+	if q.rank(reply) > q.rank(q.lookupResult.reply) {
+		q.lookupResult.reply = reply
 	}
 }
 
-// rank orders answers: those that have ended first, then the owner's, then any that found it. For a body, an
-// answer that has it goes before all others.
+// rank orders replies: final states first, then the owner's reply, then any that found the message. In a query
+// for the body, a reply with the body ranks above all others.
 func (q *lookupQuery) rank(reply *rpc.LookupReply) int {
 	const bodyRank, endedRank, ownerRank, foundRank = 8, 4, 2, 1
 	if !reply.GetFound() {
@@ -130,9 +131,9 @@
 	return rank
 }
 
-// settled reports whether no other store can know better.
+// settled reports whether no other store can have a better reply.
 func (q *lookupQuery) settled() bool {
-	reply := q.found.reply
+	reply := q.lookupResult.reply
 	if !reply.GetFound() {
 		return false
 	}
@@ -142,13 +143,13 @@
 	return reply.Owner || reply.State != rpc.State_QUEUED
 }
 
-// messageState is the answer to a question for a message's state.
+// messageState is the response to a query for a message's state.
 type messageState struct {
 	State string `json:"state"`
 	Stamp string `json:"stamp,omitempty"`
 }
 
-// stateName is how a state is written for clients.
+// stateName returns a state's name in the client API.
 func stateName(state rpc.State) string {
 	switch state {
 	case rpc.State_COMPLETED:
@@ -162,7 +163,7 @@
 
 // handleState answers GET /api/message/ID.
 func (d *dispatcher) handleState(ctx *fasthttp.RequestCtx, name string) {
-	result, ok := d.answerable(ctx, name, false)
+	result, ok := d.findMessage(ctx, name, false)
 	if !ok {
 		return
 	}
@@ -181,7 +182,7 @@
 
 // handleBody answers GET /api/message-body/ID.
 func (d *dispatcher) handleBody(ctx *fasthttp.RequestCtx, name string) {
-	result, ok := d.answerable(ctx, name, true)
+	result, ok := d.findMessage(ctx, name, true)
 	if !ok {
 		return
 	}
@@ -190,35 +191,36 @@
 		ctx.SetContentType(contentBinary)
 		ctx.SetBody(result.reply.Body)
 	case result.reply.State == rpc.State_COMPLETED:
-		ctx.SetStatusCode(fasthttp.StatusNotFound) // the bytes of a completed message are not kept
+		ctx.SetStatusCode(fasthttp.StatusNotFound) // the body of a completed message is not kept
 	default:
-		refuse(ctx)
+		respondUnavailable(ctx)
 	}
 }
 
-// answerable looks a message up, and answers itself where it is not found: 404 if every store says so, else 503.
-func (d *dispatcher) answerable(ctx *fasthttp.RequestCtx, name string, body bool) (found, bool) {
+// findMessage looks a message up. If it is not found, findMessage responds itself: with 404 if every store
+// replied that it does not know the message, otherwise with 503.
+func (d *dispatcher) findMessage(ctx *fasthttp.RequestCtx, name string, body bool) (lookupResult, bool) {
 	partition, ok := partitionOf(name)
 	if !ok {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
-		return found{}, false
+		return lookupResult{}, false
 	}
-	if !d.load.enter(0) {
-		refuse(ctx)
-		return found{}, false
+	if !d.limiter.acquire(0) {
+		respondUnavailable(ctx)
+		return lookupResult{}, false
 	}
-	defer d.load.leave(0)
+	defer d.limiter.release(0)
 	result := d.lookup(name, partition, body)
-	d.lookups.asked.Inc()
+	d.lookups.queries.Inc()
 	switch {
 	case result.reply.GetFound():
 		return result, true
-	case result.asked == 0 || result.silent > 0:
+	case result.queries == 0 || result.unanswered > 0:
 		d.lookups.unsure.Inc()
-		refuse(ctx)
+		respondUnavailable(ctx)
 	default:
 		d.lookups.unknown.Inc()
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
-	return found{}, false
+	return lookupResult{}, false
 }
--- a/internal/ingest/name.go
+++ b/internal/ingest/message_name.go
@@ -13,7 +13,7 @@
 	nameLength      = partitionDigits + 1 + randomDigits
 )
 
-// messageName is the name of a message: the partition in hexadecimal, a dash, and random digits.
+// messageName returns the name of a message: the partition in hexadecimal, a dash, and random digits.
 func messageName(partition uint32, random uint64) string {
 	var raw [9]byte
 	raw[0] = byte(partition)
@@ -27,7 +27,8 @@
 	return string(digits[:])
 }
 
-// partitionOf reads the partition from a message's name. ok is false for a name that is not of our making.
+// partitionOf parses the partition from a message's name. ok is false if the name does not have the form that
+// messageName gives.
 func partitionOf(name string) (partition uint32, ok bool) {
 	if len(name) != nameLength || name[partitionDigits] != '-' {
 		return 0, false
@@ -42,19 +43,19 @@
 	return uint32(number), true
 }
 
-// randomName draws the random part of a name.
-func randomName() uint64 { return rand.Uint64() }
+// randomID returns the random part of a message name, or an incarnation.
+func randomID() uint64 { return rand.Uint64() }
 
-// Even partitions are for messages that a key or a rate pins to one owner, odd ones for those that may go to any. So a
-// partition with an order is not held up by long runs of messages without one when it is handed over.
+// Messages with a partition key use the even partitions; messages without one use the odd, free partitions. So
+// the handover of a partition with ordered messages is not delayed by long queues of messages without order.
 
-// hashPartition maps a key to one of the even partitions of so many. All dispatchers must agree on it.
-func hashPartition(key string, partitions uint32) uint32 {
+// partitionForKey maps a key to one of the even partitions. All dispatchers must compute the same partition.
+func partitionForKey(key string, partitions uint32) uint32 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(key))
 	pairs := max(1, uint64(partitions)/2)
 	return uint32(hash.Sum64() % pairs * 2)
 }
 
-// isFree reports whether a partition is for messages that may go to any.
-func isFree(partition uint32) bool { return partition%2 == 1 }
+// isFreePartition reports whether a partition is for messages without a partition key.
+func isFreePartition(partition uint32) bool { return partition%2 == 1 }
--- a/internal/ingest/prober.go
+++ b/internal/ingest/prober.go
@@ -9,42 +9,42 @@
 )
 
 const (
-	probeTimeout = 250 * time.Millisecond
-	probePause   = 50 * time.Millisecond // between two probes of a store
+	probeTimeout  = 250 * time.Millisecond
+	probeInterval = 50 * time.Millisecond // between two probes of a store
 )
 
-// prober asks stores that do not answer, until they do.
+// prober probes unresponsive stores until they respond.
 type prober struct {
-	ctx     context.Context // ends the probing
-	cluster members
+	ctx     context.Context // ends all probing
+	cluster clusterClient
 }
 
-// awaitAnswer probes a store from a moment on. It reports true once the store has answered, and false where it is none of the
-// deployment any more or the probing has ended.
-func (p *prober) awaitAnswer(address string, from time.Time) bool {
-	if !p.sleep(time.Until(from)) {
+// awaitResponse probes a store from the given moment on. It returns true once the store has responded, and
+// false if the store has left the deployment or the context has ended.
+func (p *prober) awaitResponse(address string, start time.Time) bool {
+	if !p.sleep(time.Until(start)) {
 		return false
 	}
 	for isStore(p.cluster.View(), address) {
 		if p.probe(address) {
 			return true
 		}
-		if !p.sleep(probePause) {
+		if !p.sleep(probeInterval) {
 			return false
 		}
 	}
 	return false
 }
 
-// probe asks a store for a message that there is none of. Any answer, an error too, is a sign of life.
+// probe looks up a message that does not exist. Any response, even an error, shows that the store is alive.
 func (p *prober) probe(address string) bool {
 	ctx, cancel := context.WithTimeout(p.ctx, probeTimeout)
 	defer cancel()
 	_, err := p.cluster.Store(address).Lookup(ctx, &rpc.LookupRequest{})
-	return err == nil || ctx.Err() == nil && !isBroken(err)
+	return err == nil || ctx.Err() == nil && !isConnectionError(err)
 }
 
-// sleep waits and reports whether the probing goes on.
+// sleep waits for a duration. It returns false if the context ended first.
 func (p *prober) sleep(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/ingest/put.go
+++ b/internal/ingest/put.go
@@ -6,57 +6,57 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// putResult is what one Put of one message came to.
+// putResult is the result of one Put of one message.
 type putResult int
 
 const (
 	putStored  putResult = iota
-	putStale             // refused: owner or epoch are others than known here; nothing was stored
-	putFull              // refused for want of room; nothing was stored
-	putNotSent           // no connection was made; nothing was stored
-	putUnknown           // it may have been stored
+	putStale             // rejected: another owner or epoch than in this view; nothing was stored
+	putFull              // rejected for lack of space; nothing was stored
+	putNotSent           // no connection could be made; nothing was stored
+	putUnknown           // the store may have stored the message
 )
 
-// answered reports whether a store said what it did with the message.
+// answered reports whether the store responded with what it did with the message.
 func (r putResult) answered() bool { return r == putStored || r == putStale || r == putFull }
 
-// target is where and how a message is put.
+// target is the destination of a Put.
 type target struct {
 	store *rpc.StoreMember
 	epoch uint64
 	mode  rpc.PutMode
 }
 
-// putOutcome reports the end of one Put.
+// putOutcome is the result of a Put and its destination.
 type putOutcome struct {
 	target target
 	result putResult
 }
 
-// putter sends one message to stores. Calls outlive the request where it ends early, so nothing of the
-// request's buffers is kept.
+// putter sends one message to stores. A call may outlive the request, so it must not refer to the server's
+// buffers.
 type putter struct {
-	dispatcher *dispatcher
-	message    *request
-	under      uint64          // table of owners that was in force when the message began to be placed
-	outcomes   chan putOutcome // has room for all tries
+	dispatcher  *dispatcher
+	message     *request
+	placedUnder uint64          // map version when placement of the message began
+	outcomes    chan putOutcome // has capacity for all Puts of the message
 }
 
-// start sends the message in the background, and the outcome to p.outcomes.
+// start sends the message in the background. The outcome goes to p.outcomes.
 func (p *putter) start(name string, partition uint32, to target, configVersion uint64) {
 	put := &rpc.PutRequest{
 		Mode:          to.mode,
 		ConfigVersion: configVersion,
-		Messages:      []*rpc.Message{p.message.asMessage(name, partition, to.epoch)},
+		Messages:      []*rpc.Message{p.message.toMessage(name, partition, to.epoch)},
 		Epochs:        []uint64{to.epoch},
-		PlacedUnder:   p.under,
+		PlacedUnder:   p.placedUnder,
 	}
 	go func() {
 		p.outcomes <- putOutcome{target: to, result: p.call(to, put)}
 	}()
 }
 
-// call sends one Put and tells what it came to.
+// call makes one Put, records the store's health and returns the result.
 func (p *putter) call(to target, put *rpc.PutRequest) putResult {
 	ctx, cancel := context.WithDeadline(context.Background(), p.message.deadline)
 	defer cancel()
@@ -64,21 +64,21 @@
 	reply, err := p.dispatcher.cluster.Store(to.store.Address).Put(ctx, put)
 	switch {
 	case err == nil:
-		health.succeeded(to.store.Address)
-		return resultOf(reply)
-	case neverSent(err):
-		health.refused(to.store.Address)
+		health.recordSuccess(to.store.Address)
+		return putResultOf(reply)
+	case isDialError(err):
+		health.recordRefused(to.store.Address)
 		return putNotSent
 	case ctx.Err() != nil:
-		return putUnknown // silence was noted while it lasted
+		return putUnknown // recordTimeout was called while the Put was in progress
 	default:
-		health.broke(to.store.Address, err)
+		health.recordError(to.store.Address, err)
 		return putUnknown
 	}
 }
 
-// resultOf reads the status of the only message of a Put.
-func resultOf(reply *rpc.PutReply) putResult {
+// putResultOf maps the status in the reply to a Put of one message.
+func putResultOf(reply *rpc.PutReply) putResult {
 	if len(reply.Statuses) != 1 {
 		return putUnknown
 	}
--- a/internal/ingest/ready.go
+++ b/internal/ingest/readiness.go
@@ -10,30 +10,30 @@
 
 const (
 	pathReady      = "/api/ready"
-	controlSilence = 10 * time.Second // without control this long, failing stores make the dispatcher not ready
+	controlTimeout = 10 * time.Second // if the leader has granted nothing for this long, a failed store call makes the dispatcher not ready
 )
 
-// readiness decides whether clients should be sent here.
+// readiness decides whether the platform should send clients to this dispatcher.
 type readiness struct {
 	dispatcher *dispatcher
 	control    interface{ ControlReachable() time.Duration }
 }
 
-// ready reports whether a message that comes now is likely to be accepted.
+// ready reports whether a new message is likely to be accepted.
 func (r *readiness) ready() bool {
 	d := r.dispatcher
-	if !d.serving.Load() || d.stopping.Load() || !serviceable(d.cluster.View()) || d.health.failing() {
+	if !d.serving.Load() || d.stopping.Load() || !canAccept(d.cluster.View()) || d.health.allFailing() {
 		return false
 	}
-	return !(r.control.ControlReachable() > controlSilence && d.health.failed())
+	return !(r.control.ControlReachable() > controlTimeout && d.health.lastCallFailed())
 }
 
-// serviceable reports whether a view is enough to accept messages with.
-func serviceable(view *cluster.View) bool {
+// canAccept reports whether a view suffices to accept messages.
+func canAccept(view *cluster.View) bool {
 	return view.Config != nil && view.HasOwners()
 }
 
-// handle answers the platform.
+// handle answers the platform's readiness probe.
 func (r *readiness) handle(ctx *fasthttp.RequestCtx) {
 	switch {
 	case string(ctx.Path()) != pathReady:
--- a/internal/ingest/request.go
+++ b/internal/ingest/request.go
@@ -12,7 +12,7 @@
 
 const (
 	defaultDeadline = 800 * time.Millisecond
-	answerMargin    = 50 * time.Millisecond // kept of a client's deadline for the answer's way
+	responseMargin  = 50 * time.Millisecond // part of the client's deadline reserved for the way of the response
 	minDeadline     = 20 * time.Millisecond
 	maxDeadline     = 10 * time.Second
 	maxDelay        = 24 * time.Hour
@@ -24,27 +24,27 @@
 	headerMessageID = "X-Msg-Id"
 )
 
-// request is a client's message, copied out of the server's buffers.
+// request is a message from a client, copied from the server's buffers.
 type request struct {
-	route       string
-	method      string
-	target      string
-	host        string
-	id          string
-	orderKey    string
-	contentType string
-	body        []byte
-	arrived     time.Time
-	deadline    time.Time // for the answer
-	delay       time.Duration
-	patience    time.Duration // for a new owner, where nothing was sent yet
-	pinnedTo    string        // what decides the partition; empty where any will do
+	route        string
+	method       string
+	target       string
+	host         string
+	id           string
+	orderKey     string
+	contentType  string
+	body         []byte
+	receivedAt   time.Time
+	deadline     time.Time // for the response
+	delay        time.Duration
+	ownerWait    time.Duration // how long to wait for a reachable owner if nothing was sent yet
+	partitionKey string        // determines the partition; empty if any free partition will do
 }
 
-// readRequest copies a message out of the server's buffers.
-func readRequest(ctx *fasthttp.RequestCtx, route *catalog.Route, service *catalog.Service) *request {
+// parseRequest copies a message from the server's buffers.
+func parseRequest(ctx *fasthttp.RequestCtx, route *catalog.Route, service *catalog.Service) *request {
 	header := &ctx.Request.Header
-	arrived := time.Now()
+	receivedAt := time.Now()
 	message := &request{
 		route:       route.Name,
 		method:      string(header.Method()),
@@ -54,48 +54,50 @@
 		orderKey:    string(header.Peek(headerOrderKey)),
 		contentType: string(header.ContentType()),
 		body:        append([]byte(nil), ctx.Request.Body()...),
-		arrived:     arrived,
-		deadline:    arrived.Add(answerTime(header)),
-		delay:       min(milliseconds(header.Peek(headerDelay), 0), maxDelay),
-		patience:    time.Duration(route.TargetLatencyMs / 16 * float64(time.Millisecond)),
+		receivedAt:  receivedAt,
+		deadline:    receivedAt.Add(responseBudget(header)),
+		delay:       min(parseMilliseconds(header.Peek(headerDelay), 0), maxDelay),
+		ownerWait:   time.Duration(route.TargetLatencyMs / 16 * float64(time.Millisecond)),
 	}
 	if !route.FIFO {
 		message.orderKey = ""
 	}
-	message.pinnedTo = pin(message, service)
+	message.partitionKey = choosePartitionKey(message, service)
 	return message
 }
 
-// pin returns what decides the partition of a message: the service where its rate is bounded, since one owner
-// spends the whole rate, else the order key. Empty is for none.
-func pin(message *request, service *catalog.Service) string {
+// choosePartitionKey returns what determines the message's partition: the service if its rate is limited, as a
+// single owner must account for the whole rate; otherwise the order key. It is empty if there is none.
+func choosePartitionKey(message *request, service *catalog.Service) string {
 	if service.RatePerS > 0 {
 		return service.Name
 	}
 	return message.orderKey
 }
 
-// answerTime is the time in which the client must have its answer.
-func answerTime(header *fasthttp.RequestHeader) time.Duration {
-	bound := milliseconds(header.Peek(headerDeadline), defaultDeadline)
-	return min(max(bound-answerMargin, minDeadline), maxDeadline)
+// responseBudget returns the time within which the response must be sent.
+func responseBudget(header *fasthttp.RequestHeader) time.Duration {
+	bound := parseMilliseconds(header.Peek(headerDeadline), defaultDeadline)
+	return min(max(bound-responseMargin, minDeadline), maxDeadline)
 }
 
-// milliseconds reads a duration from a header, or returns a default.
-func milliseconds(value []byte, otherwise time.Duration) time.Duration {
+// parseMilliseconds parses a duration in milliseconds, at most maxDelay. It returns the fallback if the value
+// is empty or not valid.
+func parseMilliseconds(value []byte, fallback time.Duration) time.Duration {
 	if len(value) == 0 {
-		return otherwise
+		return fallback
 	}
 	number, err := strconv.ParseFloat(string(value), 64)
 	if err != nil || number < 0 || number != number {
-		return otherwise
+		return fallback
 	}
 	return time.Duration(min(number, float64(maxDelay/time.Millisecond)) * float64(time.Millisecond))
 }
 
-// asMessage returns the message as it is sent now, with its times relative to this moment.
-func (r *request) asMessage(name string, partition uint32, epoch uint64) *rpc.Message {
-	age := time.Since(r.arrived)
+// toMessage returns the message for a Put that is sent now: its age and remaining delay are relative to the
+// present.
+func (r *request) toMessage(name string, partition uint32, epoch uint64) *rpc.Message {
+	age := time.Since(r.receivedAt)
 	return &rpc.Message{
 		Name:        name,
 		Partition:   partition,
--- a/internal/ingest/bytes_test.go
+++ b/internal/ingest/request_framing_test.go
@@ -14,36 +14,35 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// TestRequestOfAClientThatEndsAtEachByte closes the connection after each byte of a request but the last: nothing is taken.
-func TestRequestOfAClientThatEndsAtEachByte(t *testing.T) {
-	w := newWorld(t)
+// Closes the connection after every proper prefix of a request: none may reach a store.
+func TestRequestTruncatedAtEachByteIsNotStored(t *testing.T) {
+	h := newHarness(t)
 	wholes := map[string]string{
 		"length": "POST /free/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: a\r\nContent-Length: 5\r\n\r\nhello",
 		"chunks": "POST /free/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
 	}
 	for name, whole := range wholes {
 		for at := 1; at < len(whole); at++ {
-			connection, err := w.listener.Dial()
+			connection, err := h.listener.Dial()
 			must.NoError(t, err)
 			_, err = connection.Write([]byte(whole[:at]))
 			must.NoError(t, err)
 			must.NoError(t, connection.Close())
-			must.EqOp(t, 0, w.puts(rpc.PutMode_OWNER)+w.puts(rpc.PutMode_HOLDER), must.Sprint(name, " after byte ", at))
+			must.EqOp(t, 0, h.puts(rpc.PutMode_OWNER)+h.puts(rpc.PutMode_HOLDER), must.Sprint(name, " after byte ", at))
 		}
 	}
-	// Those that were cut are over by the time that a later one has been answered.
-	must.Eq(t, fasthttp.StatusAccepted, w.send("POST", "/free/x", "whole").status)
-	must.EqOp(t, 1, w.puts(rpc.PutMode_OWNER)+w.puts(rpc.PutMode_HOLDER))
+	// The truncated requests have ended by the time a later one has been answered.
+	must.Eq(t, fasthttp.StatusAccepted, h.send("POST", "/free/x", "whole").status)
+	must.EqOp(t, 1, h.puts(rpc.PutMode_OWNER)+h.puts(rpc.PutMode_HOLDER))
 }
 
-// TestRequestsWrittenTogetherGetTheirOwnAnswers writes requests on one connection without waiting for answers: those of routes
-// that there are and are not by turns.
-func TestRequestsWrittenTogetherGetTheirOwnAnswers(t *testing.T) {
-	w := newWorld(t)
-	connection, err := w.listener.Dial()
+// Writes requests on one connection without waiting for responses, alternately with and without a matching route.
+func TestPipelinedRequestsGetTheirOwnResponses(t *testing.T) {
+	h := newHarness(t)
+	connection, err := h.listener.Dial()
 	must.NoError(t, err)
 	defer connection.Close()
-	must.NoError(t, connection.SetDeadline(time.Now().Add(testPatience)))
+	must.NoError(t, connection.SetDeadline(time.Now().Add(testTimeout)))
 	const count = 20
 	var written bytes.Buffer
 	for i := range count {
@@ -56,7 +55,7 @@
 	}
 	go func() { _, _ = connection.Write(written.Bytes()) }()
 	reader := bufio.NewReader(connection)
-	names := map[string]string{} // body of each message, by the name in its answer
+	names := map[string]string{} // message bodies by message name
 	for i := range count {
 		response, err := http.ReadResponse(reader, nil)
 		must.NoError(t, err)
@@ -72,7 +71,7 @@
 		}
 	}
 	must.MapLen(t, count/2, names)
-	for _, store := range w.stores {
+	for _, store := range h.stores {
 		for _, put := range store.received() {
 			must.EqOp(t, names[put.Messages[0].Name], string(put.Messages[0].Body))
 		}
--- a/internal/ingest/run.go
+++ b/internal/ingest/run.go
@@ -18,47 +18,47 @@
 )
 
 const (
-	serveOn         = 2300 * time.Millisecond // after SIGTERM, while the platform still sends connections here
-	graceReserve    = 2 * time.Second         // of graceS, kept against late timers
-	leastCloseTime  = 500 * time.Millisecond
+	drainTime       = 2300 * time.Millisecond // after SIGTERM, while the platform still routes new connections here
+	graceReserve    = 2 * time.Second         // unused part of graceS, a margin for late timers
+	minCloseTime    = 500 * time.Millisecond
 	incarnationBase = 36
 )
 
-// Options are what a dispatcher is told at its start.
+// Options configure a dispatcher.
 type Options struct {
-	Settings *settings.Settings // read and checked
+	Settings *settings.Settings // validated
 	Log      logr.Logger
 
-	// RoundTripper reaches control processes and stores; nil for TCP.
+	// RoundTripper is the transport to control processes and stores; nil means TCP.
 	RoundTripper http.RoundTripper
 }
 
-// Run runs the dispatcher until the context ends, and then shuts it down in order: not ready at once, serving
-// on for a while, then closing connections with their answers. It returns an error where an address can't
-// be listened on or a server fails.
+// Run runs the dispatcher until the context ends and then shuts it down: it reports not ready at once, keeps
+// serving for a while, and then closes each connection after its response. It returns an error if an address
+// can't be listened on or a server fails.
 func Run(ctx context.Context, settings *settings.Settings, log logr.Logger) error {
 	if settings.Listen.Front == "" || settings.Listen.Ready == "" {
 		return &ListenError{}
 	}
-	following, stopFollowing := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopFollowing()
-	return Follow(following, Options{Settings: settings, Log: log}).run(ctx)
+	clientCtx, stopClient := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopClient()
+	return Follow(clientCtx, Options{Settings: settings, Log: log}).run(ctx)
 }
 
-// Process is the dispatcher role of one process. Create it with Follow.
+// Process is the dispatcher role of one process. Start creates it.
 type Process struct {
 	dispatcher *dispatcher
 	client     *cluster.Client
-	failures   chan error // of servers
+	failures   chan error // of the servers
 	log        logr.Logger
 }
 
-// Follow makes a dispatcher that follows the control plane until the context ends. It listens on nothing.
+// Start starts a dispatcher that follows the control plane until the context ends. It opens no listeners.
 func Follow(ctx context.Context, options Options) *Process {
 	client := cluster.Start(ctx, cluster.Options{
 		Settings:     options.Settings,
 		Role:         cluster.RoleDispatcher,
-		Incarnation:  strconv.FormatUint(randomName(), incarnationBase),
+		Incarnation:  strconv.FormatUint(randomID(), incarnationBase),
 		Log:          options.Log,
 		RoundTripper: options.RoundTripper,
 	})
@@ -67,7 +67,7 @@
 	return &Process{dispatcher: dispatcher, client: client, failures: make(chan error, 2), log: options.Log}
 }
 
-// Handle answers one request of a client.
+// Handle answers one client request.
 func (p *Process) Handle(ctx *fasthttp.RequestCtx) { p.dispatcher.handle(ctx) }
 
 // run serves clients until the context ends.
@@ -77,12 +77,12 @@
 	if err := p.serve(newReadyServer(readiness.handle), listen.Ready); err != nil {
 		return err
 	}
-	heldUp := holdup.Watch(ctx, p.log)
-	figures := metrics.ServeRole(p.dispatcher.settings, p.log, func() []metrics.Figure {
-		return append(p.dispatcher.figures(), heldUp.Figures()...)
+	holdups := holdup.Watch(ctx, p.log)
+	metricsServer := metrics.ServeRole(p.dispatcher.settings, p.log, func() []metrics.Figure {
+		return append(p.dispatcher.collectMetrics(), holdups.Figures()...)
 	})
-	defer func() { _ = figures.Close() }()
-	view, err := p.firstConfig(ctx)
+	defer func() { _ = metricsServer.Close() }()
+	view, err := p.awaitConfig(ctx)
 	if err != nil || view == nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 		return err
 	}
 	p.dispatcher.serving.Store(true)
-	p.log.Info("dispatcher serves", "front", listen.Front, "configuration", view.ConfigVersion)
+	p.log.Info("dispatcher serving", "front", listen.Front, "configuration", view.ConfigVersion)
 	select {
 	case err := <-p.failures:
 		return err
@@ -100,9 +100,9 @@
 	}
 }
 
-// firstConfig waits for the first configuration: before it nothing can be accepted, and a refused connection
-// tells that best. The view is nil where the context ended first.
-func (p *Process) firstConfig(ctx context.Context) (*cluster.View, error) {
+// awaitConfig waits for the first configuration. The front address is not listened on before, as no message can
+// be accepted and a refused connection tells clients so at once. The view is nil if the context ended first.
+func (p *Process) awaitConfig(ctx context.Context) (*cluster.View, error) {
 	for {
 		view := p.client.View()
 		if view.Config != nil {
@@ -118,7 +118,8 @@
 	}
 }
 
-// serve listens on an address and serves it in the background.
+// serve listens on an address and serves it in the background. A later failure of the server is sent to
+// p.failures.
 func (p *Process) serve(server *fasthttp.Server, address string) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -132,18 +133,18 @@
 	return nil
 }
 
-// shutDown ends the front server in order, within graceS less a reserve.
+// shutDown drains and closes the front server within graceS less graceReserve.
 func (p *Process) shutDown(front *fasthttp.Server) error {
 	total := time.Duration(p.dispatcher.settings.Bounds.GraceS*float64(time.Second)) - graceReserve
-	ahead := max(min(serveOn, total-leastCloseTime), 0)
+	drain := max(min(drainTime, total-minCloseTime), 0)
 	p.dispatcher.stopping.Store(true)
-	p.log.Info("dispatcher shuts down", "after", ahead.String())
-	time.Sleep(ahead)
+	p.log.Info("dispatcher shutting down", "after", drain.String())
+	time.Sleep(drain)
 	p.dispatcher.closing.Store(true)
-	bounded, cancel := context.WithTimeout(context.Background(), max(total-ahead, leastCloseTime))
+	closeCtx, cancel := context.WithTimeout(context.Background(), max(total-drain, minCloseTime))
 	defer cancel()
-	if err := front.ShutdownWithContext(bounded); err != nil {
-		p.log.Info("connections were left open at the end", "cause", err.Error())
+	if err := front.ShutdownWithContext(closeCtx); err != nil {
+		p.log.Info("front server shutdown incomplete", "cause", err.Error())
 	}
 	return nil
 }
--- a/internal/ingest/server.go
+++ b/internal/ingest/server.go
@@ -12,27 +12,27 @@
 
 const (
 	writeTimeout   = 5 * time.Second
-	bodySlack      = 64 << 10 // bodies a little too long are read, so that the 413 is not lost in a reset
+	bodySlack      = 64 << 10 // bodies above the limit by up to this many bytes are read, so that a connection reset does not hide the 413
 	headerSlack    = 1 << 10  // for the request line
 	readyReadLimit = 4 << 10
 	readyConns     = 64
 	readyTimeout   = 5 * time.Second
 )
 
-// newFrontServer returns the server for clients. Header bounds and timeouts are those of the limits given;
-// the bound of bodies follows the newest configuration.
+// newFrontServer returns the server for clients. Header limits and timeouts are those of the given limits and
+// stay fixed; the body limit follows the newest configuration.
 func newFrontServer(d *dispatcher, limits catalog.Limits) *fasthttp.Server {
 	server := newServer(d.handle)
 	server.Concurrency = maxConnections(d.settings.Limits.MaxFds)
 	server.ReadBufferSize = limits.MaxHeaderBytes + headerSlack
 	server.ReadTimeout = time.Duration(limits.HeaderTimeoutMs) * time.Millisecond
 	server.IdleTimeout = time.Duration(limits.IdleTimeoutMs) * time.Millisecond
-	server.HeaderReceived = d.boundBody
-	server.ErrorHandler = answerUnreadable
+	server.HeaderReceived = d.bodyLimits
+	server.ErrorHandler = handleReadError
 	return server
 }
 
-// newReadyServer returns the server for the platform's question whether the dispatcher is ready.
+// newReadyServer returns the server for the platform's readiness probe.
 func newReadyServer(handler fasthttp.RequestHandler) *fasthttp.Server {
 	server := newServer(handler)
 	server.Concurrency = readyConns
@@ -42,7 +42,7 @@
 	return server
 }
 
-// newServer returns what both servers have in common.
+// newServer returns a server with the options that both servers share.
 func newServer(handler fasthttp.RequestHandler) *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler:                      handler,
@@ -53,12 +53,12 @@
 		NoDefaultDate:                true,
 		NoDefaultContentType:         true,
 		CloseOnShutdown:              true,
-		Logger:                       silentLogger{},
+		Logger:                       discardLogger{},
 	}
 }
 
-// boundBody bounds size and time of a body by the newest configuration.
-func (d *dispatcher) boundBody(*fasthttp.RequestHeader) fasthttp.RequestConfig {
+// bodyLimits returns the size and time limits for a body under the newest configuration.
+func (d *dispatcher) bodyLimits(*fasthttp.RequestHeader) fasthttp.RequestConfig {
 	config := d.cluster.View().Config
 	if config == nil {
 		return fasthttp.RequestConfig{}
@@ -69,8 +69,8 @@
 	}
 }
 
-// answerUnreadable answers a request that could not be read whole. None of these was taken.
-func answerUnreadable(ctx *fasthttp.RequestCtx, err error) {
+// handleReadError answers a request that could not be read completely. No such request is accepted.
+func handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	var tooSmall *fasthttp.ErrSmallBuffer
 	var network net.Error
 	switch {
@@ -85,8 +85,8 @@
 	}
 }
 
-// silentLogger drops the server's lines about single connections.
-type silentLogger struct{}
+// discardLogger discards fasthttp's log lines about individual connections.
+type discardLogger struct{}
 
-// Printf does nothing.
-func (silentLogger) Printf(string, ...any) {}
+// Printf implements fasthttp.Logger.
+func (discardLogger) Printf(string, ...any) {}
--- a/internal/ingest/server_test.go
+++ b/internal/ingest/server_test.go
@@ -25,59 +25,59 @@
 var discardLog = log.New(io.Discard, "", 0)
 
 func TestChunkedBodyArrivesWhole(t *testing.T) {
-	w := newWorld(t)
-	connection, err := w.listener.Dial()
+	h := newHarness(t)
+	connection, err := h.listener.Dial()
 	must.NoError(t, err)
 	defer connection.Close()
 	request := newRequest(t, "POST", "/free/x", "")
 	request.Body = io.NopCloser(strings.NewReader(strings.Repeat("ab", 300)))
 	request.ContentLength = -1
 	must.Eq(t, fasthttp.StatusAccepted, exchange(t, connection, request).status)
-	must.Eq(t, strings.Repeat("ab", 300), string(w.stores[0].received()[0].Messages[0].Body))
+	must.Eq(t, strings.Repeat("ab", 300), string(h.stores[0].received()[0].Messages[0].Body))
 }
 
-func TestMultipartBodyArrivesAsItIs(t *testing.T) {
-	w := newWorld(t)
+func TestMultipartBodyIsForwardedUnchanged(t *testing.T) {
+	h := newHarness(t)
 	body := "--b\r\nContent-Disposition: form-data; name=\"f\"\r\n\r\nv\r\n--b--\r\n"
-	answer := w.send("POST", "/free/x", body, "Content-Type", "multipart/form-data; boundary=b")
+	answer := h.send("POST", "/free/x", body, "Content-Type", "multipart/form-data; boundary=b")
 	must.Eq(t, fasthttp.StatusAccepted, answer.status)
-	message := w.stores[0].received()[0].Messages[0]
+	message := h.stores[0].received()[0].Messages[0]
 	must.Eq(t, body, string(message.Body))
 	must.Eq(t, "multipart/form-data; boundary=b", message.ContentType)
 }
 
-func TestBodyOfAGetIsPartOfTheMessage(t *testing.T) {
-	w := newWorld(t)
+func TestBodyOfGetIsPartOfMessage(t *testing.T) {
+	h := newHarness(t)
 	smuggled := "GET /free/smuggled HTTP/1.1\r\nHost: h.example\r\n\r\n"
-	must.Eq(t, fasthttp.StatusAccepted, w.send("GET", "/free/x", smuggled).status)
-	must.SliceLen(t, 1, w.stores[0].received())
-	must.Eq(t, smuggled, string(w.stores[0].received()[0].Messages[0].Body))
+	must.Eq(t, fasthttp.StatusAccepted, h.send("GET", "/free/x", smuggled).status)
+	must.SliceLen(t, 1, h.stores[0].received())
+	must.Eq(t, smuggled, string(h.stores[0].received()[0].Messages[0].Body))
 }
 
-func TestBoundsOfBodiesFollowTheConfiguration(t *testing.T) {
-	w := newWorld(t)
-	must.Eq(t, fasthttp.StatusAccepted, w.send("POST", "/free/x", strings.Repeat("a", 1000)).status)
-	must.Eq(t, fasthttp.StatusRequestEntityTooLarge, w.send("POST", "/free/x", strings.Repeat("a", 1001)).status)
-	answer := w.sendRaw(fmt.Sprintf("POST /free/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: %d\r\n\r\n", 1000+bodySlack+1))
+func TestBodyLimitFollowsConfiguration(t *testing.T) {
+	h := newHarness(t)
+	must.Eq(t, fasthttp.StatusAccepted, h.send("POST", "/free/x", strings.Repeat("a", 1000)).status)
+	must.Eq(t, fasthttp.StatusRequestEntityTooLarge, h.send("POST", "/free/x", strings.Repeat("a", 1001)).status)
+	answer := h.sendRaw(fmt.Sprintf("POST /free/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: %d\r\n\r\n", 1000+bodySlack+1))
 	must.StrHasPrefix(t, "HTTP/1.1 413 ", answer)
-	must.Eq(t, 1, w.puts(rpc.PutMode_OWNER))
+	must.Eq(t, 1, h.puts(rpc.PutMode_OWNER))
 }
 
 func TestHeadersAreBounded(t *testing.T) {
-	w := newWorld(t)
-	answer := w.send("POST", "/free/x", "", "X-Long", strings.Repeat("a", 20000))
+	h := newHarness(t)
+	answer := h.send("POST", "/free/x", "", "X-Long", strings.Repeat("a", 20000))
 	must.Eq(t, fasthttp.StatusRequestHeaderFieldsTooLarge, answer.status)
 }
 
 func TestConnectionIsKeptForTheNextMessage(t *testing.T) {
-	w := newWorld(t)
-	connection, err := w.listener.Dial()
+	h := newHarness(t)
+	connection, err := h.listener.Dial()
 	must.NoError(t, err)
 	defer connection.Close()
 	for i := range 3 {
 		must.Eq(t, fasthttp.StatusAccepted, exchange(t, connection, newRequest(t, "POST", "/free/x", fmt.Sprint("body", i))).status)
 	}
-	w.dispatcher.closing.Store(true)
+	h.dispatcher.closing.Store(true)
 	answer := exchange(t, connection, newRequest(t, "POST", "/free/x", "last"))
 	must.Eq(t, fasthttp.StatusAccepted, answer.status)
 	must.True(t, answer.close)
@@ -85,74 +85,74 @@
 	must.ErrorIs(t, err, io.EOF)
 }
 
-func TestMessagesBeyondTheBoundAreRefused(t *testing.T) {
-	w := newWorld(t)
+func TestMessagesAboveConcurrencyLimitAreRefused(t *testing.T) {
+	h := newHarness(t)
 	for range maxInFlight {
-		must.True(t, w.dispatcher.load.enter(0))
+		must.True(t, h.dispatcher.limiter.acquire(0))
 	}
-	mustRefuse(t, w.send("POST", "/free/x", ""))
-	w.dispatcher.load.leave(0)
-	must.Eq(t, fasthttp.StatusAccepted, w.send("POST", "/free/x", "").status)
+	mustBeUnavailable(t, h.send("POST", "/free/x", ""))
+	h.dispatcher.limiter.release(0)
+	must.Eq(t, fasthttp.StatusAccepted, h.send("POST", "/free/x", "").status)
 }
 
-func TestLoadIsBoundedByBytes(t *testing.T) {
-	load := newLoad(12)
-	must.Eq(t, bytesInMegabyte, load.maxBytes)
-	must.True(t, load.enter(bytesInMegabyte-1))
-	must.False(t, load.enter(2))
-	must.True(t, load.enter(1))
-	load.leave(1)
-	load.leave(bytesInMegabyte - 1)
+func TestLimiterBoundsBytes(t *testing.T) {
+	load := newLimiter(12)
+	must.Eq(t, bytesPerMegabyte, load.maxBytes)
+	must.True(t, load.acquire(bytesPerMegabyte-1))
+	must.False(t, load.acquire(2))
+	must.True(t, load.acquire(1))
+	load.release(1)
+	load.release(bytesPerMegabyte - 1)
 	must.Eq(t, 0, load.requests)
 }
 
-// fixedControl was reached so long ago.
+// fixedControl is a control plane whose last granted renewal was sent this long ago.
 type fixedControl time.Duration
 
 func (f fixedControl) ControlReachable() time.Duration { return time.Duration(f) }
 
 func TestReadiness(t *testing.T) {
-	w := emptyWorld(t)
-	readiness := &readiness{dispatcher: w.dispatcher, control: fixedControl(0)}
+	h := newEmptyHarness(t)
+	readiness := &readiness{dispatcher: h.dispatcher, control: fixedControl(0)}
 	must.False(t, readiness.ready())
-	w.publishConfig(1)
+	h.publishConfig(1)
 	must.False(t, readiness.ready())
-	w.dispatcher.serving.Store(true)
+	h.dispatcher.serving.Store(true)
 	must.False(t, readiness.ready())
-	w.stores = append(w.stores, newStore(t, "n0", "z1"))
-	w.publishMap(1, func(int) *standInStore { return w.stores[0] })
+	h.stores = append(h.stores, newFakeStore(t, "n0", "z1"))
+	h.publishMap(1, func(int) *fakeStore { return h.stores[0] })
 	must.True(t, readiness.ready())
-	w.dispatcher.serving.Store(false)
+	h.dispatcher.serving.Store(false)
 	must.False(t, readiness.ready())
-	w.dispatcher.serving.Store(true)
+	h.dispatcher.serving.Store(true)
 
-	health := w.dispatcher.health
-	health.refused("a")
+	health := h.dispatcher.health
+	health.recordRefused("a")
 	must.False(t, readiness.ready())
-	health.succeeded("a")
+	health.recordSuccess("a")
 	must.True(t, readiness.ready())
 
-	readiness.control = fixedControl(controlSilence + 1)
+	readiness.control = fixedControl(controlTimeout + 1)
 	must.True(t, readiness.ready())
-	health.refused("a")
+	health.recordRefused("a")
 	must.False(t, readiness.ready())
 	readiness.control = fixedControl(0)
-	must.True(t, readiness.ready()) // one failure after a success a moment ago
-	w.dispatcher.stopping.Store(true)
+	must.True(t, readiness.ready()) // one failure just after a success
+	h.dispatcher.stopping.Store(true)
 	must.False(t, readiness.ready())
 }
 
 func TestSuspicionBeginsGrowsAndEnds(t *testing.T) {
 	health := newHealth()
-	health.late("a")
+	health.recordLate("a")
 	must.False(t, health.slow("a"))
-	health.late("a")
+	health.recordLate("a")
 	must.True(t, health.slow("a"))
 	must.False(t, health.unreachable("a"))
-	health.succeeded("a")
+	health.recordSuccess("a")
 	must.False(t, health.slow("a"))
 
-	health.refused("a")
+	health.recordRefused("a")
 	must.True(t, health.unreachable("a"))
 	must.True(t, health.slow("a"))
 	var durations []time.Duration
@@ -160,25 +160,25 @@
 		suspicion := &health.stores["a"].unreachable
 		durations = append(durations, suspicion.duration)
 		suspicion.until = time.Now()
-		must.False(t, suspicion.holds())
-		health.refused("a")
+		must.False(t, suspicion.active())
+		health.recordRefused("a")
 	}
-	must.Eq(t, []time.Duration{firstSuspicion, 2 * firstSuspicion, longSuspicion, longSuspicion}, durations)
+	must.Eq(t, []time.Duration{minSuspicion, 2 * minSuspicion, maxSuspicion, maxSuspicion}, durations)
 }
 
-func TestRunNeedsItsAddresses(t *testing.T) {
+func TestRunRequiresAddresses(t *testing.T) {
 	var listen *ListenError
 	err := Run(t.Context(), &settings.Settings{}, logr.Discard())
 	must.True(t, errors.As(err, &listen))
 	must.Eq(t, "", listen.Address)
 }
 
-// TestRunServesUntilItsEnd runs the whole role: it becomes ready, accepts, is not ready at once on its end
-// while it still accepts, and ends within its time.
-func TestRunServesUntilItsEnd(t *testing.T) {
-	w := newWorld(t)
+// Runs the whole role: it becomes ready, accepts messages, reports not ready as soon as its context ends while it
+// still accepts messages, and returns within graceS.
+func TestRunServesUntilShutdown(t *testing.T) {
+	h := newHarness(t)
 	front, ready := freeAddresses(t)
-	settings := &settings.Settings{Node: "d2", Zone: "z1", Seeds: []string{w.control.address()}, HeartbeatMs: 60000,
+	settings := &settings.Settings{Node: "d2", Zone: "z1", Seeds: []string{h.control.address()}, HeartbeatMs: 60000,
 		Listen: settings.Listen{Front: front, Ready: ready}, Bounds: settings.Bounds{GraceS: 3.5},
 		Limits: settings.Limits{MemoryMb: 100, MaxFds: 2000}}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -194,7 +194,7 @@
 	must.Eq(t, fasthttp.StatusAccepted, exchange(t, dial(t, front), newRequest(t, "POST", "/free/x", "2")).status)
 	must.NoError(t, <-ended)
 	must.Between(t, 900*time.Millisecond, time.Since(began), 3*time.Second)
-	must.NoError(t, idle.SetDeadline(time.Now().Add(testPatience)))
+	must.NoError(t, idle.SetDeadline(time.Now().Add(testTimeout)))
 	_, err := idle.Read(make([]byte, 1))
 	must.ErrorIs(t, err, io.EOF)
 }
@@ -207,10 +207,10 @@
 	return connection
 }
 
-// awaitStatus asks whether a dispatcher is ready until it answers as wanted.
+// awaitStatus polls the readiness probe until it returns the given status.
 func awaitStatus(t *testing.T, address string, status int) {
 	t.Helper()
-	for end := time.Now().Add(testPatience); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		connection, err := net.Dial("tcp4", address)
 		if err != nil {
 			continue
@@ -223,10 +223,10 @@
 			return
 		}
 	}
-	t.Fatalf("status %d did not come", status)
+	t.Fatalf("timed out waiting for status %d", status)
 }
 
-// freeAddresses returns two different addresses that nobody listens on.
+// freeAddresses returns two different addresses that are not in use.
 func freeAddresses(t *testing.T) (one, other string) {
 	t.Helper()
 	first, err := loopback.Unused()
@@ -237,22 +237,22 @@
 }
 
 func TestUnreadableRequestsAreRefused(t *testing.T) {
-	w := newWorld(t)
-	answer := w.sendRaw("POST /free/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab")
+	h := newHarness(t)
+	answer := h.sendRaw("POST /free/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab")
 	must.StrHasPrefix(t, "HTTP/1.1 400 ", answer)
-	must.Eq(t, 0, w.puts(rpc.PutMode_OWNER))
+	must.Eq(t, 0, h.puts(rpc.PutMode_OWNER))
 }
 
-// sendRaw sends bytes and returns all that comes until the connection is closed.
-func (w *world) sendRaw(request string) string {
-	w.t.Helper()
-	connection, err := w.listener.Dial()
-	must.NoError(w.t, err)
+// sendRaw sends bytes and returns everything received until the connection is closed.
+func (h *harness) sendRaw(request string) string {
+	h.t.Helper()
+	connection, err := h.listener.Dial()
+	must.NoError(h.t, err)
 	defer connection.Close()
 	_, err = connection.Write([]byte(request))
-	must.NoError(w.t, err)
+	must.NoError(h.t, err)
 	answer, err := io.ReadAll(connection)
-	must.NoError(w.t, err)
+	must.NoError(h.t, err)
 	return string(answer)
 }
 
@@ -269,7 +269,7 @@
 	must.False(t, budget.spend())
 }
 
-func TestDescriptorsAreShared(t *testing.T) {
+func TestMaxConnectionsFollowsDescriptorLimit(t *testing.T) {
 	must.Eq(t, 2600, maxConnections(4100))
 	must.Eq(t, minConnections, maxConnections(0))
 }
