--- a/internal/ingest/run.go
+++ b/internal/ingest/run.go
@@ -42,7 +42,7 @@
 	}
 	clientCtx, stopClient := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopClient()
-	return Follow(clientCtx, Options{Settings: settings, Log: log}).run(ctx)
+	return Start(clientCtx, Options{Settings: settings, Log: log}).run(ctx)
 }
 
 // Process is the dispatcher role of one process. Start creates it.
@@ -54,7 +54,7 @@
 }
 
 // Start starts a dispatcher that follows the control plane until the context ends. It opens no listeners.
-func Follow(ctx context.Context, options Options) *Process {
+func Start(ctx context.Context, options Options) *Process {
 	client := cluster.Start(ctx, cluster.Options{
 		Settings:     options.Settings,
 		Role:         cluster.RoleDispatcher,
