--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -93,8 +93,8 @@
 // LeaseValid reports whether the lease granted to this process holds now.
 func (c *Client) LeaseValid() bool { return c.lease.valid() }
 
-// ControlReachable is the time since the last renewal that was granted was sent, or since the start.
-func (c *Client) ControlReachable() time.Duration { return c.lease.age() }
+// TimeSinceRenewal is the time since the last renewal that was granted was sent, or since the start.
+func (c *Client) TimeSinceRenewal() time.Duration { return c.lease.age() }
 
 // Kick asks for a renewal at once. It does not wait.
 func (c *Client) Kick() {
--- a/internal/cluster/client_test.go
+++ b/internal/cluster/client_test.go
@@ -144,7 +144,7 @@
 	control.awaitRenewal(t, anyRenewal)
 	control.awaitRenewal(t, anyRenewal) // the one before has been taken by now
 	must.True(t, client.LeaseValid())
-	must.Less(t, testPatience, client.ControlReachable())
+	must.Less(t, testPatience, client.TimeSinceRenewal())
 }
 
 func TestLeaseEndsByTheTimeOfSending(t *testing.T) {
--- a/internal/ingest/dispatcher.go
+++ b/internal/ingest/dispatcher.go
@@ -15,7 +15,7 @@
 	View() *cluster.View
 	Store(address string) rpc.Store
 	Kick()
-	ControlReachable() time.Duration
+	TimeSinceRenewal() time.Duration
 	ConfigConfirmed(version uint64) bool
 }
 
--- a/internal/ingest/metrics.go
+++ b/internal/ingest/metrics.go
@@ -26,7 +26,7 @@
 	if view.Map != nil {
 		mapVersion = view.Map.Version
 	}
-	silentMs := uint64(d.cluster.ControlReachable().Milliseconds())
+	silentMs := uint64(d.cluster.TimeSinceRenewal().Milliseconds())
 	return []metrics.Figure{
 		{Name: "foldlb_dispatcher_config_version", Help: "configuration in force", Value: view.ConfigVersion},
 		{Name: "foldlb_dispatcher_map_version", Help: "table of owners in force", Value: mapVersion},
--- a/internal/ingest/prober_test.go
+++ b/internal/ingest/prober_test.go
@@ -34,7 +34,7 @@
 func (o *singleStoreCluster) Store(string) rpc.Store { return o.store }
 func (o *singleStoreCluster) Kick()                  {}
 
-func (o *singleStoreCluster) ControlReachable() time.Duration { return 0 }
+func (o *singleStoreCluster) TimeSinceRenewal() time.Duration { return 0 }
 func (o *singleStoreCluster) ConfigConfirmed(uint64) bool     { return true }
 
 func (s *probedStore) Lookup(context.Context, *rpc.LookupRequest) (*rpc.LookupReply, error) {
--- a/internal/ingest/readiness.go
+++ b/internal/ingest/readiness.go
@@ -16,7 +16,7 @@
 // readiness decides whether the platform should send clients to this dispatcher.
 type readiness struct {
 	dispatcher *dispatcher
-	control    interface{ ControlReachable() time.Duration }
+	control    interface{ TimeSinceRenewal() time.Duration }
 }
 
 // ready reports whether a new message is likely to be accepted.
@@ -25,7 +25,7 @@
 	if !d.serving.Load() || d.stopping.Load() || !canAccept(d.cluster.View()) || d.health.allFailing() {
 		return false
 	}
-	return !(r.control.ControlReachable() > controlTimeout && d.health.lastCallFailed())
+	return !(r.control.TimeSinceRenewal() > controlTimeout && d.health.lastCallFailed())
 }
 
 // canAccept reports whether a view suffices to accept messages.
--- a/internal/ingest/server_test.go
+++ b/internal/ingest/server_test.go
@@ -109,7 +109,7 @@
 // fixedControl is a control plane whose last granted renewal was sent this long ago.
 type fixedControl time.Duration
 
-func (f fixedControl) ControlReachable() time.Duration { return time.Duration(f) }
+func (f fixedControl) TimeSinceRenewal() time.Duration { return time.Duration(f) }
 
 func TestReadiness(t *testing.T) {
 	h := newEmptyHarness(t)
