--- a/internal/cluster/book_test.go
+++ b/internal/cluster/address_book_test.go
@@ -7,63 +7,63 @@
 	"pgregory.net/rapid"
 )
 
-func TestFailedAddressesAreLeftInTurn(t *testing.T) {
+func TestFailedAddressesAreTriedInTurn(t *testing.T) {
 	book := newAddressBook([]string{"a", "b", "a", "c"})
 	must.Eq(t, 3, book.count())
 	for _, want := range []string{"a", "b", "c", "a"} {
 		must.Eq(t, want, book.candidate())
-		book.fail(want)
+		book.recordFailure(want)
 	}
-	book.fail("c") // one that is not asked now
+	book.recordFailure("c") // not the current candidate
 	must.Eq(t, "b", book.candidate())
 }
 
-func TestHintsToDeadLeadersAreNotFollowed(t *testing.T) {
+func TestRedirectToFailedLeaderIsNotFollowed(t *testing.T) {
 	book := newAddressBook([]string{"a", "b", "c"})
-	book.fail("a")
-	must.True(t, book.redirect("b", "a")) // one failure may be chance
-	book.fail("a")
-	must.False(t, book.redirect("b", "a"))
+	book.recordFailure("a")
+	must.True(t, book.followRedirect("b", "a")) // a single failure is not enough
+	book.recordFailure("a")
+	must.False(t, book.followRedirect("b", "a"))
 	must.Eq(t, "c", book.candidate())
-	book.confirm("a", 1)
-	must.True(t, book.redirect("b", "a"))
+	book.recordLeader("a", 1)
+	must.True(t, book.followRedirect("b", "a"))
 	must.Eq(t, "a", book.candidate())
 }
 
-func TestMovedIsClosedWhenAnotherLeads(t *testing.T) {
+func TestLeaderChangeIsSignalled(t *testing.T) {
 	book := newAddressBook(nil)
 	must.Eq(t, "", book.candidate())
-	book.confirm("a", 1)
-	leader, moved := book.leaderMoved()
+	book.recordLeader("a", 1)
+	leader, moved := book.watchLeader()
 	must.Eq(t, leadership{address: "a", epoch: 1}, leader)
-	book.confirm("a", 1)
+	book.recordLeader("a", 1)
 	select {
 	case <-moved:
-		t.Fatal("moved without another leader")
+		t.Fatal("leader change signalled without a change")
 	default:
 	}
-	book.confirm("b", 1)
+	book.recordLeader("b", 1)
 	<-moved
-	_, moved = book.leaderMoved()
-	book.confirm("b", 2)
+	_, moved = book.watchLeader()
+	book.recordLeader("b", 2)
 	<-moved
 }
 
-func TestBookKeepsACandidateThroughAnything(t *testing.T) {
+func TestAddressBookAlwaysHasCandidate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		address := rapid.SampledFrom([]string{"a", "b", "c", "d", ""})
 		book := newAddressBook([]string{"a"})
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				book.fail(address.Draw(t, "failed"))
+				book.recordFailure(address.Draw(t, "failed"))
 			case 1:
-				book.redirect(address.Draw(t, "from"), address.Draw(t, "to"))
+				book.followRedirect(address.Draw(t, "from"), address.Draw(t, "to"))
 			case 2:
-				book.learn([]string{address.Draw(t, "learnt")})
+				book.add([]string{address.Draw(t, "learnt")})
 			case 3:
 				if leader := address.Draw(t, "leader"); leader != "" {
-					book.confirm(leader, 1)
+					book.recordLeader(leader, 1)
 				}
 			}
 			must.NotEq(t, "", book.candidate())
--- a/internal/cluster/budget_bench_test.go
+++ b/internal/cluster/budget_bench_test.go
@@ -22,13 +22,13 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// The plan of the operators for the control part of one dispatcher, and the size that it is meant for.
+// The resource budget for the control-plane traffic of one dispatcher, and the load it is planned for.
 const (
-	planBytesPerS     = 6000.0
-	planCorePercent   = 2.2
-	planChangesPerDay = 7700.0
-	planHeartbeatS    = 1.2
-	secondsPerDay     = 86400.0
+	budgetBytesPerS      = 6000.0
+	budgetCorePercent    = 2.2
+	plannedChangesPerDay = 7700.0
+	plannedHeartbeatS    = 1.2
+	secondsPerDay        = 86400.0
 )
 
 // countingConn counts the bytes of a connection in both directions.
@@ -49,28 +49,29 @@
 	return count, err
 }
 
-// benchClient returns a client that runs no loops, of a control process that grants everything.
+// benchClient returns a client without running loops, connected to a fake control process that grants every renewal,
+// and a counter of the bytes on the wire.
 func benchClient(b *testing.B) (*Client, *atomic.Int64) {
 	b.Helper()
-	control := &standInControl{hub: watch.NewHub(2, 10), renewals: make(chan *rpc.RenewRequest)}
+	control := &fakeControl{hub: watch.NewHub(2, 10), renewals: make(chan *rpc.RenewRequest)}
 	mux := http.NewServeMux()
 	mux.Handle(rpc.ControlPathPrefix, rpc.NewControlServer(control))
 	control.server = httptest.NewServer(mux)
 	b.Cleanup(control.server.Close)
 	client := &Client{
 		options: Options{Role: RoleDispatcher, Incarnation: "run-1", Log: logr.Discard(),
-			Settings: &settings.Settings{Node: "front-heredia-a-1", Zone: "heredia-a", HeartbeatMs: int(planHeartbeatS * 1000)}},
-		book:      newAddressBook([]string{control.address()}),
-		clients:   newClients(newTransport(nearDialTimeout)),
-		lease:     newLease(),
-		kicks:     make(chan struct{}, 1),
-		callbacks: newCallbackList(),
-		first:     newView(),
+			Settings: &settings.Settings{Node: "front-heredia-a-1", Zone: "heredia-a", HeartbeatMs: int(plannedHeartbeatS * 1000)}},
+		book:          newAddressBook([]string{control.address()}),
+		clientCache:   newClientCache(newTransport(sameRegionDialTimeout)),
+		lease:         newLease(),
+		renewRequests: make(chan struct{}, 1),
+		callbacks:     newCallbackList(),
+		initialView:   newView(),
 	}
-	client.view.Store(client.first)
-	client.inForce.Store(client.first)
+	client.view.Store(client.initialView)
+	client.notifiedView.Store(client.initialView)
 	bytes := &atomic.Int64{}
-	transport := client.clients.http.Transport.(*http.Transport)
+	transport := client.clientCache.http.Transport.(*http.Transport)
 	dial := transport.DialContext
 	transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := dial(ctx, network, address)
@@ -83,10 +84,10 @@
 	return client, bytes
 }
 
-// BenchmarkRenewal is one renewal of a dispatcher's lease. The time and the allocations are those of both ends.
+// BenchmarkRenewal measures one lease renewal of a dispatcher. Time and allocations include both ends.
 func BenchmarkRenewal(b *testing.B) {
 	client, bytes := benchClient(b)
-	client.renew(b.Context()) // connects
+	client.renew(b.Context()) // opens the connection
 	must.True(b, client.LeaseValid())
 	bytes.Store(0)
 	b.ReportAllocs()
@@ -96,12 +97,12 @@
 	perRenewal := float64(bytes.Load()) / float64(b.N)
 	seconds := b.Elapsed().Seconds() / float64(b.N)
 	b.ReportMetric(perRenewal, "wire-B/renewal")
-	b.ReportMetric(perRenewal/planHeartbeatS, "wire-B/s")
-	b.ReportMetric(100*perRenewal/planHeartbeatS/planBytesPerS, "%of-bytes-budget")
-	b.ReportMetric(100*100*seconds/planHeartbeatS/planCorePercent, "%of-core-budget")
+	b.ReportMetric(perRenewal/plannedHeartbeatS, "wire-B/s")
+	b.ReportMetric(100*perRenewal/plannedHeartbeatS/budgetBytesPerS, "%of-bytes-budget")
+	b.ReportMetric(100*100*seconds/plannedHeartbeatS/budgetCorePercent, "%of-core-budget")
 }
 
-// BenchmarkConfigurationChange is one new configuration at one subscriber, by number of routes.
+// BenchmarkConfigurationChange measures applying a new configuration, by number of routes.
 func BenchmarkConfigurationChange(b *testing.B) {
 	for _, routes := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) { benchConfigurations(b, routes) })
@@ -123,11 +124,11 @@
 		must.NoError(b, client.onFrame(frame))
 	}
 	must.Eq(b, version, client.View().ConfigVersion)
-	bytesPerS := float64(length) * planChangesPerDay / secondsPerDay
-	seconds := b.Elapsed().Seconds() / float64(b.N) * planChangesPerDay / secondsPerDay
+	bytesPerS := float64(length) * plannedChangesPerDay / secondsPerDay
+	seconds := b.Elapsed().Seconds() / float64(b.N) * plannedChangesPerDay / secondsPerDay
 	b.ReportMetric(float64(length), "wire-B/change")
-	b.ReportMetric(100*bytesPerS/planBytesPerS, "%of-bytes-budget")
-	b.ReportMetric(100*100*seconds/planCorePercent, "%of-core-budget")
+	b.ReportMetric(100*bytesPerS/budgetBytesPerS, "%of-bytes-budget")
+	b.ReportMetric(100*100*seconds/budgetCorePercent, "%of-core-budget")
 }
 
 func benchConfig(b *testing.B, routes int) []byte {
@@ -143,7 +144,7 @@
 	return encoded
 }
 
-// BenchmarkDestinationList is one new list of destinations at one subscriber, by its length.
+// BenchmarkDestinationList measures applying a new worker list, by its length.
 func BenchmarkDestinationList(b *testing.B) {
 	for _, destinations := range []int{1000, 10000, 220000} {
 		b.Run(fmt.Sprintf("destinations=%d", destinations), func(b *testing.B) { benchLists(b, destinations) })
@@ -158,7 +159,7 @@
 			Address: fmt.Sprintf("10.%d.%d.%d:8080", number>>16, number>>8&0xff, number&0xff), Zone: "heredia-a", Capacity: 8})
 	}
 	length := 0
-	before := benchHeap()
+	before := heapAllocBytes()
 	b.ReportAllocs()
 	for b.Loop() {
 		b.StopTimer()
@@ -169,25 +170,26 @@
 		b.StartTimer()
 		must.NoError(b, client.onFrame(frame))
 	}
-	held := benchHeap() - before
+	held := heapAllocBytes() - before
 	must.Len(b, destinations, client.View().Workers.Workers)
 	b.ReportMetric(float64(length)/float64(destinations), "wire-B/destination")
 	b.ReportMetric(float64(held)/float64(destinations), "heap-B/destination")
 	runtime.KeepAlive(list)
 }
 
-// benchHeap is what the heap holds after a collection.
-func benchHeap() int64 {
+// heapAllocBytes returns the size of the live heap after a garbage collection.
+func heapAllocBytes() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return int64(stats.HeapAlloc)
 }
 
-// BenchmarkIdleClient is the memory of one client that follows a control process: connections, buffers, goroutines.
+// BenchmarkIdleClient measures the memory of one idle client that follows a control process: connections, buffers and
+// goroutines of both ends.
 func BenchmarkIdleClient(b *testing.B) {
 	const clients = 100
-	control := &standInControl{hub: watch.NewHub(2, clients), renewals: make(chan *rpc.RenewRequest)}
+	control := &fakeControl{hub: watch.NewHub(2, clients), renewals: make(chan *rpc.RenewRequest)}
 	mux := http.NewServeMux()
 	mux.Handle(rpc.ControlPathPrefix, rpc.NewControlServer(control))
 	mux.HandleFunc(watchPath, control.watch)
@@ -195,18 +197,18 @@
 	defer control.server.Close()
 	defer control.hub.Disconnect()
 	for b.Loop() {
-		before := benchHeap()
+		before := heapAllocBytes()
 		ctx, cancel := context.WithCancel(b.Context())
 		var started []*Client
 		for index := range clients {
 			started = append(started, Start(ctx, Options{Role: RoleDispatcher, Incarnation: "run-1", Log: logr.Discard(),
 				Settings: &settings.Settings{Node: fmt.Sprint(index), Zone: "z", Seeds: []string{control.address()}, HeartbeatMs: 60000}}))
 		}
-		for deadline := time.Now().Add(testPatience); control.hub.Subscribers() < clients && time.Now().Before(deadline); {
+		for deadline := time.Now().Add(testTimeout); control.hub.Subscribers() < clients && time.Now().Before(deadline); {
 			runtime.Gosched()
 		}
 		must.Eq(b, clients, control.hub.Subscribers())
-		b.ReportMetric(float64(benchHeap()-before)/clients, "heap-B/client+server-side")
+		b.ReportMetric(float64(heapAllocBytes()-before)/clients, "heap-B/client+server-side")
 		cancel()
 		for _, each := range started {
 			each.Wait()
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -11,45 +11,45 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// Client keeps the view up to date and the lease renewed until its context ends. All methods are safe for
-// concurrent use.
+// Client keeps the view up to date and the lease renewed until its context ends. All methods are safe for concurrent
+// use.
 type Client struct {
-	options  Options
-	settings atomic.Pointer[settings.Settings]
-	book     *addressBook
-	clients  *clients
-	lease    *lease
-	kicks    chan struct{}
+	options       Options
+	settings      atomic.Pointer[settings.Settings]
+	book          *addressBook
+	clientCache   *clientCache
+	lease         *lease
+	renewRequests chan struct{}
 
-	toldNoLeader bool // belongs to the goroutine that renews
+	noLeaderLogged bool // used by renewLoop only
 
-	wantsWhole atomic.Bool // the next stream begins with all parts whole, whatever is held: a change did not fit
+	needsSnapshot atomic.Bool // the next stream must start with complete parts, as a change did not match the current version
 
 	confirmations Confirmations
 
-	view      atomic.Pointer[View]
-	inForce   atomic.Pointer[View] // the newest view that all callbacks have seen
-	applying  sync.Mutex           // held while the view is replaced
-	callbacks *callbackList
-	first     *View // the empty view of the start
-	running   sync.WaitGroup
+	view         atomic.Pointer[View]
+	notifiedView atomic.Pointer[View] // newest view that all callbacks have seen; its versions are acknowledged
+	applyMutex   sync.Mutex           // serializes replacement of the view
+	callbacks    *callbackList
+	initialView  *View // the empty view at the start
+	loops        sync.WaitGroup
 }
 
-// Start begins to follow the control plane. It returns at once; the view is empty until the first update.
+// Start starts following the control plane. It returns at once; the view is empty until the first update.
 func Start(ctx context.Context, options Options) *Client {
 	client := &Client{
-		options: options,
-		book:    newAddressBook(options.Settings.Seeds),
-		clients: newClients(options.roundTripper()),
-		lease:   newLease(),
-		kicks:   make(chan struct{}, 1),
-		first:   newView(),
+		options:       options,
+		book:          newAddressBook(options.Settings.Seeds),
+		clientCache:   newClientCache(options.roundTripper()),
+		lease:         newLease(),
+		renewRequests: make(chan struct{}, 1),
+		initialView:   newView(),
 
 		callbacks: newCallbackList(),
 	}
 	client.settings.Store(options.Settings)
-	client.view.Store(client.first)
-	client.inForce.Store(client.first)
+	client.view.Store(client.initialView)
+	client.notifiedView.Store(client.initialView)
 	client.run(ctx, client.renewLoop)
 	client.run(ctx, client.followLoop)
 	client.run(ctx, client.notifyLoop)
@@ -57,7 +57,8 @@
 	return client
 }
 
-// watchSettings takes newer settings. Only the seeds are taken into use at once; the others are had from Settings.
+// watchSettings reloads the settings on SIGHUP and when the file changes. New seeds take effect at once; callers get
+// all other settings from Settings.
 func (c *Client) watchSettings(ctx context.Context) {
 	hangups, stop := settings.Hangups()
 	c.run(ctx, func(ctx context.Context) {
@@ -66,43 +67,43 @@
 	})
 }
 
-// reload reads the settings file. A file that is not valid, perhaps half written, leaves all as it was.
+// reload reads the settings file. If it is not valid, perhaps because it is only half written, nothing changes.
 func (c *Client) reload() {
 	loaded, err := settings.Load(c.options.Settings.Path)
 	if err != nil {
-		c.options.Log.Error(err, "settings stay as they were")
+		c.options.Log.Error(err, "settings reload failed, keeping the current settings")
 		return
 	}
 	c.settings.Store(loaded)
-	c.book.learn(loaded.Seeds)
+	c.book.add(loaded.Seeds)
 }
 
 func (c *Client) run(ctx context.Context, loop func(context.Context)) {
-	c.running.Go(func() { loop(ctx) })
+	c.loops.Go(func() { loop(ctx) })
 }
 
-// Wait returns once the client has stopped after the end of its context.
-func (c *Client) Wait() { c.running.Wait() }
+// Wait returns once all goroutines of the client have ended, which they do when its context ends.
+func (c *Client) Wait() { c.loops.Wait() }
 
 // View returns the newest view. It is never nil.
 func (c *Client) View() *View { return c.view.Load() }
 
-// Settings returns the settings as the file held them last.
+// Settings returns the settings as last loaded from the file.
 func (c *Client) Settings() *settings.Settings { return c.settings.Load() }
 
-// LeaseValid reports whether the lease granted to this process holds now.
+// LeaseValid reports whether this process holds a valid lease now.
 func (c *Client) LeaseValid() bool { return c.lease.valid() }
 
-// TimeSinceRenewal is the time since the last renewal that was granted was sent, or since the start.
-func (c *Client) TimeSinceRenewal() time.Duration { return c.lease.age() }
+// TimeSinceRenewal returns the time since the latest granted renewal was sent, or since the start if there is none.
+func (c *Client) TimeSinceRenewal() time.Duration { return c.lease.sinceGrant() }
 
-// Kick asks for a renewal at once. It does not wait.
+// Kick requests an immediate renewal. It does not block.
 func (c *Client) Kick() {
 	select {
-	case c.kicks <- struct{}{}:
+	case c.renewRequests <- struct{}{}:
 	default:
 	}
 }
 
 // Store returns the client of the store at an address. Calls need a context with a deadline.
-func (c *Client) Store(address string) rpc.Store { return c.clients.store(address) }
+func (c *Client) Store(address string) rpc.Store { return c.clientCache.store(address) }
--- a/internal/cluster/confirm_test.go
+++ b/internal/cluster/config_confirmation_test.go
@@ -14,30 +14,30 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// A version is confirmed exactly where one of the newest answers was asked for within the bound and named nothing newer.
-func TestConfirmationsAgreeWithAllAnswers(t *testing.T) {
+// Compares ConfirmedWithin with a search through all recorded responses.
+func TestConfirmationsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var confirmations Confirmations
 		var answers []confirmation
 		now, newest := time.Now(), uint64(0)
 		for step := range rapid.IntRange(0, maxConfirmations).Draw(t, "answers") {
 			newest += rapid.Uint64Range(0, 3).Draw(t, "changes")
-			asked := now.Add(time.Duration(step-maxConfirmations) * time.Hour)
-			answers = append(answers, confirmation{version: newest, asked: asked})
-			confirmations.Record(newest, asked)
+			requestedAt := now.Add(time.Duration(step-maxConfirmations) * time.Hour)
+			answers = append(answers, confirmation{version: newest, requestedAt: requestedAt})
+			confirmations.Record(newest, requestedAt)
 		}
 		for version := range newest + 2 {
 			bound := time.Duration(rapid.IntRange(0, maxConfirmations).Draw(t, "bound"))*time.Hour + 30*time.Minute
 			expected := false
 			for _, answer := range answers {
-				expected = expected || answer.version <= version && now.Sub(answer.asked) < bound
+				expected = expected || answer.version <= version && now.Sub(answer.requestedAt) < bound
 			}
 			must.EqOp(t, expected, confirmations.ConfirmedWithin(version, bound))
 		}
 	})
 }
 
-func TestNothingIsConfirmedBeforeTheFirstAnswer(t *testing.T) {
+func TestNothingIsConfirmedInitially(t *testing.T) {
 	var confirmations Confirmations
 	must.False(t, confirmations.ConfirmedWithin(7, time.Hour))
 }
@@ -50,7 +50,7 @@
 	must.SliceLen(t, maxConfirmations, confirmations.load())
 }
 
-func TestConfirmationEndsWithItsBound(t *testing.T) {
+func TestConfirmationExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var confirmations Confirmations
 		confirmations.Record(1, time.Now())
@@ -62,20 +62,20 @@
 	})
 }
 
-func TestConfirmBoundStaysBelowTheOneOfTheSettings(t *testing.T) {
+func TestConfirmationTTLIsBelowConfigApplyTime(t *testing.T) {
 	bounded := func(milliseconds float64) time.Duration {
 		return ConfirmationTTL(&settings.Settings{Bounds: settings.Bounds{ConfigApplyMs: milliseconds}})
 	}
 	must.EqOp(t, 4*time.Second-confirmMargin, bounded(4000))
 	must.EqOp(t, 100*time.Millisecond, bounded(200))
-	must.EqOp(t, defaultApplyBound-confirmMargin, bounded(0))
+	must.EqOp(t, defaultConfigApplyTime-confirmMargin, bounded(0))
 }
 
-// A client confirms what a leader named, once it holds that.
-func TestConfigurationIsConfirmedByTheAnswersToRenewals(t *testing.T) {
-	control := newControl(t)
-	control.newest = 3
-	client := start(t, Options{}, control.address())
+// A client confirms the version that the leader names, once it has it.
+func TestRenewalsConfirmConfiguration(t *testing.T) {
+	control := newFakeControl(t)
+	control.newestConfig = 3
+	client := startClient(t, Options{}, control.address())
 	confirmed := func(version uint64, wanted bool) {
 		t.Helper()
 		client.Kick()
@@ -84,31 +84,31 @@
 				return fmt.Errorf("version %d: confirmed %t", version, !wanted)
 			}
 			return nil
-		}), wait.Timeout(testPatience), wait.Gap(time.Millisecond)))
+		}), wait.Timeout(testTimeout), wait.Gap(time.Millisecond)))
 	}
 	confirmed(3, true)
 	must.False(t, client.ConfigConfirmed(2))
-	control.set(func(control *standInControl) { control.newest = 4 })
+	control.set(func(control *fakeControl) { control.newestConfig = 4 })
 	control.publish(t, &rpc.View{LeaderEpoch: 1, Map: &rpc.MapView{Version: 1}})
 	confirmed(4, true)
 }
 
-// Dispatchers renew often enough, whatever their heartbeat is.
-func TestRenewalsConfirmTheConfigurationTwiceWithinItsBound(t *testing.T) {
+// Dispatchers must renew often enough regardless of their heartbeat.
+func TestDispatcherRenewsTwiceWithinConfirmationTTL(t *testing.T) {
 	options := Options{Role: RoleDispatcher, Settings: &settings.Settings{HeartbeatMs: 60000, Bounds: settings.Bounds{ConfigApplyMs: 4000}}}
 	must.EqOp(t, ConfirmationTTL(options.Settings)/2, options.renewInterval())
 	options.Settings.HeartbeatMs = 1200
 	must.EqOp(t, 1200*time.Millisecond, options.renewInterval())
 }
 
-// What a leader names it knew when it was asked, however long its answer takes.
-func TestConfirmationCountsFromTheSendingOfTheRenewal(t *testing.T) {
-	control := newControl(t)
-	control.silent = true // nothing else is answered
-	client := start(t, Options{}, control.address())
+// A leader knew the named version when it was asked, however late its reply arrives.
+func TestConfirmationCountsFromSendTime(t *testing.T) {
+	control := newFakeControl(t)
+	control.silent = true // no other renewal is answered
+	client := startClient(t, Options{}, control.address())
 	reply := &rpc.RenewReply{Leader: true, Granted: true, ConfigVersion: 3}
-	client.takeReply(control.address(), reply, time.Now().Add(-ConfirmationTTL(client.Settings())))
+	client.handleRenewReply(control.address(), reply, time.Now().Add(-ConfirmationTTL(client.Settings())))
 	must.False(t, client.ConfigConfirmed(3))
-	client.takeReply(control.address(), reply, time.Now())
+	client.handleRenewReply(control.address(), reply, time.Now())
 	must.True(t, client.ConfigConfirmed(3))
 }
--- a/internal/cluster/doc.go
+++ b/internal/cluster/doc.go
@@ -1,6 +1,6 @@
-// Package cluster is what a data-plane process knows of the others: the newest view of configuration,
-// partition table and workers, the lease of this process, and clients of the stores.
+// Package cluster gives a data-plane process its view of the cluster: the newest configuration, partition map and
+// worker list, the process's lease, and clients of the stores.
 //
-// A Client finds the leader of the control plane, follows its stream and renews this process's lease. Views
-// are immutable snapshots; a part of a view is never replaced by an older one.
+// A Client finds the leader of the control plane, follows its stream of updates and renews the lease of its process.
+// Views are immutable snapshots; a part of a view is never replaced by an older one.
 package cluster
--- a/internal/cluster/errors.go
+++ b/internal/cluster/errors.go
@@ -2,39 +2,40 @@
 
 import "fmt"
 
-// ReleaseError says that the leader has not taken a release.
+// ReleaseError reports that no leader has accepted a release.
 type ReleaseError struct {
 	Partitions int
 	Cause      error
 }
 
-// Error names the remedy.
+// Error implements error.
 func (e *ReleaseError) Error() string {
-	return fmt.Sprintf("%d partitions are not released, stop acting for them until the lease has ended: %v", e.Partitions, e.Cause)
+	return fmt.Sprintf("release of %d partitions not confirmed, treat them as not owned until the lease expires: %v", e.Partitions, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *ReleaseError) Unwrap() error { return e.Cause }
 
-// StaleLeaderError says that an update comes from a leader that was replaced.
+// StaleLeaderError reports an update from a leader that has been replaced.
 type StaleLeaderError struct {
 	Epoch uint64 // of the update
-	Seen  uint64 // the newest epoch seen
+	Seen  uint64 // newest epoch seen
 }
 
-// Error names the remedy.
+// Error implements error.
 func (e *StaleLeaderError) Error() string {
-	return fmt.Sprintf("update of leader epoch %d after one of epoch %d: follow the newest leader", e.Epoch, e.Seen)
+	return fmt.Sprintf("stale update of leader epoch %d, epoch %d already seen: follow the newest leader", e.Epoch, e.Seen)
 }
 
-// ConfigChangeError says that a change of the configuration does not lead from the version held to the one that it names.
+// ConfigChangeError reports a configuration change that does not lead from the current version to the one that it
+// names.
 type ConfigChangeError struct {
-	Held    uint64 // version in force here
-	Base    uint64 // version that the change builds on
-	Version uint64 // version that it leads to
+	Held    uint64 // current version
+	Base    uint64 // version that the change applies to
+	Version uint64 // version that the change results in
 }
 
-// Error names the remedy.
+// Error implements error.
 func (e *ConfigChangeError) Error() string {
-	return fmt.Sprintf("the change from configuration %d to %d does not fit %d: connect anew for all of it", e.Base, e.Version, e.Held)
+	return fmt.Sprintf("configuration change from version %d to %d does not match current version %d: reconnect for the full configuration", e.Base, e.Version, e.Held)
 }
--- a/internal/cluster/follow.go
+++ b/internal/cluster/follow.go
@@ -11,102 +11,106 @@
 	"foldlb.example/foldlb/internal/workerlist"
 )
 
-// watchPath is where control processes serve the stream of updates.
+// watchPath is the path of the stream of updates on control processes.
 const watchPath = "/internal/watch"
 
-// followLoop follows the leader's stream, and connects anew when it ends or another process leads.
+// followLoop follows the leader's stream, and reconnects when the stream ends or another process leads.
 func (c *Client) followLoop(ctx context.Context) {
 	client := &watch.Client{HTTP: c.options.streamClient()}
 	defer client.HTTP.CloseIdleConnections()
 	for ctx.Err() == nil {
-		_, moved := c.book.leaderMoved()
+		_, leaderChanged := c.book.watchLeader()
 		address := c.book.candidate()
 		if address != "" && c.follow(ctx, client, address) {
 			continue
 		}
-		awaitLeader(ctx, moved)
+		awaitLeader(ctx, leaderChanged)
 	}
 }
 
-// awaitLeader waits before the next try of a stream: until a renewal finds a leader, or for noCandidateDelay.
-func awaitLeader(ctx context.Context, moved <-chan struct{}) {
+// awaitLeader waits before the next attempt to open a stream: until a renewal finds a leader, or for
+// noCandidateDelay.
+func awaitLeader(ctx context.Context, leaderChanged <-chan struct{}) {
 	timer := time.NewTimer(noCandidateDelay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-moved:
+	case <-leaderChanged:
 	case <-timer.C:
 	}
 }
 
-// follow reads the stream of one process until it ends. It reports whether to connect anew at once.
+// follow reads the stream of one process until it ends. It reports whether to reconnect at once.
 func (c *Client) follow(ctx context.Context, client *watch.Client, address string) bool {
-	following, cancel := context.WithCancel(ctx)
+	streamCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := c.cancelWhenMoved(following, cancel, address)
+	stop := c.cancelWhenStale(streamCtx, cancel, address)
 	defer stop()
-	err := client.Follow(following, "http://"+address+watchPath+c.streamQuery(), c.onFrame)
-	if ctx.Err() != nil || following.Err() != nil {
+	err := client.Follow(streamCtx, "http://"+address+watchPath+c.streamQuery(), c.onFrame)
+	if ctx.Err() != nil || streamCtx.Err() != nil {
 		return true
 	}
 	refusal := &watch.NotStreamingError{}
 	if errors.As(err, &refusal) {
-		return c.book.redirect(address, refusal.Leader)
+		return c.book.followRedirect(address, refusal.Leader)
 	}
-	c.options.Log.V(1).Info("stream of updates ended", "address", address, "cause", err.Error())
-	c.book.fail(address)
+	c.options.Log.V(1).Info("update stream ended", "address", address, "cause", err.Error())
+	c.book.recordFailure(address)
 	return false
 }
 
-// firstFrameWithin is how long a stream may take to tell of its leader's epoch. A new leader sends to all at once.
-const firstFrameWithin = 600 * time.Millisecond
+// firstFrameTimeout is how long a stream may take to deliver its leader's epoch. A new leader has to send to all
+// subscribers at once.
+const firstFrameTimeout = 600 * time.Millisecond
 
-// cancelWhenMoved ends a stream once a renewal shows that it will carry nothing more. The function returned ends the wait.
-func (c *Client) cancelWhenMoved(ctx context.Context, cancel context.CancelFunc, address string) func() {
-	ended := make(chan struct{})
-	begun, _ := c.book.leaderMoved()
-	firstFrame := time.NewTimer(firstFrameWithin)
+// cancelWhenStale cancels a stream once a renewal shows that it will deliver nothing more. The returned function
+// stops this and waits until it has stopped.
+func (c *Client) cancelWhenStale(ctx context.Context, cancel context.CancelFunc, address string) func() {
+	done := make(chan struct{})
+	initial, _ := c.book.watchLeader()
+	firstFrame := time.NewTimer(firstFrameTimeout)
 	go func() {
-		defer close(ended)
+		defer close(done)
 		defer firstFrame.Stop()
-		settled := false // the stream has had the time to tell
+		firstFrameDue := false // firstFrameTimeout has passed
 		for {
-			leader, moved := c.book.leaderMoved()
-			if c.movedFrom(address, leader) || settled && c.outlived(begun, leader) {
+			leader, leaderChanged := c.book.watchLeader()
+			if c.leaderIsElsewhere(address, leader) || firstFrameDue && c.missedNewEpoch(initial, leader) {
 				cancel()
 				return
 			}
 			select {
 			case <-ctx.Done():
 				return
-			case <-moved:
+			case <-leaderChanged:
 			case <-firstFrame.C:
-				settled = true
+				firstFrameDue = true
 			}
 		}
 	}()
 	return func() {
 		cancel()
-		<-ended
+		<-done
 	}
 }
 
-// movedFrom reports whether another address than that of the stream leads.
-func (c *Client) movedFrom(address string, leader leadership) bool {
+// leaderIsElsewhere reports whether the leader has another address than the stream.
+func (c *Client) leaderIsElsewhere(address string, leader leadership) bool {
 	return leader.address != "" && leader.address != address && c.book.candidate() != address
 }
 
-// outlived reports whether a later epoch has begun than that of the stream, and the stream has not told of it. A process that lost power
-// and leads again at its address leaves its former streams silent.
-func (c *Client) outlived(begun, leader leadership) bool {
-	return leader.epoch > begun.epoch && leader.epoch > c.view.Load().LeaderEpoch
+// missedNewEpoch reports whether an epoch later than the stream's has begun that the stream has not delivered. If a
+// leader loses power and leads again at the same address, its earlier streams deliver nothing and do not end.
+func (c *Client) missedNewEpoch(initial, leader leadership) bool {
+	return leader.epoch > initial.epoch && leader.epoch > c.view.Load().LeaderEpoch
 }
 
-// streamQuery tells the control process what this one does without and what it holds, and that changes may come as such.
+// streamQuery returns the query of the stream: which parts are not needed, which versions are present, and that
+// changes are accepted instead of complete parts.
 func (c *Client) streamQuery() string {
 	subscription := watch.Subscription{Deltas: true, Urgent: c.options.Role == RoleStore}
-	if !c.wantsWhole.Swap(false) {
-		subscription.Held = c.view.Load().heldVersions()
+	if !c.needsSnapshot.Swap(false) {
+		subscription.Held = c.view.Load().partVersions()
 	}
 	if c.options.Role == RoleDispatcher {
 		subscription.Without = []int{rpc.StreamWorkers}
@@ -114,7 +118,7 @@
 	return subscription.Query()
 }
 
-// onFrame applies one frame of the stream. An empty one is a sign of life.
+// onFrame applies one frame of the stream. An empty frame is a keep-alive.
 func (c *Client) onFrame(frame []byte) error {
 	if len(frame) == 0 {
 		return nil
@@ -126,32 +130,34 @@
 	return c.apply(update)
 }
 
-// apply puts the newer parts of an update in force. It refuses an update of a leader that was replaced.
+// apply applies the newer parts of an update. It returns an error if the update is from a leader that has been
+// replaced, or if a change does not match the current version; the latter makes the next stream start with complete
+// parts.
 func (c *Client) apply(update *rpc.View) error {
-	c.applying.Lock()
-	defer c.applying.Unlock()
-	held := c.view.Load()
-	if update.LeaderEpoch < held.LeaderEpoch {
-		return &StaleLeaderError{Epoch: update.LeaderEpoch, Seen: held.LeaderEpoch}
+	c.applyMutex.Lock()
+	defer c.applyMutex.Unlock()
+	current := c.view.Load()
+	if update.LeaderEpoch < current.LeaderEpoch {
+		return &StaleLeaderError{Epoch: update.LeaderEpoch, Seen: current.LeaderEpoch}
 	}
-	c.book.learn(update.ControlAddresses)
-	next, changed, err := held.merge(update)
+	c.book.add(update.ControlAddresses)
+	next, changed, err := current.merge(update)
 	if err != nil {
-		c.options.Log.Error(err, "a part of an update was not applied")
+		c.options.Log.Error(err, "part of an update was not applied")
 	}
-	if changed || next.LeaderEpoch != held.LeaderEpoch {
+	if changed || next.LeaderEpoch != current.LeaderEpoch {
 		c.view.Store(next)
-		close(held.superseded)
+		close(current.superseded)
 	}
-	if misfits(err) {
-		c.wantsWhole.Store(true)
+	if isMismatch(err) {
+		c.needsSnapshot.Store(true)
 		return err
 	}
 	return nil
 }
 
-// misfits reports whether an error tells of a change that does not fit what is held.
-func misfits(err error) bool {
+// isMismatch reports whether an error is due to a change that does not match the current version.
+func isMismatch(err error) bool {
 	config, workers := (*ConfigChangeError)(nil), (*workerlist.MismatchError)(nil)
 	return errors.As(err, &config) || errors.As(err, &workers)
 }
--- a/internal/cluster/world_test.go
+++ b/internal/cluster/harness_test.go
@@ -18,28 +18,28 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// testPatience bounds every wait of the tests; a wait that ends by it has failed.
-const testPatience = 10 * time.Second
+// testTimeout bounds every wait in the tests; a wait that reaches it fails the test.
+const testTimeout = 10 * time.Second
 
-// standInControl is a control process that leads or names the leader, as it is told.
-type standInControl struct {
+// fakeControl is a control process that either leads or redirects to the leader.
+type fakeControl struct {
 	rpc.Control
 	server *httptest.Server
 	hub    *watch.Hub
 
-	mutex    sync.Mutex
-	leader   string // address of another process that leads; empty if this one does
-	epoch    uint64 // under which this process leads
-	newest   uint64 // configuration that it names as the newest
-	silent   bool
-	refuse   bool
-	renewals chan *rpc.RenewRequest
-	released []*rpc.ReleaseRequest
+	mutex        sync.Mutex
+	leader       string // address of the leading process; empty if this one leads
+	epoch        uint64 // epoch in which this process leads
+	newestConfig uint64 // configuration version named as the newest
+	silent       bool
+	denyLease    bool
+	renewals     chan *rpc.RenewRequest
+	released     []*rpc.ReleaseRequest
 }
 
-func newControl(t *testing.T) *standInControl {
+func newFakeControl(t *testing.T) *fakeControl {
 	t.Helper()
-	control := &standInControl{hub: watch.NewHub(2, 10), renewals: make(chan *rpc.RenewRequest, 1000)}
+	control := &fakeControl{hub: watch.NewHub(2, 10), renewals: make(chan *rpc.RenewRequest, 1000)}
 	mux := http.NewServeMux()
 	mux.Handle("/twirp/", rpc.NewControlServer(control))
 	mux.HandleFunc(watchPath, control.watch)
@@ -52,15 +52,15 @@
 	return control
 }
 
-func (c *standInControl) address() string { return strings.TrimPrefix(c.server.URL, "http://") }
+func (c *fakeControl) address() string { return strings.TrimPrefix(c.server.URL, "http://") }
 
-func (c *standInControl) set(change func(*standInControl)) {
+func (c *fakeControl) set(change func(*fakeControl)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	change(c)
 }
 
-func (c *standInControl) watch(writer http.ResponseWriter, request *http.Request) {
+func (c *fakeControl) watch(writer http.ResponseWriter, request *http.Request) {
 	c.mutex.Lock()
 	leader, silent, hub := c.leader, c.silent, c.hub
 	c.mutex.Unlock()
@@ -75,10 +75,10 @@
 	}
 }
 
-// Renew grants two seconds, where this process leads.
-func (c *standInControl) Renew(ctx context.Context, request *rpc.RenewRequest) (*rpc.RenewReply, error) {
+// Renew grants a lease of 2 s if this process leads and denyLease is not set.
+func (c *fakeControl) Renew(ctx context.Context, request *rpc.RenewRequest) (*rpc.RenewReply, error) {
 	c.mutex.Lock()
-	leader, epoch, newest, silent, refuse := c.leader, c.epoch, c.newest, c.silent, c.refuse
+	leader, epoch, newest, silent, refuse := c.leader, c.epoch, c.newestConfig, c.silent, c.denyLease
 	c.mutex.Unlock()
 	if silent {
 		<-ctx.Done()
@@ -94,8 +94,8 @@
 	return &rpc.RenewReply{Granted: !refuse, Leader: true, LeaderEpoch: epoch, LeaseMs: 2000, ConfigVersion: newest}, nil
 }
 
-// Release takes any release, where this process leads.
-func (c *standInControl) Release(_ context.Context, request *rpc.ReleaseRequest) (*rpc.ReleaseReply, error) {
+// Release accepts every release if this process leads.
+func (c *fakeControl) Release(_ context.Context, request *rpc.ReleaseRequest) (*rpc.ReleaseReply, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.leader != "" {
@@ -105,8 +105,8 @@
 	return &rpc.ReleaseReply{Ok: true}, nil
 }
 
-// publish streams an update. It replaces the one before for those that connect later.
-func (c *standInControl) publish(t *testing.T, update *rpc.View) {
+// publish streams an update. Later subscribers get only the latest update.
+func (c *fakeControl) publish(t *testing.T, update *rpc.View) {
 	t.Helper()
 	header, err := proto.Marshal(&rpc.View{LeaderEpoch: update.LeaderEpoch, ControlAddresses: update.ControlAddresses})
 	must.NoError(t, err)
@@ -117,15 +117,15 @@
 	c.hub.Publish(watch.Part{Index: 0, Data: header}, watch.Part{Index: 1, Data: data})
 }
 
-// start starts a client that ends with the test.
-func start(t *testing.T, options Options, seeds ...string) *Client {
+// startClient starts a client that stops at the end of the test.
+func startClient(t *testing.T, options Options, seeds ...string) *Client {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	if options.Settings == nil {
 		options.Settings = &settings.Settings{}
 	}
 	options.Settings.Node, options.Settings.Zone, options.Settings.Seeds = "n1", "z1", seeds
-	options.Settings.HeartbeatMs = 60000 // renewals come of kicks alone
+	options.Settings.HeartbeatMs = 60000 // so that only Kick causes further renewals
 	options.Log = logr.Discard()
 	if options.Role == "" {
 		options.Role = RoleDispatcher
@@ -138,10 +138,10 @@
 	return client
 }
 
-// await waits until the view is as wanted.
-func await(t *testing.T, client *Client, wanted func(*View) bool) *View {
+// awaitView waits for a view with the wanted property.
+func awaitView(t *testing.T, client *Client, wanted func(*View) bool) *View {
 	t.Helper()
-	timeout := time.After(testPatience)
+	timeout := time.After(testTimeout)
 	for {
 		view := client.View()
 		if wanted(view) {
@@ -150,15 +150,15 @@
 		select {
 		case <-view.Superseded():
 		case <-timeout:
-			t.Fatal("the view did not come")
+			t.Fatal("timed out waiting for the view")
 		}
 	}
 }
 
-// awaitRenewal waits until a renewal is as wanted.
-func (c *standInControl) awaitRenewal(t *testing.T, wanted func(*rpc.RenewRequest) bool) *rpc.RenewRequest {
+// awaitRenewal waits for a renewal with the wanted property.
+func (c *fakeControl) awaitRenewal(t *testing.T, wanted func(*rpc.RenewRequest) bool) *rpc.RenewRequest {
 	t.Helper()
-	timeout := time.After(testPatience)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case renewal := <-c.renewals:
@@ -166,14 +166,14 @@
 				return renewal
 			}
 		case <-timeout:
-			t.Fatal("the renewal did not come")
+			t.Fatal("timed out waiting for a renewal")
 		}
 	}
 }
 
 func anyRenewal(*rpc.RenewRequest) bool { return true }
 
-// configView is a small configuration of a version.
-func configView(version string) []byte {
+// emptyConfig returns a configuration of the given version without routes and services.
+func emptyConfig(version string) []byte {
 	return []byte(`{"version":` + version + `,"routes":[],"services":[]}`)
 }
--- a/internal/cluster/notify.go
+++ b/internal/cluster/notify.go
@@ -5,27 +5,27 @@
 	"sync"
 )
 
-// callback is one that waits for new views.
+// callback is a function registered with OnChange.
 type callback struct {
-	call func(*View)
-	seen *View // the newest view it was called with
+	notify func(*View)
+	seen   *View // latest view passed to notify
 }
 
-// callbackList holds all that wait for new views.
+// callbackList holds the registered callbacks.
 type callbackList struct {
-	mutex sync.Mutex
-	list  []*callback
-	added chan struct{} // holds a token after an addition
+	mutex     sync.Mutex
+	callbacks []*callback
+	added     chan struct{} // has a token after an addition
 }
 
 func newCallbackList() *callbackList {
 	return &callbackList{added: make(chan struct{}, 1)}
 }
 
-// add adds a callback that has seen a view.
-func (l *callbackList) add(call func(*View), seen *View) {
+// add registers a callback that has already seen the given view.
+func (l *callbackList) add(notify func(*View), seen *View) {
 	l.mutex.Lock()
-	l.list = append(l.list, &callback{call: call, seen: seen})
+	l.callbacks = append(l.callbacks, &callback{notify: notify, seen: seen})
 	l.mutex.Unlock()
 	select {
 	case l.added <- struct{}{}:
@@ -33,37 +33,37 @@
 	}
 }
 
-// call runs those callbacks that have not seen the view.
-func (l *callbackList) call(view *View) {
+// notify runs the callbacks that have not seen the view.
+func (l *callbackList) notify(view *View) {
 	l.mutex.Lock()
-	list := l.list
+	callbacks := l.callbacks
 	l.mutex.Unlock()
-	for _, each := range list {
+	for _, each := range callbacks {
 		if each.seen != view {
 			each.seen = view
-			each.call(view)
+			each.notify(view)
 		}
 	}
 }
 
-// OnChange has a callback run with each new view, and at once with the present one if there is any; views
-// that were superseded meanwhile may be left out. All callbacks run on one goroutine and must return soon: a
-// version is acknowledged after they have.
-func (c *Client) OnChange(call func(*View)) { c.callbacks.add(call, c.first) }
+// OnChange registers a callback that is called with each new view, and with the current one unless it is empty. Views
+// superseded in the meantime may be skipped. All callbacks run on one goroutine and must return quickly, as a version
+// is acknowledged only after they have returned.
+func (c *Client) OnChange(notify func(*View)) { c.callbacks.add(notify, c.initialView) }
 
-// notifyLoop runs the callbacks with each new view, and has it acknowledged afterwards.
+// notifyLoop runs the callbacks for each new view and then requests a renewal, which acknowledges it.
 func (c *Client) notifyLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.inForce.Load().Superseded():
+		case <-c.notifiedView.Load().Superseded():
 		case <-c.callbacks.added:
 		}
 		view := c.View()
-		c.callbacks.call(view)
-		if c.inForce.Load() != view {
-			c.inForce.Store(view)
+		c.callbacks.notify(view)
+		if c.notifiedView.Load() != view {
+			c.notifiedView.Store(view)
 			c.Kick()
 		}
 	}
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -17,37 +17,37 @@
 	RoleDispatcher = "dispatcher"
 )
 
-// Intervals and bounds of the exchange with the control plane.
+// Intervals and timeouts of the calls to the control plane.
 const (
 	storeRenewInterval = 400 * time.Millisecond
 	renewTimeout       = 400 * time.Millisecond
 	releaseTimeout     = 400 * time.Millisecond
-	leaseMargin        = 50 * time.Millisecond // taken off each lease against late timers
+	leaseMargin        = 50 * time.Millisecond // subtracted from each lease, as a margin for late timers
 	refusedRetryDelay  = 200 * time.Millisecond
 	candidateDelay     = 20 * time.Millisecond // before the next control address is tried
 	noCandidateDelay   = 100 * time.Millisecond
-	minRenewGap        = 50 * time.Millisecond
+	minRenewInterval   = 50 * time.Millisecond
 )
 
-// Options describe the process to the control plane.
+// Options configure a Client and describe its process to the control plane.
 type Options struct {
 	Settings    *settings.Settings
 	Role        string // RoleStore or RoleDispatcher
 	Disk        string // identity of the disk; stores only
 	Address     string // host:port of the Store service; stores only
-	Incarnation string // drawn at every start of the process
-	FreshDisk   bool   // the disk was empty at this start
+	Incarnation string // random for each start of the process
+	FreshDisk   bool   // the disk was empty at the start
 	Log         logr.Logger
 
-	// RoundTripper reaches control processes and stores; nil for TCP.
+	// RoundTripper is the transport to control processes and stores; nil means TCP.
 	RoundTripper http.RoundTripper
 
-	// Status completes each renewal, if it is set: partitions that are ready, backlog, leaving. It is called
+	// Status, if set, adds the process's status to each renewal: ready partitions, backlog, leaving. It is called
 	// from one goroutine.
 	Status func(*rpc.RenewRequest)
 }
 
-// roundTripper returns the way to other processes.
+// roundTripper returns the transport for RPC calls.
 func (o *Options) roundTripper() http.RoundTripper {
 	if o.RoundTripper != nil {
 		return o.RoundTripper
@@ -55,7 +55,7 @@
 	return newTransport(dialTimeoutFor(o.Settings.Zones))
 }
 
-// streamClient returns the client that the stream of updates comes by.
+// streamClient returns the HTTP client for the stream of updates.
 func (o *Options) streamClient() *http.Client {
 	client := watch.NewHTTPClient()
 	if o.RoundTripper != nil {
@@ -64,7 +64,8 @@
 	return client
 }
 
-// renewInterval is the time between two renewals: short enough for the configuration to be confirmed twice within its bound.
+// renewInterval returns the time between two renewals. It is short enough to confirm the configuration twice within
+// ConfirmationTTL.
 func (o *Options) renewInterval() time.Duration {
 	if o.Role == RoleStore || o.Settings.HeartbeatMs <= 0 {
 		return storeRenewInterval
--- a/internal/cluster/renew.go
+++ b/internal/cluster/renew.go
@@ -7,7 +7,7 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// renewLoop renews the lease at each interval, and at once after a kick.
+// renewLoop renews the lease at each interval, and at once on request.
 func (c *Client) renewLoop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -15,83 +15,84 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.kicks:
+		case <-c.renewRequests:
 		case <-timer.C:
 		}
 		started := time.Now()
 		delay := c.renew(ctx)
-		if !sleep(ctx, minRenewGap-time.Since(started)) {
+		if !sleep(ctx, minRenewInterval-time.Since(started)) {
 			return
 		}
 		timer.Reset(delay)
 	}
 }
 
-// renew sends one renewal and returns the time until the next.
+// renew sends one renewal and returns the delay before the next.
 func (c *Client) renew(ctx context.Context) time.Duration {
 	address := c.book.candidate()
 	if address == "" {
 		return noCandidateDelay
 	}
-	bounded, cancel := context.WithTimeout(ctx, renewTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	sent := time.Now()
-	reply, err := c.clients.control(address).Renew(bounded, c.renewRequest())
-	defer c.tellNoLeader()
+	reply, err := c.clientCache.control(address).Renew(callCtx, c.renewRequest())
+	defer c.logNoLeader()
 	if err != nil {
-		c.book.fail(address)
+		c.book.recordFailure(address)
 		return c.retryDelay()
 	}
-	return c.takeReply(address, reply, sent)
+	return c.handleRenewReply(address, reply, sent)
 }
 
-// takeReply takes the answer of a process to a renewal that was sent at a moment, and returns the time until the next renewal. All that it
-// grants or confirms counts from that moment.
-func (c *Client) takeReply(address string, reply *rpc.RenewReply, sent time.Time) time.Duration {
-	c.book.learn(reply.ControlAddresses)
+// handleRenewReply handles the reply to a renewal and returns the delay before the next one. All that the reply
+// grants or confirms counts from the time the renewal was sent.
+func (c *Client) handleRenewReply(address string, reply *rpc.RenewReply, sent time.Time) time.Duration {
+	c.book.add(reply.ControlAddresses)
 	if !reply.Leader {
-		if c.book.redirect(address, reply.LeaderAddress) {
+		if c.book.followRedirect(address, reply.LeaderAddress) {
 			return 0
 		}
 		return c.retryDelay()
 	}
-	c.book.confirm(address, reply.LeaderEpoch)
+	c.book.recordLeader(address, reply.LeaderEpoch)
 	c.confirmations.Record(reply.ConfigVersion, sent)
 	if !reply.Granted {
 		return refusedRetryDelay
 	}
-	c.tellSilence(sent)
+	c.logLeaderBack(sent)
 	c.lease.renew(sent, time.Duration(reply.LeaseMs)*time.Millisecond)
 	return c.options.renewInterval()
 }
 
-// toldSilence is the shortest time without a leader that is logged: once while it lasts, and once it is over.
-const toldSilence = 3 * time.Second
+// noLeaderLogAfter is the least time without a granted renewal that is logged: once during it, and once after it.
+const noLeaderLogAfter = 3 * time.Second
 
-// tellSilence logs for how long no renewal had been granted when one was sent that is.
-func (c *Client) tellSilence(sent time.Time) {
-	silent := c.lease.age() - time.Since(sent)
-	if silent < toldSilence || c.View().ConfigVersion == 0 {
+// logLeaderBack logs how long no renewal had been granted before the one sent at the given time.
+func (c *Client) logLeaderBack(sent time.Time) {
+	elapsed := c.lease.sinceGrant() - time.Since(sent)
+	if elapsed < noLeaderLogAfter || c.View().ConfigVersion == 0 {
 		return
 	}
-	c.options.Log.Info("a leader answers again", "after", silent.Round(time.Millisecond).String(), "configuration", c.View().ConfigVersion)
+	c.options.Log.Info("control-plane leader available again", "after", elapsed.Round(time.Millisecond).String(), "configuration", c.View().ConfigVersion)
 }
 
-// tellNoLeader logs once that no renewal has been granted for some time, and who was asked.
-func (c *Client) tellNoLeader() {
-	silent := c.lease.age()
-	if silent < toldSilence {
-		c.toldNoLeader = false
+// logNoLeader logs once that no renewal has been granted for noLeaderLogAfter, with the known control addresses.
+func (c *Client) logNoLeader() {
+	silent := c.lease.sinceGrant()
+	if silent < noLeaderLogAfter {
+		c.noLeaderLogged = false
 		return
 	}
-	if c.toldNoLeader {
+	if c.noLeaderLogged {
 		return
 	}
-	c.toldNoLeader = true
-	c.options.Log.Info("no leader answers", "for", silent.Round(time.Millisecond).String(), "asked", c.book.known())
+	c.noLeaderLogged = true
+	c.options.Log.Info("no control-plane leader available", "for", silent.Round(time.Millisecond).String(), "asked", c.book.all())
 }
 
-// retryDelay spaces the tries of control addresses so that each is tried a few times a second at most.
+// retryDelay returns the delay before the next control address is tried. It limits tries of each address to a few per
+// second.
 func (c *Client) retryDelay() time.Duration {
 	if c.book.count() > 1 {
 		return candidateDelay
@@ -99,9 +100,9 @@
 	return noCandidateDelay
 }
 
-// renewRequest describes this process and acknowledges what is in force here.
+// renewRequest describes this process and acknowledges the versions that all callbacks have seen.
 func (c *Client) renewRequest() *rpc.RenewRequest {
-	view := c.inForce.Load()
+	view := c.notifiedView.Load()
 	request := &rpc.RenewRequest{
 		Node:          c.options.Settings.Node,
 		Incarnation:   c.options.Incarnation,
@@ -121,8 +122,8 @@
 	return request
 }
 
-// Release gives up the ownership of partitions. It tries control addresses until the leader has taken the
-// release or the context ends, and then returns a *ReleaseError.
+// Release gives up the ownership of partitions. It tries the control addresses until the leader has accepted the
+// release. If the context ends first, it returns a *ReleaseError.
 func (c *Client) Release(ctx context.Context, partitions []*rpc.PartitionEpoch) error {
 	request := &rpc.ReleaseRequest{
 		Node:        c.options.Settings.Node,
@@ -144,17 +145,17 @@
 	if address == "" {
 		return false
 	}
-	bounded, cancel := context.WithTimeout(ctx, releaseTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	reply, err := c.clients.control(address).Release(bounded, request)
+	reply, err := c.clientCache.control(address).Release(callCtx, request)
 	if err != nil {
-		c.book.fail(address)
+		c.book.recordFailure(address)
 		return false
 	}
 	return reply.Ok
 }
 
-// sleep waits and reports whether the context still holds.
+// sleep waits for a duration. It returns false if the context ended first.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
--- a/internal/cluster/query_test.go
+++ b/internal/cluster/stream_query_test.go
@@ -11,7 +11,7 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-func TestOnlyStoresAskForTheListOfWorkers(t *testing.T) {
+func TestOnlyStoresSubscribeToWorkers(t *testing.T) {
 	dispatcher := &Client{options: Options{Role: RoleDispatcher}}
 	store := &Client{options: Options{Role: RoleStore}}
 	dispatcher.view.Store(newView())
@@ -20,8 +20,8 @@
 	must.Eq(t, "?deltas=true&urgent=true", store.streamQuery())
 }
 
-// What a change does not fit can't be led on from: the stream after it names nothing as held, the one after that does again.
-func TestStreamNamesWhatIsHeldUnlessAChangeDidNotFit(t *testing.T) {
+// After a mismatched change the next stream must request complete parts; the streams after it request changes again.
+func TestStreamQueryRequestsSnapshotAfterMismatch(t *testing.T) {
 	client := &Client{options: Options{Role: RoleStore, Log: logr.Discard()}, book: newAddressBook(nil)}
 	held := newView()
 	held.ConfigVersion, held.Map = 4, &rpc.MapView{Version: 9}
@@ -38,8 +38,8 @@
 	must.StrHasPrefix(t, named, client.streamQuery())
 }
 
-func TestDialsFollowTheDistance(t *testing.T) {
-	must.Eq(t, nearDialTimeout, dialTimeoutFor(map[string]string{"a": "north", "b": "north"}))
-	must.Eq(t, farDialTimeout, dialTimeoutFor(map[string]string{"a": "north", "b": "south"}))
-	must.Less(t, renewTimeout, farDialTimeout)
+func TestDialTimeoutDependsOnRegions(t *testing.T) {
+	must.Eq(t, sameRegionDialTimeout, dialTimeoutFor(map[string]string{"a": "north", "b": "north"}))
+	must.Eq(t, crossRegionDialTimeout, dialTimeoutFor(map[string]string{"a": "north", "b": "south"}))
+	must.Less(t, renewTimeout, crossRegionDialTimeout)
 }
--- a/internal/cluster/transport.go
+++ b/internal/cluster/transport.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	nearDialTimeout     = 100 * time.Millisecond // where all zones are in one region
-	farDialTimeout      = 250 * time.Millisecond
-	userTimeout         = 800 * time.Millisecond // unacknowledged data ends a connection after it
-	idleConnTimeout     = 30 * time.Second
-	maxIdleConns        = 256
-	maxIdleConnsPerHost = 32
-	maxConnsPerHost     = 256
-	connBufferSize      = 4 << 10
+	sameRegionDialTimeout  = 100 * time.Millisecond // if all zones are in one region
+	crossRegionDialTimeout = 250 * time.Millisecond
+	tcpUserTimeout         = 800 * time.Millisecond // a connection with data unacknowledged for this long is closed
+	idleConnTimeout        = 30 * time.Second
+	maxIdleConns           = 256
+	maxIdleConnsPerHost    = 32
+	maxConnsPerHost        = 256
+	connBufferSize         = 4 << 10
 )
 
-// newTransport returns the transport of the internal protocol. Connections to silent machines end after
-// userTimeout.
+// newTransport returns the transport of the internal protocol. Connections to unresponsive machines are closed after
+// tcpUserTimeout.
 func newTransport(dialTimeout time.Duration) *http.Transport {
-	dialer := &net.Dialer{Timeout: dialTimeout, Control: boundUnacknowledged}
+	dialer := &net.Dialer{Timeout: dialTimeout, Control: setUserTimeout}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp4", address)
@@ -42,11 +42,11 @@
 	}
 }
 
-// boundUnacknowledged sets TCP_USER_TIMEOUT on a new socket.
-func boundUnacknowledged(_, _ string, connection syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT on a new socket.
+func setUserTimeout(_, _ string, connection syscall.RawConn) error {
 	var optionErr error
 	err := connection.Control(func(descriptor uintptr) {
-		optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -54,35 +54,35 @@
 	return optionErr
 }
 
-// dialTimeoutFor bounds the making of a connection by how far apart the machines are.
+// dialTimeoutFor returns the dial timeout for the given zones, a map from zone to region.
 func dialTimeoutFor(zones map[string]string) time.Duration {
 	region := ""
 	for _, other := range zones {
 		if region != "" && other != region {
-			return farDialTimeout
+			return crossRegionDialTimeout
 		}
 		region = other
 	}
-	return nearDialTimeout
+	return sameRegionDialTimeout
 }
 
-// clients caches one client for each address, over one shared round tripper.
-type clients struct {
+// clientCache holds one RPC client per address, all with the same HTTP client.
+type clientCache struct {
 	http     *http.Client
 	mutex    sync.Mutex
 	stores   map[string]rpc.Store
 	controls map[string]rpc.Control
 }
 
-func newClients(roundTripper http.RoundTripper) *clients {
-	return &clients{
+func newClientCache(roundTripper http.RoundTripper) *clientCache {
+	return &clientCache{
 		http:     &http.Client{Transport: roundTripper},
 		stores:   map[string]rpc.Store{},
 		controls: map[string]rpc.Control{},
 	}
 }
 
-func (c *clients) store(address string) rpc.Store {
+func (c *clientCache) store(address string) rpc.Store {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	client := c.stores[address]
@@ -93,7 +93,7 @@
 	return client
 }
 
-func (c *clients) control(address string) rpc.Control {
+func (c *clientCache) control(address string) rpc.Control {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	client := c.controls[address]
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -8,7 +8,7 @@
 
 const noOwner = -1
 
-// View is an immutable snapshot of what the control plane has streamed. Parts that have not come yet are nil.
+// View is an immutable snapshot of what the control plane has streamed. Parts that have not arrived yet are nil.
 type View struct {
 	Config        *catalog.Config
 	Table         *catalog.Table
@@ -17,26 +17,26 @@
 	Workers       *rpc.WorkerList
 	LeaderEpoch   uint64
 
-	owners     []int // by partition: index into Map.Stores, or noOwner
-	byZone     map[string][]uint32
-	byNode     map[string]int
-	superseded chan struct{}
+	owners           []int // by partition: index into Map.Stores, or noOwner
+	partitionsByZone map[string][]uint32
+	storeIndexByNode map[string]int
+	superseded       chan struct{}
 }
 
 func newView() *View {
 	return &View{superseded: make(chan struct{})}
 }
 
-// Superseded is closed once a newer view is in force.
+// Superseded returns a channel that is closed once there is a newer view.
 func (v *View) Superseded() <-chan struct{} { return v.superseded }
 
-// Partitions is the number of partitions, 0 before the first map.
+// Partitions returns the number of partitions, 0 before the first map.
 func (v *View) Partitions() uint32 {
 	return uint32(len(v.owners))
 }
 
-// Owner returns the store that owns a partition, and the epoch under which it does. ok is false where there
-// is no owner, or where its process has been replaced by another incarnation.
+// Owner returns the store that owns a partition, and the epoch of its ownership. ok is false if there is no owner, or
+// if the owning process has been replaced by another incarnation.
 func (v *View) Owner(partition uint32) (owner *rpc.StoreMember, epoch uint64, ok bool) {
 	if uint64(partition) >= uint64(len(v.owners)) {
 		return nil, 0, false
@@ -49,61 +49,62 @@
 	return v.Map.Stores[index], epoch, true
 }
 
-// PartitionsOwnedInZone lists the partitions owned by stores of a zone. The list must not be changed.
-func (v *View) PartitionsOwnedInZone(zone string) []uint32 { return v.byZone[zone] }
+// PartitionsOwnedInZone returns the partitions owned by stores of a zone. Callers must not change the slice.
+func (v *View) PartitionsOwnedInZone(zone string) []uint32 { return v.partitionsByZone[zone] }
 
 // HasOwners reports whether any partition has an owner.
-func (v *View) HasOwners() bool { return len(v.byZone) > 0 }
+func (v *View) HasOwners() bool { return len(v.partitionsByZone) > 0 }
 
-// StoreByNode returns the store on a machine.
+// StoreByNode returns the store on a node.
 func (v *View) StoreByNode(node string) (*rpc.StoreMember, bool) {
-	index, ok := v.byNode[node]
+	index, ok := v.storeIndexByNode[node]
 	if !ok {
 		return nil, false
 	}
 	return v.Map.Stores[index], true
 }
 
-// Stores lists all stores. The list must not be changed.
+// Stores returns all stores. Callers must not change the slice.
 func (v *View) Stores() []*rpc.StoreMember { return v.Map.GetStores() }
 
-// heldVersions names the parts of the stream that need not be sent again.
-func (v *View) heldVersions() map[int]string {
-	held := map[int]string{}
+// partVersions returns the versions of the stream's parts that need not be sent again, by part.
+func (v *View) partVersions() map[int]string {
+	versions := map[int]string{}
 	if v.ConfigVersion > 0 {
-		held[rpc.StreamConfig] = rpc.PartVersion(v.ConfigVersion)
+		versions[rpc.StreamConfig] = rpc.PartVersion(v.ConfigVersion)
 	}
 	if v.Map != nil {
-		held[rpc.StreamMap] = rpc.PartVersion(v.Map.Version)
+		versions[rpc.StreamMap] = rpc.PartVersion(v.Map.Version)
 	}
 	if v.Workers != nil {
-		held[rpc.StreamWorkers] = rpc.PartVersion(v.Workers.Epoch, v.Workers.Version)
+		versions[rpc.StreamWorkers] = rpc.PartVersion(v.Workers.Epoch, v.Workers.Version)
 	}
-	return held
+	return versions
 }
 
-// indexMap derives the look-up tables of the map.
+// indexMap builds the lookup tables of the map.
 func (v *View) indexMap() {
-	v.byNode = make(map[string]int, len(v.Map.Stores))
+	v.storeIndexByNode = make(map[string]int, len(v.Map.Stores))
 	for index, store := range v.Map.Stores {
-		v.byNode[store.Node] = index
+		v.storeIndexByNode[store.Node] = index
 	}
 	v.owners = make([]int, len(v.Map.Partitions))
-	v.byZone = map[string][]uint32{}
+	v.partitionsByZone = map[string][]uint32{}
 	for partition, ownership := range v.Map.Partitions {
 		v.owners[partition] = noOwner
-		index, ok := v.byNode[ownership.Node]
+		index, ok := v.storeIndexByNode[ownership.Node]
 		if !ok || v.Map.Stores[index].Incarnation != ownership.Incarnation {
 			continue
 		}
 		v.owners[partition] = index
 		zone := v.Map.Stores[index].Zone
-		v.byZone[zone] = append(v.byZone[zone], uint32(partition))
+		v.partitionsByZone[zone] = append(v.partitionsByZone[zone], uint32(partition))
 	}
 }
 
-// merge returns the view with the newer parts of an update, and whether there are any. The error tells of a
-// configuration that can't be read, or of a change that does not fit what is held; the other parts are taken all the same.
+// merge returns the view updated with the newer parts of an update, and whether there were any. It returns an error
+// if a configuration can't be parsed or a change does not match the current version; the other parts are applied
+// nevertheless.
 func (v *View) merge(update *rpc.View) (next *View, changed bool, err error) {
 	merged := *v
 	merged.superseded = make(chan struct{})
@@ -117,7 +118,7 @@
 		err = parseErr
 	}
 	for _, part := range update.ConfigChanges {
-		applied, changeErr := merged.applyChange(part)
+		applied, changeErr := merged.applyConfigChange(part)
 		changed = changed || applied
 		if changeErr != nil {
 			err = changeErr
@@ -129,12 +130,12 @@
 		merged.indexMap()
 		changed = true
 	}
-	if part := update.Workers; part != nil && newerList(part, v.Workers) {
+	if part := update.Workers; part != nil && isNewerList(part, v.Workers) {
 		merged.Workers = part
 		changed = true
 	}
 	for _, part := range update.WorkerChanges {
-		applied, changeErr := merged.applyWorkers(part)
+		applied, changeErr := merged.applyWorkerChange(part)
 		changed = changed || applied
 		if changeErr != nil {
 			err = changeErr
@@ -144,8 +145,9 @@
 	return &merged, changed, err
 }
 
-// applyChange changes the configuration of a view that is being made. It reports whether there was anything new.
-func (v *View) applyChange(part *rpc.ConfigChange) (bool, error) {
+// applyConfigChange applies a configuration change to a view under construction. It reports whether the change was
+// new.
+func (v *View) applyConfigChange(part *rpc.ConfigChange) (bool, error) {
 	if part.Version <= v.ConfigVersion {
 		return false, nil
 	}
@@ -164,9 +166,9 @@
 	return true, nil
 }
 
-// applyWorkers changes the list of workers of a view that is being made. It reports whether there was anything new.
-func (v *View) applyWorkers(change *rpc.WorkerChange) (bool, error) {
-	if held := v.Workers; held != nil && held.Epoch == change.Epoch && held.Version >= change.Version {
+// applyWorkerChange applies a worker list change to a view under construction. It reports whether the change was new.
+func (v *View) applyWorkerChange(change *rpc.WorkerChange) (bool, error) {
+	if current := v.Workers; current != nil && current.Epoch == change.Epoch && current.Version >= change.Version {
 		return false, nil
 	}
 	list, err := workerlist.Apply(v.Workers, change)
@@ -177,10 +179,10 @@
 	return true, nil
 }
 
-// newerList orders lists of workers by epoch, then by version.
-func newerList(list, held *rpc.WorkerList) bool {
-	if held == nil || list.Epoch != held.Epoch {
-		return held == nil || list.Epoch > held.Epoch
+// isNewerList reports whether a worker list is newer than the current one, by epoch and then version.
+func isNewerList(list, current *rpc.WorkerList) bool {
+	if current == nil || list.Epoch != current.Epoch {
+		return current == nil || list.Epoch > current.Epoch
 	}
-	return list.Version > held.Version
+	return list.Version > current.Version
 }
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -15,7 +15,7 @@
 	"foldlb.example/foldlb/internal/workerlist"
 )
 
-// drawMap draws a map some of whose owners have gone or been replaced.
+// drawMap draws a map in which some owners are missing or have another incarnation.
 func drawMap(t *rapid.T) *rpc.MapView {
 	drawn := &rpc.MapView{Version: 1}
 	for i := range rapid.IntRange(0, 4).Draw(t, "stores") {
@@ -35,7 +35,7 @@
 	return drawn
 }
 
-func TestOwnersAreThoseOfTheMap(t *testing.T) {
+func TestOwnersMatchMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawn := drawMap(t)
 		view, changed, err := newView().merge(&rpc.View{Map: drawn})
@@ -60,29 +60,29 @@
 	})
 }
 
-// changeTo returns the change from one configuration to another, as a leader streams it.
-func changeTo(t must.T, from, to *catalog.Config) *rpc.ConfigChange {
+// configChange returns the change from one configuration to another, as a leader streams it.
+func configChange(t must.T, from, to *catalog.Config) *rpc.ConfigChange {
 	data, err := json.Marshal(catalog.Difference(from, to))
 	must.NoError(t, err)
 	return &rpc.ConfigChange{Base: from.Version, Version: to.Version, Change: data, Digest: to.Digest()}
 }
 
-// threeVersions returns configurations that follow one another.
-func threeVersions(t must.T) []*catalog.Config {
+// successiveConfigs returns configurations with rising versions.
+func successiveConfigs(t must.T) []*catalog.Config {
 	var versions []*catalog.Config
 	for _, version := range []string{"3", "5", "9"} {
-		config, err := catalog.Parse(configView(version))
+		config, err := catalog.Parse(emptyConfig(version))
 		must.NoError(t, err)
 		versions = append(versions, config)
 	}
 	return versions
 }
 
-func TestChangesLeadToTheNewestConfiguration(t *testing.T) {
-	versions := threeVersions(t)
-	view, _, err := newView().merge(&rpc.View{Config: &rpc.ConfigView{Version: 3, Config: configView("3")}})
+func TestConfigChangesAreAppliedInOrder(t *testing.T) {
+	versions := successiveConfigs(t)
+	view, _, err := newView().merge(&rpc.View{Config: &rpc.ConfigView{Version: 3, Config: emptyConfig("3")}})
 	must.NoError(t, err)
-	update := &rpc.View{ConfigChanges: []*rpc.ConfigChange{changeTo(t, versions[0], versions[1]), changeTo(t, versions[1], versions[2])}}
+	update := &rpc.View{ConfigChanges: []*rpc.ConfigChange{configChange(t, versions[0], versions[1]), configChange(t, versions[1], versions[2])}}
 	view, changed, err := view.merge(update)
 	must.NoError(t, err)
 	must.True(t, changed)
@@ -93,40 +93,40 @@
 	must.False(t, changed)
 }
 
-func TestChangeThatDoesNotFitIsNotApplied(t *testing.T) {
-	versions := threeVersions(t)
-	held, _, err := newView().merge(&rpc.View{Config: &rpc.ConfigView{Version: 3, Config: configView("3")}})
+func TestMismatchedConfigChangeIsNotApplied(t *testing.T) {
+	versions := successiveConfigs(t)
+	held, _, err := newView().merge(&rpc.View{Config: &rpc.ConfigView{Version: 3, Config: emptyConfig("3")}})
 	must.NoError(t, err)
-	otherDigest := changeTo(t, versions[0], versions[1])
+	otherDigest := configChange(t, versions[0], versions[1])
 	otherDigest.Digest++
-	unreadable := changeTo(t, versions[0], versions[1])
+	unreadable := configChange(t, versions[0], versions[1])
 	unreadable.Change = unreadable.Change[:3]
-	for _, change := range []*rpc.ConfigChange{changeTo(t, versions[1], versions[2]), otherDigest, unreadable} {
+	for _, change := range []*rpc.ConfigChange{configChange(t, versions[1], versions[2]), otherDigest, unreadable} {
 		view, changed, err := held.merge(&rpc.View{ConfigChanges: []*rpc.ConfigChange{change}})
 		fault := &ConfigChangeError{}
 		must.True(t, errors.As(err, &fault))
-		must.StrContains(t, fault.Error(), "connect anew")
+		must.StrContains(t, fault.Error(), "reconnect for the full configuration")
 		must.False(t, changed)
 		must.Eq(t, 3, view.ConfigVersion)
 	}
-	_, _, err = newView().merge(&rpc.View{ConfigChanges: []*rpc.ConfigChange{changeTo(t, versions[0], versions[1])}})
+	_, _, err = newView().merge(&rpc.View{ConfigChanges: []*rpc.ConfigChange{configChange(t, versions[0], versions[1])}})
 	must.Error(t, err)
 }
 
-func TestStreamEndsAtAChangeThatDoesNotFit(t *testing.T) {
-	versions := threeVersions(t)
+func TestStreamEndsAtMismatchedChange(t *testing.T) {
+	versions := successiveConfigs(t)
 	client := &Client{options: Options{Log: logr.Discard()}, book: newAddressBook(nil)}
 	client.view.Store(newView())
-	frame, err := rpc.EncodeView(&rpc.View{ConfigChanges: []*rpc.ConfigChange{changeTo(t, versions[0], versions[1])}})
+	frame, err := rpc.EncodeView(&rpc.View{ConfigChanges: []*rpc.ConfigChange{configChange(t, versions[0], versions[1])}})
 	must.NoError(t, err)
 	must.Error(t, client.onFrame(frame))
-	whole, err := rpc.EncodeView(&rpc.View{Config: &rpc.ConfigView{Version: 5, Config: configView("5")}})
+	whole, err := rpc.EncodeView(&rpc.View{Config: &rpc.ConfigView{Version: 5, Config: emptyConfig("5")}})
 	must.NoError(t, err)
 	must.NoError(t, client.onFrame(whole))
 	must.Eq(t, 5, client.view.Load().ConfigVersion)
 }
 
-func TestChangesOfWorkersLeadToTheNewestList(t *testing.T) {
+func TestWorkerChangesAreAppliedInOrder(t *testing.T) {
 	one, other := &rpc.Worker{Id: "a"}, &rpc.Worker{Id: "b", Draining: true}
 	lists := []*rpc.WorkerList{
 		workerlist.New(1, 1, []*rpc.Worker{one}),
@@ -145,7 +145,7 @@
 	must.NoError(t, err)
 	must.False(t, changed)
 	_, changed, err = held.merge(&rpc.View{WorkerChanges: both[1:]})
-	must.True(t, misfits(err))
+	must.True(t, isMismatch(err))
 	must.False(t, changed)
-	must.False(t, misfits(errors.New("another fault")))
+	must.False(t, isMismatch(errors.New("other error")))
 }
