--- a/internal/cluster/address_book.go
+++ b/internal/cluster/address_book.go
@@ -76,7 +76,7 @@
 	return b.addresses[b.current]
 }
 
-// recordFailure records that an address did not respond, and advances from it.
+// recordFailure records that an address did not respond, and advances to the next one.
 func (b *addressBook) recordFailure(address string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/cluster/budget_bench_test.go
+++ b/internal/cluster/budget_bench_test.go
@@ -61,12 +61,12 @@
 	client := &Client{
 		options: Options{Role: RoleDispatcher, Incarnation: "run-1", Log: logr.Discard(),
 			Settings: &settings.Settings{Node: "front-heredia-a-1", Zone: "heredia-a", HeartbeatMs: int(plannedHeartbeatS * 1000)}},
-		book:          newAddressBook([]string{control.address()}),
-		clientCache:   newClientCache(newTransport(sameRegionDialTimeout)),
-		lease:         newLease(),
-		renewRequests: make(chan struct{}, 1),
-		callbacks:     newCallbackList(),
-		initialView:   newView(),
+		book:        newAddressBook([]string{control.address()}),
+		clientCache: newClientCache(newTransport(sameRegionDialTimeout)),
+		lease:       newLease(),
+		renewNow:    make(chan struct{}, 1),
+		callbacks:   newCallbackList(),
+		initialView: newView(),
 	}
 	client.view.Store(client.initialView)
 	client.notifiedView.Store(client.initialView)
@@ -170,10 +170,10 @@
 		b.StartTimer()
 		must.NoError(b, client.onFrame(frame))
 	}
-	held := heapAllocBytes() - before
+	retained := heapAllocBytes() - before
 	must.Len(b, destinations, client.View().Workers.Workers)
 	b.ReportMetric(float64(length)/float64(destinations), "wire-B/destination")
-	b.ReportMetric(float64(held)/float64(destinations), "heap-B/destination")
+	b.ReportMetric(float64(retained)/float64(destinations), "heap-B/destination")
 	runtime.KeepAlive(list)
 }
 
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -14,12 +14,12 @@
 // Client keeps the view up to date and the lease renewed until its context ends. All methods are safe for concurrent
 // use.
 type Client struct {
-	options       Options
-	settings      atomic.Pointer[settings.Settings]
-	book          *addressBook
-	clientCache   *clientCache
-	lease         *lease
-	renewRequests chan struct{}
+	options     Options
+	settings    atomic.Pointer[settings.Settings]
+	book        *addressBook
+	clientCache *clientCache
+	lease       *lease
+	renewNow    chan struct{} // holds a token while a renewal is requested
 
 	noLeaderLogged bool // used by renewLoop only
 
@@ -38,12 +38,12 @@
 // Start starts following the control plane. It returns at once; the view is empty until the first update.
 func Start(ctx context.Context, options Options) *Client {
 	client := &Client{
-		options:       options,
-		book:          newAddressBook(options.Settings.Seeds),
-		clientCache:   newClientCache(options.roundTripper()),
-		lease:         newLease(),
-		renewRequests: make(chan struct{}, 1),
-		initialView:   newView(),
+		options:     options,
+		book:        newAddressBook(options.Settings.Seeds),
+		clientCache: newClientCache(options.roundTripper()),
+		lease:       newLease(),
+		renewNow:    make(chan struct{}, 1),
+		initialView: newView(),
 
 		callbacks: newCallbackList(),
 	}
@@ -100,7 +100,7 @@
 // Kick requests an immediate renewal. It does not block.
 func (c *Client) Kick() {
 	select {
-	case c.renewRequests <- struct{}{}:
+	case c.renewNow <- struct{}{}:
 	default:
 	}
 }
--- a/internal/cluster/client_test.go
+++ b/internal/cluster/client_test.go
@@ -56,15 +56,15 @@
 	apply := func(update *rpc.View) { must.NoError(t, client.apply(update)) }
 	apply(&rpc.View{LeaderEpoch: 2, Config: &rpc.ConfigView{Version: 5, Config: emptyConfig("5")},
 		Map: &rpc.MapView{Version: 5}, Workers: &rpc.WorkerList{Epoch: 2, Version: 5}})
-	held := client.View()
+	current := client.View()
 	apply(&rpc.View{LeaderEpoch: 2, Config: &rpc.ConfigView{Version: 4, Config: emptyConfig("4")},
 		Map: &rpc.MapView{Version: 5, Copies: 9}, Workers: &rpc.WorkerList{Epoch: 1, Version: 9}})
-	must.True(t, held == client.View())
+	must.True(t, current == client.View())
 	apply(&rpc.View{LeaderEpoch: 3, Workers: &rpc.WorkerList{Epoch: 3, Version: 1}})
 	must.Eq(t, 3, client.View().Workers.Epoch)
 	must.Eq(t, 5, client.View().ConfigVersion)
 	select {
-	case <-held.Superseded():
+	case <-current.Superseded():
 	default:
 		t.Fatal("previous view is not superseded")
 	}
--- a/internal/cluster/renew.go
+++ b/internal/cluster/renew.go
@@ -15,7 +15,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.renewRequests:
+		case <-c.renewNow:
 		case <-timer.C:
 		}
 		started := time.Now()
@@ -79,8 +79,8 @@
 
 // logNoLeader logs once that no renewal has been granted for noLeaderLogAfter, with the known control addresses.
 func (c *Client) logNoLeader() {
-	silent := c.lease.sinceGrant()
-	if silent < noLeaderLogAfter {
+	elapsed := c.lease.sinceGrant()
+	if elapsed < noLeaderLogAfter {
 		c.noLeaderLogged = false
 		return
 	}
@@ -88,7 +88,7 @@
 		return
 	}
 	c.noLeaderLogged = true
-	c.options.Log.Info("no control-plane leader available", "for", silent.Round(time.Millisecond).String(), "asked", c.book.all())
+	c.options.Log.Info("no control-plane leader available", "for", elapsed.Round(time.Millisecond).String(), "asked", c.book.all())
 }
 
 // retryDelay returns the delay before the next control address is tried. It limits tries of each address to a few per
--- a/internal/cluster/stream_query_test.go
+++ b/internal/cluster/stream_query_test.go
@@ -23,19 +23,19 @@
 // After a mismatched change the next stream must request complete parts; the streams after it request changes again.
 func TestStreamQueryRequestsSnapshotAfterMismatch(t *testing.T) {
 	client := &Client{options: Options{Role: RoleStore, Log: logr.Discard()}, book: newAddressBook(nil)}
-	held := newView()
-	held.ConfigVersion, held.Map = 4, &rpc.MapView{Version: 9}
-	held.Workers = &rpc.WorkerList{Epoch: 2, Version: 3}
-	client.view.Store(held)
-	const named = "?deltas=true&held="
-	must.StrHasPrefix(t, named, client.streamQuery())
+	current := newView()
+	current.ConfigVersion, current.Map = 4, &rpc.MapView{Version: 9}
+	current.Workers = &rpc.WorkerList{Epoch: 2, Version: 3}
+	client.view.Store(current)
+	const deltaQuery = "?deltas=true&held="
+	must.StrHasPrefix(t, deltaQuery, client.streamQuery())
 	for part, version := range map[int]string{rpc.StreamConfig: "4", rpc.StreamMap: "9", rpc.StreamWorkers: "2.3"} {
 		must.StrContains(t, client.streamQuery(), url.QueryEscape(strconv.Itoa(part)+":"+version))
 	}
 	change := &rpc.ConfigChange{Base: 6, Version: 7}
 	must.Error(t, client.apply(&rpc.View{ConfigChanges: []*rpc.ConfigChange{change}}))
 	must.Eq(t, "?deltas=true&urgent=true", client.streamQuery())
-	must.StrHasPrefix(t, named, client.streamQuery())
+	must.StrHasPrefix(t, deltaQuery, client.streamQuery())
 }
 
 func TestDialTimeoutDependsOnRegions(t *testing.T) {
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -95,17 +95,17 @@
 
 func TestMismatchedConfigChangeIsNotApplied(t *testing.T) {
 	versions := successiveConfigs(t)
-	held, _, err := newView().merge(&rpc.View{Config: &rpc.ConfigView{Version: 3, Config: emptyConfig("3")}})
+	current, _, err := newView().merge(&rpc.View{Config: &rpc.ConfigView{Version: 3, Config: emptyConfig("3")}})
 	must.NoError(t, err)
 	otherDigest := configChange(t, versions[0], versions[1])
 	otherDigest.Digest++
 	unreadable := configChange(t, versions[0], versions[1])
 	unreadable.Change = unreadable.Change[:3]
 	for _, change := range []*rpc.ConfigChange{configChange(t, versions[1], versions[2]), otherDigest, unreadable} {
-		view, changed, err := held.merge(&rpc.View{ConfigChanges: []*rpc.ConfigChange{change}})
-		fault := &ConfigChangeError{}
-		must.True(t, errors.As(err, &fault))
-		must.StrContains(t, fault.Error(), "reconnect for the full configuration")
+		view, changed, err := current.merge(&rpc.View{ConfigChanges: []*rpc.ConfigChange{change}})
+		mismatch := &ConfigChangeError{}
+		must.True(t, errors.As(err, &mismatch))
+		must.StrContains(t, mismatch.Error(), "reconnect for the full configuration")
 		must.False(t, changed)
 		must.Eq(t, 3, view.ConfigVersion)
 	}
@@ -133,10 +133,10 @@
 		workerlist.New(1, 2, []*rpc.Worker{one, other}),
 		workerlist.New(1, 4, []*rpc.Worker{other}),
 	}
-	held, _, err := newView().merge(&rpc.View{Workers: lists[0]})
+	current, _, err := newView().merge(&rpc.View{Workers: lists[0]})
 	must.NoError(t, err)
 	both := []*rpc.WorkerChange{workerlist.Difference(lists[0], lists[1]), workerlist.Difference(lists[1], lists[2])}
-	view, changed, err := held.merge(&rpc.View{WorkerChanges: both})
+	view, changed, err := current.merge(&rpc.View{WorkerChanges: both})
 	must.NoError(t, err)
 	must.True(t, changed)
 	must.Eq(t, 4, view.Workers.Version)
@@ -144,7 +144,7 @@
 	_, changed, err = view.merge(&rpc.View{WorkerChanges: both})
 	must.NoError(t, err)
 	must.False(t, changed)
-	_, changed, err = held.merge(&rpc.View{WorkerChanges: both[1:]})
+	_, changed, err = current.merge(&rpc.View{WorkerChanges: both[1:]})
 	must.True(t, isMismatch(err))
 	must.False(t, changed)
 	must.False(t, isMismatch(errors.New("other error")))
--- a/internal/ingest/accept.go
+++ b/internal/ingest/accept.go
@@ -24,7 +24,7 @@
 	abandonCheckInterval  = 50 * time.Millisecond  // how often reachability of the other stores is checked while the owner does not respond
 	maxUnansweredFraction = 0.45                   // share of the client's deadline after which a message without any store response is abandoned
 	maxTakeoverTime       = 3 * time.Second        // from an owner's failure to its successor: lease expiry, election, the leader's margin
-	retryDelay            = 100 * time.Millisecond // before a retry at an owner whose Put failed
+	retryDelay            = 100 * time.Millisecond // from the start of a Put to an owner until its retry there
 	staleRetryDelay       = 25 * time.Millisecond  // before a retry at an owner that answered NOT_OWNER or STALE_EPOCH
 )
 
--- a/internal/ingest/harness_test.go
+++ b/internal/ingest/harness_test.go
@@ -254,13 +254,13 @@
 		view.Partitions = append(view.Partitions, ownership)
 	}
 	h.publish(1, &rpc.View{Map: view})
-	h.awaitView(func(held *cluster.View) bool { return held.Map.GetVersion() == view.Version })
+	h.awaitView(func(current *cluster.View) bool { return current.Map.GetVersion() == view.Version })
 }
 
 func (h *harness) publishConfig(version uint64) {
 	h.t.Helper()
 	h.publish(2, &rpc.View{Config: &rpc.ConfigView{Version: version, Config: fmt.Appendf(nil, testConfig, version)}})
-	h.awaitView(func(held *cluster.View) bool { return held.ConfigVersion == version })
+	h.awaitView(func(current *cluster.View) bool { return current.ConfigVersion == version })
 }
 
 func (h *harness) publish(part int, update *rpc.View) {
--- a/internal/ingest/health.go
+++ b/internal/ingest/health.go
@@ -13,8 +13,8 @@
 const (
 	suspectThreshold = 2                      // consecutive late responses before a store is slow, or timeouts before it is unreachable
 	lateThreshold    = 4                      // consecutive late responses before a store is unreachable
-	minSuspicion     = 300 * time.Millisecond // doubles with each consecutive suspicion up to maxSuspicion
-	maxSuspicion     = time.Second
+	minSuspicionTime = 300 * time.Millisecond // doubles with each consecutive suspicion up to maxSuspicionTime
+	maxSuspicionTime = time.Second
 	failureWindow    = 3 * time.Second // older failures say nothing about the present
 )
 
@@ -42,7 +42,7 @@
 func (s *storeHealth) isUnreachable() bool { return s.probing || s.unreachable.active() }
 
 // suspicion is active for a while after failures; each one lasts longer than the one before, up to
-// maxSuspicion.
+// maxSuspicionTime.
 type suspicion struct {
 	failures int
 	duration time.Duration
@@ -183,7 +183,7 @@
 	if s.failures < threshold || s.active() {
 		return
 	}
-	s.duration = min(max(2*s.duration, minSuspicion), maxSuspicion)
+	s.duration = min(max(2*s.duration, minSuspicionTime), maxSuspicionTime)
 	s.until = time.Now().Add(s.duration)
 }
 
--- a/internal/ingest/owner_timeout.go
+++ b/internal/ingest/owner_timeout.go
@@ -38,7 +38,7 @@
 
 // abandonAt returns when a message without any store response is abandoned. A message with an order key needs
 // its owner, so it waits for the next owner. Any other message is written to holders; if they do not respond
-// within maxUnansweredFraction of the client's time either, it is abandoned.
+// within maxUnansweredFraction of the client's deadline either, and at least for storeTimeout, it is abandoned.
 func (a *acceptance) abandonAt() time.Time {
 	if a.message.orderKey != "" {
 		return a.capAtDeadline(a.unansweredSince.Add(maxTakeoverTime))
@@ -65,7 +65,7 @@
 	}
 }
 
-// capAtDeadline returns the moment, or the message's deadline if that is earlier.
+// capAtDeadline returns the earlier of a moment and the message's deadline.
 func (a *acceptance) capAtDeadline(moment time.Time) time.Time {
 	if moment.After(a.message.deadline) {
 		return a.message.deadline
--- a/internal/ingest/prober_test.go
+++ b/internal/ingest/prober_test.go
@@ -59,7 +59,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		health, deployment := newProbedHealth(t, 5*time.Second)
 		health.recordRefused(probedAddress)
-		for range 49 { // longer than maxSuspicion
+		for range 49 { // longer than maxSuspicionTime
 			time.Sleep(100 * time.Millisecond)
 			must.True(t, health.unreachable(probedAddress))
 			must.True(t, health.majorityUnreachable(deployment.View().Stores()))
@@ -79,7 +79,7 @@
 		for range suspectThreshold {
 			health.recordTimeout(probedAddress)
 		}
-		time.Sleep(minSuspicion - time.Millisecond)
+		time.Sleep(minSuspicionTime - time.Millisecond)
 		must.True(t, health.unreachable(probedAddress))
 		time.Sleep(2 * time.Millisecond)
 		must.False(t, health.unreachable(probedAddress))
--- a/internal/ingest/put_outcome.go
+++ b/internal/ingest/put_outcome.go
@@ -76,7 +76,7 @@
 }
 
 // sameOwner reports whether two targets are the same store process under the same epoch.
-func sameOwner(one, other target) bool {
-	return one.store != nil && other.store != nil && one.epoch == other.epoch &&
-		one.store.Node == other.store.Node && one.store.Incarnation == other.store.Incarnation
+func sameOwner(a, b target) bool {
+	return a.store != nil && b.store != nil && a.epoch == b.epoch &&
+		a.store.Node == b.store.Node && a.store.Incarnation == b.store.Incarnation
 }
--- a/internal/ingest/server_test.go
+++ b/internal/ingest/server_test.go
@@ -163,7 +163,7 @@
 		must.False(t, suspicion.active())
 		health.recordRefused("a")
 	}
-	must.Eq(t, []time.Duration{minSuspicion, 2 * minSuspicion, maxSuspicion, maxSuspicion}, durations)
+	must.Eq(t, []time.Duration{minSuspicionTime, 2 * minSuspicionTime, maxSuspicionTime, maxSuspicionTime}, durations)
 }
 
 func TestRunRequiresAddresses(t *testing.T) {
