--- a/internal/cluster/client_test.go
+++ b/internal/cluster/client_test.go
@@ -118,15 +118,15 @@
 	client := startClient(t, Options{Role: RoleStore}, control.address())
 	awaitView(t, client, func(view *View) bool { return view.Map.GetVersion() == 1 })
 	former := control.hub
-	t.Cleanup(former.Disconnect)
+	t.Cleanup(former.DisconnectAll)
 	control.set(func(c *fakeControl) { c.hub, c.epoch = watch.NewHub(2, 10), 2 })
 	control.publish(t, &rpc.View{LeaderEpoch: 2, Map: &rpc.MapView{Version: 2}})
 	client.Kick()
 	awaitView(t, client, func(view *View) bool { return view.Map.GetVersion() == 2 })
-	for former.Subscribers() > 0 { // the client has disconnected; the hub notices later
+	for former.SubscriberCount() > 0 { // the client has disconnected; the hub notices later
 		runtime.Gosched()
 	}
-	must.Eq(t, 1, control.hub.Subscribers())
+	must.Eq(t, 1, control.hub.SubscriberCount())
 }
 
 func TestLeaseIsValidOnceGranted(t *testing.T) {
--- a/internal/cluster/follow.go
+++ b/internal/cluster/follow.go
@@ -108,12 +108,12 @@
 // streamQuery returns the query of the stream: which parts are not needed, which versions are present, and that
 // changes are accepted instead of complete parts.
 func (c *Client) streamQuery() string {
-	subscription := watch.Subscription{Deltas: true, Urgent: c.options.Role == RoleStore}
+	subscription := watch.Subscription{AcceptDeltas: true, Urgent: c.options.Role == RoleStore}
 	if !c.needsSnapshot.Swap(false) {
-		subscription.Held = c.view.Load().partVersions()
+		subscription.HeldVersions = c.view.Load().partVersions()
 	}
 	if c.options.Role == RoleDispatcher {
-		subscription.Without = []int{rpc.StreamWorkers}
+		subscription.ExcludedParts = []int{rpc.StreamWorkers}
 	}
 	return subscription.Query()
 }
--- a/internal/cluster/harness_test.go
+++ b/internal/cluster/harness_test.go
@@ -45,7 +45,7 @@
 	mux.HandleFunc(watchPath, control.watch)
 	control.server = httptest.NewServer(mux)
 	t.Cleanup(func() {
-		control.hub.Disconnect()
+		control.hub.DisconnectAll()
 		control.server.CloseClientConnections()
 		control.server.Close()
 	})
--- a/internal/controlplane/leases.go
+++ b/internal/controlplane/leases.go
@@ -18,7 +18,7 @@
 // newStoreLeases takes every recorded store for one that may hold a lease of an earlier leader, of the length that the state tells.
 func newStoreLeases(state *rpc.ControlState, own time.Duration, now time.Time) *storeLeases {
 	recorded := recordedStoreLease(state)
-	table := lease.New(lease.Options{Length: min(own, recorded), Former: recorded, Margin: leaseMargin, Reusable: true})
+	table := lease.New(lease.Options{Duration: min(own, recorded), MaxEarlierDuration: recorded, Margin: leaseMargin, AllowRenewalAfterEnd: true})
 	for _, store := range state.Stores {
 		table.Restore(store.Node, store.Incarnation)
 	}
@@ -27,11 +27,11 @@
 
 // follow grants no longer leases than the committed state allows.
 func (l *storeLeases) follow(state *rpc.ControlState) {
-	l.table.SetLength(min(l.own, recordedStoreLease(state)))
+	l.table.SetDuration(min(l.own, recordedStoreLease(state)))
 }
 
 // length is that of the leases that are granted now.
-func (l *storeLeases) length() time.Duration { return l.table.Length() }
+func (l *storeLeases) length() time.Duration { return l.table.Duration() }
 
 // grant extends the lease of a store that renewed it now. It reports false for an incarnation that is known to
 // have ended.
@@ -52,7 +52,7 @@
 // nextChange returns the time until a lease ends or is certainly over if nobody renews, but no more than most.
 func (l *storeLeases) nextChange(now time.Time, most time.Duration) time.Duration {
 	since := now.Sub(l.started)
-	next, ok := l.table.NextChange(since)
+	next, ok := l.table.NextStateChange(since)
 	if !ok {
 		return most
 	}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -98,13 +98,13 @@
 		Voter:            known.Voter,
 		ConfigVersion:    state.ConfigVersion,
 		MapVersion:       state.MapVersion,
-		Streams:          s.hub.Subscribers(),
+		Streams:          s.hub.SubscriberCount(),
 		ControlAddresses: s.controlAddresses(),
 		Partitions:       make(map[string]int),
 		Retirements:      make(map[string]string),
 		FaultTolerance:   s.copies() - 1,
 		VotersWanted:     s.wantedVoters(),
-		VotersExchanging: known.Exchanging,
+		VotersExchanging: known.MembershipChanging,
 	}
 	for _, member := range known.Members {
 		status.Voters = append(status.Voters, member.Address)
--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -50,7 +50,7 @@
 		{"free, never ran, without copies", free, false, ended(choice.Busy), at("b", "x", 1), 0, true},
 		{"keyed, in its zone", keyed(choice.GroupZone), true, ended(choice.Reset), at("b", "x", 2), 5, true},
 		{"keyed, in another zone", keyed(choice.GroupZone), true, ended(choice.Reset), at("b", "y", 1), 0, false},
-		{"keyed, nothing ran, in another zone", keyed(choice.GroupZone), true, ended(choice.Cut), at("b", "y", 1), 0, true},
+		{"keyed, nothing ran, in another zone", keyed(choice.GroupZone), true, ended(choice.BrokenBeforeSend), at("b", "y", 1), 0, true},
 		{"keyed, in its cell", keyed(choice.GroupCell), true, ended(choice.Reset), at("b", "y", 1), 5, true},
 		{"keyed, in another cell", keyed(choice.GroupCell), true, ended(choice.Reset), at("b", "x", 2), 0, false},
 		{"keyed, anywhere", keyed(choice.GroupAll), true, ended(choice.Reset), at("b", "y", 2), 5, true},
--- a/internal/core/branches.go
+++ b/internal/core/branches.go
@@ -29,8 +29,8 @@
 	inDoubt bool // its connection broke, and a report of its start is still waited for
 }
 
-var faultCodes = map[Fault]choice.Code{NoConnect: choice.NoConnect, Cut: choice.Cut, TurnedAway: choice.Busy,
-	Broken: choice.Reset, Stale: choice.Stale, Errored: choice.Errored, Unfit: choice.Skipped, NotSent: choice.Skipped}
+var faultCodes = map[Fault]choice.Code{NoConnect: choice.NoConnect, Cut: choice.BrokenBeforeSend, TurnedAway: choice.Busy,
+	Broken: choice.Reset, Stale: choice.StaleConnection, Errored: choice.Errored, Unfit: choice.Skipped, NotSent: choice.Skipped}
 
 // branchFailed ends a branch whose job was not taken. Danger: a worker that turns away what it can't use is
 // well; taken for an error of its own, a few bad requests would bar it from all others.
@@ -144,7 +144,7 @@
 			return
 		}
 		b.begun = true
-		r.decider.Note(r.now, choice.Note{Request: string(q.call.ID), Worker: string(b.worker), Attempt: b.no,
+		r.decider.AttemptUpdate(r.now, choice.AttemptUpdate{Request: string(q.call.ID), Worker: string(b.worker), Attempt: b.no,
 			Started: ev.State == JobStarted, Share: ev.Share})
 	case JobDone:
 		r.endBranch(b, choice.Done, &Answer{Verdict: Served, Body: ev.Result})
--- a/internal/core/reducer.go
+++ b/internal/core/reducer.go
@@ -142,7 +142,7 @@
 		}
 	case BranchTaken:
 		if b := r.branches[ev.Branch]; b != nil && !b.begun {
-			r.decider.Note(r.now, choice.Note{Request: string(b.req.call.ID), Worker: string(b.worker), Attempt: b.no, Taken: true})
+			r.decider.AttemptUpdate(r.now, choice.AttemptUpdate{Request: string(b.req.call.ID), Worker: string(b.worker), Attempt: b.no, Taken: true})
 		}
 	case BranchReleased:
 		r.released(ev)
--- a/internal/delivery/attempt.go
+++ b/internal/delivery/attempt.go
@@ -176,7 +176,7 @@
 	case failureGuard:
 		e.reportAndFinish(now, a, choice.Skipped, res, Outcome{Kind: NotRun, RetryAfter: unplacedRetryDelay})
 	case failureStaleConn:
-		e.reportAndFinish(now, a, choice.Stale, res, Outcome{Kind: Unknown})
+		e.reportAndFinish(now, a, choice.StaleConnection, res, Outcome{Kind: Unknown})
 	case failureTimeout:
 		e.reportAndFinish(now, a, choice.TimedOut, res, Outcome{Kind: Unknown})
 	default:
@@ -188,7 +188,7 @@
 // there is no alternative to it.
 func brokenResponseCode(t *target) choice.Code {
 	if t.id == "" {
-		return choice.Stale
+		return choice.StaleConnection
 	}
 	return choice.Reset
 }
@@ -199,7 +199,7 @@
 	if t.id == "" {
 		return choice.Skipped
 	}
-	return choice.Cut
+	return choice.BrokenBeforeSend
 }
 
 // reusableConn returns the attempt's connection if it can carry another request, and otherwise closes it and returns nil.
@@ -238,18 +238,18 @@
 		e.reportAndFinish(now, a, choice.Done, res, Outcome{Kind: kind, Stamp: resp.stamp})
 	case FailedAttempt:
 		s.recordServed()
-		code := choice.Stale // does not penalize the worker
+		code := choice.StaleConnection // does not penalize the worker
 		if a.target.answered(true) && a.target.id != "" {
 			code = choice.Errored
 		}
 		e.reportAndFinish(now, a, code, res, Outcome{Kind: kind})
 	case Rejected:
 		s.recordServed()
-		e.reportAndFinish(now, a, choice.Stale, res, Outcome{Kind: kind})
+		e.reportAndFinish(now, a, choice.StaleConnection, res, Outcome{Kind: kind})
 	case NotRun:
 		e.handleNotRun(now, a, res)
 	default:
-		e.reportAndFinish(now, a, choice.Stale, res, Outcome{Kind: Unknown})
+		e.reportAndFinish(now, a, choice.StaleConnection, res, Outcome{Kind: Unknown})
 	}
 }
 
@@ -258,7 +258,7 @@
 	s := a.target.service
 	switch status := res.response.status; {
 	case status == 409:
-		e.reportAndFinish(now, a, choice.Stale, res, Outcome{Kind: NotRun, RetryAfter: conflictRetryDelay})
+		e.reportAndFinish(now, a, choice.StaleConnection, res, Outcome{Kind: NotRun, RetryAfter: conflictRetryDelay})
 	case status == 421 && a.target.id != "":
 		a.target.ready, a.target.misdirected = false, true
 		a.target.closeIdleConns(anyConn)
--- a/internal/ingest/harness_test.go
+++ b/internal/ingest/harness_test.go
@@ -55,7 +55,7 @@
 	mux.Handle("/internal/watch", control.hub)
 	control.server = httptest.NewServer(mux)
 	t.Cleanup(func() {
-		control.hub.Disconnect()
+		control.hub.DisconnectAll()
 		control.server.CloseClientConnections()
 		control.server.Close()
 	})
--- a/internal/storenode/accept.go
+++ b/internal/storenode/accept.go
@@ -165,7 +165,7 @@
 // run syncs the message here and on other stores.
 func (a *acceptance) run(ctx context.Context) rpc.PutStatus {
 	defer a.node.post(func() { a.entry.Accepting = 0 })
-	a.node.file.Sync(func(err error) {
+	a.node.file.RequestSync(func(err error) {
 		a.node.noteDisk(err)
 		a.outcome("", a.node.ownDomain(), err == nil)
 	})
--- a/internal/storenode/deliver.go
+++ b/internal/storenode/deliver.go
@@ -136,7 +136,7 @@
 		return
 	}
 	if n.write(entry, withBody(entry.Message(n.now()), m.Body)) == rpc.PutStatus_STORED {
-		n.file.Sync(n.noteDisk)
+		n.file.RequestSync(n.noteDisk)
 	}
 }
 
--- a/internal/storenode/ends.go
+++ b/internal/storenode/ends.go
@@ -35,7 +35,7 @@
 // appendFate writes what became of a message, and has it synced together with what else is written.
 func (n *Node) appendFate(entry *message.Entry) {
 	if n.writeFate(entry) == nil {
-		n.file.Sync(n.noteDisk)
+		n.file.RequestSync(n.noteDisk)
 	}
 }
 
--- a/internal/storenode/gather.go
+++ b/internal/storenode/gather.go
@@ -165,7 +165,7 @@
 			entry.AddHolder(disk)
 		}
 	}
-	n.file.Sync(n.noteDisk)
+	n.file.RequestSync(n.noteDisk)
 	n.pumpDue = true
 }
 
--- a/internal/storenode/sim_control_test.go
+++ b/internal/storenode/sim_control_test.go
@@ -57,7 +57,7 @@
 }
 
 func newControlPlane(w *world) *controlPlane {
-	c := &controlPlane{world: w, leases: lease.New(lease.Options{Length: simLease, Margin: simLeaseMargin, Reusable: true}),
+	c := &controlPlane{world: w, leases: lease.New(lease.Options{Duration: simLease, Margin: simLeaseMargin, AllowRenewalAfterEnd: true}),
 		statuses: map[string]*storeStatus{}, fences: map[string]uint64{}, joined: map[string]simMoment{},
 		partitions: make([]placement.Partition, w.scale.partitions), changed: make(chan struct{}), config: simConfig(1)}
 	c.publish()
