--- a/internal/cluster/query_test.go
+++ b/internal/cluster/stream_query_test.go
@@ -11,7 +11,7 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-func TestOnlyStoresAskForTheListOfWorkers(t *testing.T) {
+func TestOnlyStoresSubscribeToWorkers(t *testing.T) {
 	dispatcher := &Client{options: Options{Role: RoleDispatcher}}
 	store := &Client{options: Options{Role: RoleStore}}
 	dispatcher.view.Store(newView())
@@ -20,26 +20,26 @@
 	must.Eq(t, "?deltas=true&urgent=true", store.streamQuery())
 }
 
-// What a change does not fit can't be led on from: the stream after it names nothing as held, the one after that does again.
-func TestStreamNamesWhatIsHeldUnlessAChangeDidNotFit(t *testing.T) {
+// After a mismatched change the next stream must request complete parts; the streams after it request changes again.
+func TestStreamQueryRequestsSnapshotAfterMismatch(t *testing.T) {
 	client := &Client{options: Options{Role: RoleStore, Log: logr.Discard()}, book: newAddressBook(nil)}
-	held := newView()
-	held.ConfigVersion, held.Map = 4, &rpc.MapView{Version: 9}
-	held.Workers = &rpc.WorkerList{Epoch: 2, Version: 3}
-	client.view.Store(held)
-	const named = "?deltas=true&held="
-	must.StrHasPrefix(t, named, client.streamQuery())
+	current := newView()
+	current.ConfigVersion, current.Map = 4, &rpc.MapView{Version: 9}
+	current.Workers = &rpc.WorkerList{Epoch: 2, Version: 3}
+	client.view.Store(current)
+	const deltaQuery = "?deltas=true&held="
+	must.StrHasPrefix(t, deltaQuery, client.streamQuery())
 	for part, version := range map[int]string{rpc.StreamConfig: "4", rpc.StreamMap: "9", rpc.StreamWorkers: "2.3"} {
 		must.StrContains(t, client.streamQuery(), url.QueryEscape(strconv.Itoa(part)+":"+version))
 	}
 	change := &rpc.ConfigChange{Base: 6, Version: 7}
 	must.Error(t, client.apply(&rpc.View{ConfigChanges: []*rpc.ConfigChange{change}}))
 	must.Eq(t, "?deltas=true&urgent=true", client.streamQuery())
-	must.StrHasPrefix(t, named, client.streamQuery())
+	must.StrHasPrefix(t, deltaQuery, client.streamQuery())
 }
 
-func TestDialsFollowTheDistance(t *testing.T) {
-	must.Eq(t, nearDialTimeout, dialTimeoutFor(map[string]string{"a": "north", "b": "north"}))
-	must.Eq(t, farDialTimeout, dialTimeoutFor(map[string]string{"a": "north", "b": "south"}))
-	must.Less(t, renewTimeout, farDialTimeout)
+func TestDialTimeoutDependsOnRegions(t *testing.T) {
+	must.Eq(t, sameRegionDialTimeout, dialTimeoutFor(map[string]string{"a": "north", "b": "north"}))
+	must.Eq(t, crossRegionDialTimeout, dialTimeoutFor(map[string]string{"a": "north", "b": "south"}))
+	must.Less(t, renewTimeout, crossRegionDialTimeout)
 }
