--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -23,10 +23,10 @@
 var codec = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	mostLine  = 64 << 10
-	mostConns = 16 // at once; descriptors are needed elsewhere
-	askWait   = 5 * time.Second
-	writeWait = 5 * time.Second
+	maxQuestionBytes = 64 << 10
+	maxConns         = 16 // at once; descriptors are needed elsewhere
+	readTimeout      = 5 * time.Second
+	writeTimeout     = 5 * time.Second
 )
 
 // Question is what an operator asks.
@@ -51,11 +51,11 @@
 // Server answers questions. The connections that it serves do not pass on in an upgrade: who asked is told by the
 // process that was asked.
 type Server struct {
-	ln       *net.UnixListener
-	handlers map[string]Handler
-	log      logrus.FieldLogger
-	places   chan struct{}
-	left     atomic.Bool
+	ln         *net.UnixListener
+	handlers   map[string]Handler
+	log        logrus.FieldLogger
+	slots      chan struct{}
+	handedOver atomic.Bool
 }
 
 // Listen opens the socket at a path, for this user only. A socket that no process answers at is replaced; one that a
@@ -96,7 +96,7 @@
 
 // NewServer makes a server of a listener.
 func NewServer(ln *net.UnixListener, handlers map[string]Handler, log logrus.FieldLogger) *Server {
-	return &Server{ln: ln, handlers: handlers, log: log, places: make(chan struct{}, mostConns)}
+	return &Server{ln: ln, handlers: handlers, log: log, slots: make(chan struct{}, maxConns)}
 }
 
 // FD calls f with the listener's descriptor.
@@ -105,10 +105,10 @@
 // Run serves until the listener is closed.
 func (s *Server) Run() {
 	for {
-		s.places <- struct{}{}
+		s.slots <- struct{}{}
 		c, err := s.ln.Accept()
 		if err != nil {
-			<-s.places
+			<-s.slots
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
@@ -117,7 +117,7 @@
 			continue
 		}
 		go func() {
-			defer func() { c.Close(); <-s.places }()
+			defer func() { c.Close(); <-s.slots }()
 			s.serve(c)
 		}()
 	}
@@ -125,24 +125,24 @@
 
 // Leave says that another process answers from now on: new questions that still come here end without a word, and
 // are asked again.
-func (s *Server) Leave() { s.left.Store(true) }
+func (s *Server) Leave() { s.handedOver.Store(true) }
 
 // Close closes the socket and removes its file.
 func (s *Server) Close() error { return s.ln.Close() }
 
 func (s *Server) serve(c net.Conn) {
-	c.SetReadDeadline(time.Now().Add(askWait))
-	line, err := bufio.NewReader(io.LimitReader(c, mostLine)).ReadBytes('\n')
+	c.SetReadDeadline(time.Now().Add(readTimeout))
+	line, err := bufio.NewReader(io.LimitReader(c, maxQuestionBytes)).ReadBytes('\n')
 	say := func(v any) error {
 		text, err := codec.Marshal(v)
 		if err != nil {
 			return err
 		}
-		c.SetWriteDeadline(time.Now().Add(writeWait))
+		c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		_, err = c.Write(append(text, '\n'))
 		return err
 	}
-	if s.left.Load() {
+	if s.handedOver.Load() {
 		return
 	}
 	if err != nil {
@@ -166,7 +166,7 @@
 
 // retry is for how long a question is asked again whose connection ended without a word: an upgrade may have come
 // between.
-const retry = 2 * time.Second
+const askRetryPeriod = 2 * time.Second
 
 // Ask asks a question at a socket and passes each line of the answer to hear, until the end. An answer that is a
 // Fault is an error.
@@ -179,9 +179,9 @@
 		}
 		q.Args = text
 	}
-	until := time.Now().Add(retry)
+	until := time.Now().Add(askRetryPeriod)
 	for {
-		lines, err := ask(path, q, hear)
+		lines, err := askOnce(path, q, hear)
 		if err != nil || lines > 0 {
 			return err
 		}
@@ -192,7 +192,7 @@
 	}
 }
 
-func ask(path string, q Question, hear func([]byte) error) (lines int, err error) {
+func askOnce(path string, q Question, hear func([]byte) error) (lines int, err error) {
 	c, err := net.Dial("unix", path)
 	if err != nil {
 		return 0, fmt.Errorf("no dispatcher answers at its control socket: %w", err)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -91,11 +91,11 @@
 func TestHostileQuestions(t *testing.T) {
 	_, path := serve(t)
 	for text, want := range map[string]string{
-		"nonsense\n":                            "not a question",
-		"{\"ask\":7}\n":                         "not a question",
-		"\n":                                    "not a question",
-		strings.Repeat("x", mostLine+10) + "\n": "no question came",
-		"{\"ask\":\"count\",\"args\":\"many\"}\n": "cannot unmarshal",
+		"nonsense\n":    "not a question",
+		"{\"ask\":7}\n": "not a question",
+		"\n":            "not a question",
+		strings.Repeat("x", maxQuestionBytes+10) + "\n": "no question came",
+		"{\"ask\":\"count\",\"args\":\"many\"}\n":       "cannot unmarshal",
 	} {
 		c, err := net.Dial("unix", path)
 		if err != nil {
--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -61,7 +61,7 @@
 			s.SecondCopies = tc.copies
 			tc.class.Name = "c"
 			s.Classes[0] = tc.class
-			r := empty(4, s)
+			r := newReducer(4, s)
 			q := &request{call: Call{Class: "c"}, branches: []*branch{&tc.was}}
 			if before, ok := r.mayRepeat(q, tc.to); ok != tc.ok || ok && before != tc.before {
 				t.Errorf("%v before %v, want %v before %v", ok, before, tc.ok, tc.before)
--- a/internal/core/audit.go
+++ b/internal/core/audit.go
@@ -60,10 +60,10 @@
 func (AuditTold) effect()   {}
 func (AuditSummed) effect() {}
 
-// auditOf applies an event of the audit.
-func (r *Reducer) auditOf(ev Event) {
+// applyAuditEvent applies an event of the audit.
+func (r *Reducer) applyAuditEvent(ev Event) {
 	if begun, is := ev.(AuditBegun); is {
-		r.auditBegun(begun)
+		r.beginAudit(begun)
 	}
 	if r.recorder == nil {
 		return
@@ -72,7 +72,7 @@
 	case AuditLooked:
 		r.recorder.Pass(r.now)
 	case AuditConfigured:
-		r.configured(ev)
+		r.applyConfig(ev)
 	case AuditAsked:
 		r.emit(AuditTold{Order: ev.Order, Acts: r.recorder.Of(string(ev.Request)), Now: r.recorder.Now()})
 	case AuditEnded:
@@ -86,52 +86,52 @@
 	}
 }
 
-func (r *Reducer) auditBegun(ev AuditBegun) {
-	r.audited.Program, r.routesName, r.bringsUp = ev.Program, ev.Routes, ev.BringUp
+func (r *Reducer) beginAudit(ev AuditBegun) {
+	r.heldVersions.Program, r.routeSourceName, r.fetchesConfigs = ev.Program, ev.Routes, ev.BringUp
 	// Danger: what its predecessor took up in its last moments may be newer than what a successor read.
-	if held := r.audited.Config; r.recorder == nil || held.Source != ev.Config.Source || held.No <= ev.Config.No {
-		r.audited.Config, r.shared, r.sharedBy = ev.Config, ev.Shared, ev.By
+	if held := r.heldVersions.Config; r.recorder == nil || held.Source != ev.Config.Source || held.No <= ev.Config.No {
+		r.heldVersions.Config, r.sharedConfig, r.sharedConfigFrom = ev.Config, ev.Shared, ev.By
 	}
 	r.emit(r.Config())
 	if r.recorder != nil {
-		r.holds()
+		r.recordHeldVersions()
 		return
 	}
-	r.auditNo = ev.Process
-	r.audited.Begun = ev.Last.Begun
+	r.auditProcess = ev.Process
+	r.heldVersions.Begun = ev.Last.Begun
 	if last := ev.Last.Routes; last.Source == r.sourceName() {
-		r.acted = max(r.acted, last.No) // danger: what was acted on before a restart must not be gone behind after it
+		r.newestHeldVersion = max(r.newestHeldVersion, last.No) // danger: what was acted on before a restart must not be gone behind after it
 	} else if last.Source != "" {
-		r.audited.Begun++
+		r.heldVersions.Begun++
 	}
-	r.audited.Routes = r.routes()
-	r.recorder = audit.New(r.now, 1, r.audited)
-	r.tellHeld()
+	r.heldVersions.Routes = r.heldRouteSet()
+	r.recorder = audit.New(r.now, 1, r.heldVersions)
+	r.emitHeldVersions()
 }
 
 // routes is the version of the route set that is held.
-func (r *Reducer) routes() membership.Version {
-	return membership.Version{No: r.version, Digest: r.routesDigest(), Source: r.sourceName()}
+func (r *Reducer) heldRouteSet() membership.Version {
+	return membership.Version{No: r.routeSetVersion, Digest: r.currentDigest(), Source: r.sourceName()}
 }
 
 // holds says to the account which versions are held from now on.
-func (r *Reducer) holds() {
+func (r *Reducer) recordHeldVersions() {
 	if r.recorder == nil {
 		return
 	}
-	was, told := r.audited.Routes, r.routes()
-	r.audited.Routes = told
-	held := r.audited
+	was, told := r.heldVersions.Routes, r.heldRouteSet()
+	r.heldVersions.Routes = told
+	held := r.heldVersions
 	if altered.Is("records the version before") && was != told {
 		held.Routes = was
 	}
 	if r.recorder.Hold(r.now, held) {
-		r.tellHeld()
+		r.emitHeldVersions()
 	}
 }
 
-// tellHeld tells which spans have ended, and what is held.
-func (r *Reducer) tellHeld() {
+// emitHeldVersions tells which spans have ended, and what is held.
+func (r *Reducer) emitHeldVersions() {
 	if done := r.recorder.Take(); len(done) > 0 {
 		r.emit(AuditSpans{Spans: done})
 	}
@@ -139,7 +139,7 @@
 }
 
 // act counts an act, on the versions held now.
-func (r *Reducer) act(kind audit.Kind, q *request, worker WorkerID) {
+func (r *Reducer) recordAct(kind audit.Kind, q *request, worker WorkerID) {
 	if r.recorder != nil {
 		r.recorder.Act(r.now, kind, string(q.call.ID), string(worker))
 	}
@@ -160,19 +160,19 @@
 	if r.recorder == nil {
 		return nil
 	}
-	return &AuditState{Process: r.auditNo, Recorder: r.recorder.Export(), Held: r.audited, Acted: r.acted,
-		Shared: r.shared, By: r.sharedBy, BringUp: r.bringsUp}
+	return &AuditState{Process: r.auditProcess, Recorder: r.recorder.Export(), Held: r.heldVersions, Acted: r.newestHeldVersion,
+		Shared: r.sharedConfig, By: r.sharedConfigFrom, BringUp: r.fetchesConfigs}
 }
 
 func (r *Reducer) importAudit(st *AuditState) {
-	r.acted = r.version
+	r.newestHeldVersion = r.routeSetVersion
 	if st != nil {
-		r.auditNo, r.recorder, r.audited, r.acted = st.Process, audit.Import(st.Recorder), st.Held, st.Acted
-		r.shared, r.sharedBy, r.bringsUp = st.Shared, st.By, st.BringUp
+		r.auditProcess, r.recorder, r.heldVersions, r.newestHeldVersion = st.Process, audit.Import(st.Recorder), st.Held, st.Acted
+		r.sharedConfig, r.sharedConfigFrom, r.fetchesConfigs = st.Shared, st.By, st.BringUp
 	}
 }
 
 // Audited is what was acted on last, by which process; false where there is no account.
 func (r *Reducer) Audited() (v audit.Versions, process uint64, kept bool) {
-	return r.audited, r.auditNo, r.recorder != nil
+	return r.heldVersions, r.auditProcess, r.recorder != nil
 }
--- a/internal/core/branches.go
+++ b/internal/core/branches.go
@@ -9,15 +9,15 @@
 
 // branch is one attempt of a request.
 type branch struct {
-	id     BranchID
-	no     int
-	req    *request
-	worker WorkerID
-	addr   string
-	sent   float64
-	zone   string // of the worker, as it was told then
-	cell   int
-	begun  bool // its start has been passed on
+	id      BranchID
+	no      int
+	req     *request
+	worker  WorkerID
+	addr    string
+	sent    float64
+	zone    string // of the worker, as it was told then
+	cell    int
+	started bool // its start has been passed on
 
 	// An attempt is open, given up (its worker is being told, and code is what it will end as), or ended. released says that nothing of it
 	// runs, or may yet, as far as its worker or this machine can know.
@@ -34,44 +34,44 @@
 
 // branchFailed ends a branch whose job was not taken. Danger: a worker that turns away what it can't use is
 // well; taken for an error of its own, a few bad requests would bar it from all others.
-func (r *Reducer) branchFailed(b *branch, f Fault) {
+func (r *Reducer) branchFailed(b *branch, fault Fault) {
 	switch {
-	case f == Unfit:
-		r.endBranch(b, faultCodes[f], &Answer{Verdict: Rejected, Reason: "no worker can use the request"})
+	case fault == Unfit:
+		r.endBranch(b, faultCodes[fault], &Answer{Verdict: Rejected, Reason: "no worker can use the request"})
 		return
-	case f == Broken && b.begun:
+	case fault == Broken && b.started:
 		return // the job runs: its end will be reported, or it ends at the deadline
-	case f == Broken && r.effect(b.req) == choice.AtMostOnce && !b.inDoubt:
+	case fault == Broken && r.effectOf(b.req) == choice.AtMostOnce && !b.inDoubt:
 		// Danger: a job that was taken before the break runs, and may never be sent again. Its start, if there
 		// is one, is reported at once.
 		b.inDoubt = true
-		r.after(r.now+doubtTime, timer{kind: timerDoubt, branch: b.id, fault: f})
+		r.setTimer(r.now+startReportWaitS, timer{kind: timerStartReport, branch: b.id, fault: fault})
 		return
-	case b.begun && faultCodes[f].NeverRan():
-		f = Errored // danger: the worker has told that it began, so what says that it never ran is another one's word, or a mistake
-	case b.givenUp && (f == Broken || f == Stale):
+	case b.started && faultCodes[fault].NeverRan():
+		fault = Errored // danger: the worker has told that it began, so what says that it never ran is another one's word, or a mistake
+	case b.givenUp && (fault == Broken || fault == Stale):
 		return // this machine closed the connection, and the worker is being told
-	case f == Broken || f == Stale:
+	case fault == Broken || fault == Stale:
 		// Danger: the worker may have taken the job and said so just as the connection broke.
-		r.release(b, faultCodes[f])()
+		r.giveUpWithCode(b, faultCodes[fault])()
 		return
 	}
-	b.released = f == Errored && !b.begun // where it has begun, whoever says that it ended may mean another one
-	r.endBranch(b, faultCodes[f], nil)
+	b.released = fault == Errored && !b.started // where it has begun, whoever says that it ended may mean another one
+	r.endBranch(b, faultCodes[fault], nil)
 }
 
 // release gives a branch up, and returns what ends it. Where copies are not allowed and its class may be repeated, that is to wait for the word
 // of its worker: until then it counts as out. Danger: a repeat elsewhere would be a second copy.
-func (r *Reducer) release(b *branch, code choice.Code) (end func()) {
+func (r *Reducer) giveUpWithCode(b *branch, code choice.Code) (end func()) {
 	r.giveUp(b)
-	if b.code = code; !r.settings.SecondCopies && r.effect(b.req) != choice.AtMostOnce && !b.req.over {
+	if b.code = code; !r.settings.SecondCopies && r.effectOf(b.req) != choice.AtMostOnce && !b.req.closed {
 		return func() {}
 	}
 	return func() { r.endBranch(b, code, nil) }
 }
 
 // released enters that the giving up of a branch is over, and ends the branch where that was waited for.
-func (r *Reducer) released(ev BranchReleased) {
+func (r *Reducer) branchReleased(ev BranchReleased) {
 	q := r.requests[ev.Request]
 	if q == nil {
 		return
@@ -94,16 +94,16 @@
 	delete(r.branches, b.id)
 	q := b.req
 	q.open--
-	if final != nil && !q.over {
+	if final != nil && !q.closed {
 		r.answer(q, *final)
 	}
-	r.forget(q)
+	r.removeIfDone(q)
 	r.decider.Outcome(r.now, choice.Outcome{Request: string(q.call.ID), Attempt: b.no, Worker: string(b.worker),
-		Code: code, Latency: r.now - b.sent, Final: q.over})
+		Code: code, Latency: r.now - b.sent, Final: q.closed})
 }
 
 // actOf is how the account counts an answer.
-var actOf = map[Verdict]audit.Kind{Served: audit.Answered, Busy: audit.Refused, Failed: audit.Failed, Rejected: audit.Failed, Unowned: audit.Failed}
+var auditKinds = map[Verdict]audit.Kind{Served: audit.Answered, Busy: audit.Refused, Failed: audit.Failed, Rejected: audit.Failed, Unowned: audit.Failed}
 
 // giveUp has a branch's worker told that nobody waits for it any more, once.
 func (r *Reducer) giveUp(b *branch) {
@@ -111,7 +111,7 @@
 		return
 	}
 	b.givenUp = true
-	r.act(audit.GivenUp, b.req, b.worker)
+	r.recordAct(audit.GivenUp, b.req, b.worker)
 	r.emit(GiveUpBranch{Branch: b.id, Request: b.req.call.ID, Worker: b.worker, Addr: b.addr})
 }
 
@@ -133,17 +133,17 @@
 		}
 	}
 	if b == nil {
-		if known && ev.State == JobDone && !q.over {
-			r.doneAfterAll(q, ev.Result)
+		if known && ev.State == JobDone && !q.closed {
+			r.serveLateResult(q, ev.Result)
 		}
 		return
 	}
 	switch ev.State {
 	case JobStarted, JobRunning:
-		if ev.State == JobStarted && b.begun {
+		if ev.State == JobStarted && b.started {
 			return
 		}
-		b.begun = true
+		b.started = true
 		r.decider.AttemptUpdate(r.now, choice.AttemptUpdate{Request: string(q.call.ID), Worker: string(b.worker), Attempt: b.no,
 			Started: ev.State == JobStarted, Share: ev.Share})
 	case JobDone:
@@ -153,7 +153,7 @@
 		r.endBranch(b, choice.Errored, nil)
 	case JobReturned:
 		code := choice.Returned
-		if b.begun {
+		if b.started {
 			code = choice.Errored // danger: what has begun was not handed back unstarted, whoever says so
 		}
 		r.endBranch(b, code, nil)
@@ -163,9 +163,9 @@
 	}
 }
 
-// doneAfterAll serves a request with the result of a branch that was taken for lost, and ends the others.
-func (r *Reducer) doneAfterAll(q *request, result []byte) {
+// serveLateResult serves a request with the result of a branch that was taken for lost, and ends the others.
+func (r *Reducer) serveLateResult(q *request, result []byte) {
 	r.answer(q, Answer{Verdict: Served, Body: result})
-	r.settle()
+	r.runDeferred()
 	r.decider.Withdrawn(r.now, string(q.call.ID))
 }
--- a/internal/core/bringup.go
+++ b/internal/core/configfetch.go
@@ -14,8 +14,8 @@
 // MostShared bounds the text of a configuration's shared part, in bytes.
 const MostShared = 64 << 10
 
-// fetchEvery is the time between two questions for a configuration, in seconds.
-const fetchEvery = 1.0
+// configFetchIntervalS is the time between two questions for a configuration, in seconds.
+const configFetchIntervalS = 1.0
 
 // AuditConfigured says that another configuration is to be in force, of this dispatcher's own file or of a peer's. It is answered by
 // ConfigHeld.
@@ -46,40 +46,40 @@
 func (FetchConfig) effect()    {}
 
 // configured puts another configuration in force, whole or not at all.
-func (r *Reducer) configured(ev AuditConfigured) {
+func (r *Reducer) applyConfig(ev AuditConfigured) {
 	held := r.Config()
-	if held.Fault = r.refusal(ev); held.Fault == "" && ev.Settings != nil && ev.Config.Digest != held.Config.Digest {
+	if held.Fault = r.configRefusal(ev); held.Fault == "" && ev.Settings != nil && ev.Config.Digest != held.Config.Digest {
 		if err := r.reconfigure(*ev.Settings); err != nil {
 			held.Fault = err.Error()
 		}
 	}
 	if held.Fault == "" {
-		r.audited.Config, r.sharedBy = ev.Config, ev.By
+		r.heldVersions.Config, r.sharedConfigFrom = ev.Config, ev.By
 		if ev.Shared != nil {
-			r.shared = ev.Shared
+			r.sharedConfig = ev.Shared
 		}
 		held = r.Config()
-		r.holds()
+		r.recordHeldVersions()
 		if ev.By != "" {
 			r.emit(Log{Text: fmt.Sprintf("configuration %d taken from %s", ev.Config.No, ev.By)})
 		}
 	}
 	r.emit(held)
 	if r.fleet != nil {
-		r.says.Config = r.audited.Config
-		r.saysOfItself()
-		r.fleetMoved(true)
+		r.ownVersions.Config = r.heldVersions.Config
+		r.updateOwnRecord()
+		r.fleetUpdated(true)
 	}
 }
 
 // Config is the configuration in force.
 func (r *Reducer) Config() ConfigHeld {
-	return ConfigHeld{Config: r.audited.Config, Shared: r.shared, By: r.sharedBy}
+	return ConfigHeld{Config: r.heldVersions.Config, Shared: r.sharedConfig, By: r.sharedConfigFrom}
 }
 
 // refusal tells why a configuration may not be acted on; empty where it may.
-func (r *Reducer) refusal(ev AuditConfigured) string {
-	held := r.audited.Config
+func (r *Reducer) configRefusal(ev AuditConfigured) string {
+	held := r.heldVersions.Config
 	switch {
 	case held.Source != ev.Config.Source:
 		if ev.By != "" {
@@ -121,8 +121,8 @@
 	}
 	under := s
 	under.TellsTaken = true // as BranchTaken
-	if r.acting > 0 {
-		under.Dispatchers = r.acting
+	if r.actingMembers > 0 {
+		under.Dispatchers = r.actingMembers
 	}
 	d, err := choice.Restore(under, host{r}, st)
 	if err != nil {
@@ -132,10 +132,10 @@
 	return nil
 }
 
-// bringUp asks a member that acts on a newer configuration for it: one of those with the highest number that all who hold it hold alike.
-func (r *Reducer) bringUp() {
-	held := r.audited.Config
-	if r.recorder == nil || !r.bringsUp || r.now < r.fetchAt {
+// fetchNewerConfig asks a member that acts on a newer configuration for it: one of those with the highest number that all who hold it hold alike.
+func (r *Reducer) fetchNewerConfig() {
+	held := r.heldVersions.Config
+	if r.recorder == nil || !r.fetchesConfigs || r.now < r.nextConfigFetchAt {
 		return
 	}
 	type candidate struct {
@@ -173,10 +173,10 @@
 	if len(reached) == 0 {
 		return
 	}
-	r.fetches++
-	r.fetchAt = r.now + fetchEvery
+	r.peerRequests++
+	r.nextConfigFetchAt = r.now + configFetchIntervalS
 	// Danger: all stragglers would begin with the same one, so each begins at a place of its own.
-	ask := reached[(r.fetches+r.auditNo)%uint64(len(reached))]
+	ask := reached[(r.peerRequests+r.auditProcess)%uint64(len(reached))]
 	r.emit(FetchConfig{Process: ask.Process, Member: ask.Name, Config: ask.Config})
 }
 
--- a/internal/core/contest_test.go
+++ b/internal/core/conflict_test.go
@@ -61,15 +61,15 @@
 	r := member(t, "a", "b", "c", "d") // version 1
 	r.Step(2, FleetTold{Records: []membership.Record{peerOn(3, membership.Version{No: 5, Digest: 77, Source: "s"}, membership.Version{})}})
 	said := r.Step(3, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 5, Full: true, Workers: states("laaaa")}}) // a drains, e arrives
-	if usable(r) != "bcd" || r.version != 1 || !strings.Contains(logged(said), "two contents") {
-		t.Fatalf("acts on %q as of %d: %s", usable(r), r.version, logged(said))
+	if usable(r) != "bcd" || r.routeSetVersion != 1 || !strings.Contains(logged(said), "two contents") {
+		t.Fatalf("acts on %q as of %d: %s", usable(r), r.routeSetVersion, logged(said))
 	}
 	if got := hintsOf(said); !reflect.DeepEqual(got, []Hint{{"a", 5, "s"}}) {
 		t.Errorf("passed on %v", got)
 	}
 	said = r.Step(3.1, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 6, Workers: states("aal")[2:]}}) // changes upon what is not held
-	if usable(r) != "bd" || r.version != 1 {
-		t.Fatalf("after changes: %q as of %d", usable(r), r.version)
+	if usable(r) != "bd" || r.routeSetVersion != 1 {
+		t.Fatalf("after changes: %q as of %d", usable(r), r.routeSetVersion)
 	}
 	if got := hintsOf(said); !reflect.DeepEqual(got, []Hint{{"c", 6, "s"}}) {
 		t.Errorf("passed on of the changes: %v", got)
@@ -82,16 +82,16 @@
 	if r, err = Import(settings(choice.Idempotent), st); err != nil {
 		t.Fatal(err)
 	}
-	if n := fetched(r.Step(3+contestPause+1, FleetLooked{})); n != 1 || usable(r) != "bd" {
+	if n := fetched(r.Step(3+contestedFetchIntervalS+1, FleetLooked{})); n != 1 || usable(r) != "bd" {
 		t.Errorf("asked %d times for the whole list, %q in use", n, usable(r))
 	}
-	r.Step(3+hintMost+5, FleetLooked{})
+	r.Step(3+hintLifetimeS+5, FleetLooked{})
 	if usable(r) != "bd" {
 		t.Errorf("discovery's own drains end by time: %q", usable(r))
 	}
-	r.Step(3+hintMost+6, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 7, Full: true, Workers: states("lalaa")}})
-	if usable(r) != "bde" || r.version != 7 || r.contested != 0 {
-		t.Errorf("a number that all agree on: %q as of %d", usable(r), r.version)
+	r.Step(3+hintLifetimeS+6, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 7, Full: true, Workers: states("lalaa")}})
+	if usable(r) != "bde" || r.routeSetVersion != 7 || r.contestedVersion != 0 {
+		t.Errorf("a number that all agree on: %q as of %d", usable(r), r.routeSetVersion)
 	}
 }
 
@@ -112,7 +112,7 @@
 		"another source":       {"aaaa", list, "other", 77, "abce"},
 		"the same content": {"aaaa", list, "s", func() (d uint64) {
 			for _, h := range list.Workers {
-				d += workerSum(h)
+				d += workerDigest(h)
 			}
 			return d
 		}(), "abce"},
@@ -124,8 +124,8 @@
 		r := member(t, ids...)
 		r.Step(2, FleetTold{Records: []membership.Record{peerOn(3, membership.Version{No: tc.list.Version, Digest: tc.digest, Source: tc.source}, membership.Version{})}})
 		r.Step(3, RouteSetTold{Source: r.source, RouteSet: tc.list})
-		if usable(r) != tc.want || r.version != tc.list.Version {
-			t.Errorf("%s: %q as of %d, want %q", name, usable(r), r.version, tc.want)
+		if usable(r) != tc.want || r.routeSetVersion != tc.list.Version {
+			t.Errorf("%s: %q as of %d, want %q", name, usable(r), r.routeSetVersion, tc.want)
 		}
 	}
 }
@@ -148,7 +148,7 @@
 		drain := FleetHinted{Hints: []Hint{{"a", 5, "s"}}}
 		r.Step(2, drain)
 		told := 0
-		for at := 2.5; at < 2+hintMost+10; at += 0.5 {
+		for at := 2.5; at < 2+hintLifetimeS+10; at += 0.5 {
 			for _, e := range r.Step(at, FleetLooked{}) {
 				if p, is := e.(FleetPictured); is {
 					told = len(p.Hints)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -155,10 +155,10 @@
 				expect(t, health(1.3), yes)
 				continue
 			}
-			if got := brief(health(1 + mostUninformed - 0.01)); got[len(got)-1] != no {
+			if got := brief(health(1 + maxDiscoveryWaitS - 0.01)); got[len(got)-1] != no {
 				t.Errorf("silent: effects %q", got)
 			}
-			if got := brief(health(1 + mostUninformed)); got[len(got)-1] != yes {
+			if got := brief(health(1 + maxDiscoveryWaitS)); got[len(got)-1] != yes {
 				t.Errorf("silent: effects %q", got)
 			}
 		}
@@ -179,7 +179,7 @@
 	r := start(t, choice.Idempotent, "a")
 	q := &request{call: Call{Exchange: 3, ID: "r"}, deadline: 4}
 	r.requests["r"], r.exchanges[3] = q, q
-	r.after(q.deadline, timer{kind: timerExpire, request: "r", exchange: 3})
+	r.setTimer(q.deadline, timer{kind: timerExpire, request: "r", exchange: 3})
 	expect(t, r.Step(4, Tick{}), fmt.Sprint("answer ", Failed, " "))
 }
 
@@ -214,8 +214,8 @@
 	expect(t, r.Step(2.1, Tick{}), "send a") // held for a moment, not barred
 	expect(t, r.Step(2.2, JobReported{Request: "r", From: "a", State: JobDone}), fmt.Sprint("answer ", Served, " "))
 	r.Step(8, Tick{})
-	if len(r.spent)+len(r.requests) != 0 {
-		t.Errorf("kept: %v %v", r.spent, r.requests)
+	if len(r.endedIDs)+len(r.requests) != 0 {
+		t.Errorf("kept: %v %v", r.endedIDs, r.requests)
 	}
 	expect(t, r.Step(8, call("bad0")), "send a")
 }
@@ -235,7 +235,7 @@
 	r = start(t, choice.AtMostOnce, "a")
 	r.Step(2, call("r"))
 	expect(t, r.Step(2.1, BranchFailed{1, Broken}))
-	expect(t, r.Step(2.1+2*doubtTime, Tick{}), "give up a", failed)
+	expect(t, r.Step(2.1+2*startReportWaitS, Tick{}), "give up a", failed)
 
 	r = start(t, choice.Idempotent, "a", "b")
 	r.Step(2, call("r"))
@@ -292,7 +292,7 @@
 					t.Errorf("pause %v, want the most that callers honour", a.Pause)
 				}
 			}
-			r.settle()
+			r.runDeferred()
 			for id, b := range r.branches {
 				if b.ended {
 					t.Errorf("branch %d ended and is kept", id)
@@ -328,8 +328,8 @@
 	}
 	expect(t, r.Step(4, RouteSetTold{Source: old, RouteSet: RouteSet{Version: 90, Full: true, Workers: workers("b")}}))
 	expect(t, r.Step(4, RouteSetRefused{Source: old}))
-	if timers := len(r.timers); r.version != VersionUnknown || timers != 0 {
-		t.Errorf("version %d and %d timers after the old source's word", r.version, timers)
+	if timers := len(r.timers); r.routeSetVersion != VersionUnknown || timers != 0 {
+		t.Errorf("version %d and %d timers after the old source's word", r.routeSetVersion, timers)
 	}
 	expect(t, r.Step(5, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 1, Full: true, Workers: workers("c")}}), "core.DropWorker")
 	expect(t, r.Step(5, call("r")), "send c")
--- a/internal/core/figures_test.go
+++ b/internal/core/figures_test.go
@@ -43,8 +43,8 @@
 				t.Fatal(err)
 			}
 			r.Step(2.1, RouteSetTold{Source: r.source, RouteSet: tc.set})
-			if r.version != tc.set.Version || len(tc.set.Workers) != 0 && r.workers["b"].ID != "b" || tc.set.Full && r.workers["a"].ID != "" {
-				t.Errorf("told again, it holds version %d and %v", r.version, r.workers)
+			if r.routeSetVersion != tc.set.Version || len(tc.set.Workers) != 0 && r.workers["b"].ID != "b" || tc.set.Full && r.workers["a"].ID != "" {
+				t.Errorf("told again, it holds version %d and %v", r.routeSetVersion, r.workers)
 			}
 		})
 	}
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -59,12 +59,12 @@
 func (FleetNews) effect()     {}
 func (FleetPictured) effect() {}
 
-// fleetOf applies an event of the fleet.
-func (r *Reducer) fleetOf(ev Event) {
+// applyFleetEvent applies an event of the fleet.
+func (r *Reducer) applyFleetEvent(ev Event) {
 	if begun, is := ev.(FleetBegun); is {
-		r.routesName, r.lease = begun.Routes, 0
+		r.routeSourceName, r.leaseS = begun.Routes, 0
 		r.Lease(begun.Lease)
-		r.fleetBegun(begun.Self)
+		r.beginFleet(begun.Self)
 		return
 	}
 	if r.fleet == nil {
@@ -81,35 +81,35 @@
 		r.fleet.Merge(r.now, ev.Records)
 	case FleetLooked:
 		r.fleet.Look(r.now, ev.Sight)
-		r.saysOfItself()
-		r.hintsPass()
-		r.contestPass()
-		r.askHints()
+		r.updateOwnRecord()
+		r.expireHints()
+		r.refetchContested()
+		r.requestHints()
 	case FleetHinted:
-		r.hinted(ev.Hints)
+		r.applyHints(ev.Hints)
 		return
 	case FleetFloored, FleetContacted, FloorOrdered:
-		r.floorsOf(ev)
+		r.applyFloorEvent(ev)
 	case FleetRefused:
 		r.fleet.Refused(r.now, ev.Process)
 	case FleetEntered:
 		r.fleet.Enter(r.now, ev.State)
 	case FleetEnded:
-		r.fleet, r.acting, r.says, r.routesName = nil, 0, membership.Says{}, ""
-		r.lease, r.fenceUntil = 0, 0 // as there is no fleet to be in touch with
+		r.fleet, r.actingMembers, r.ownVersions, r.routeSourceName = nil, 0, membership.Says{}, ""
+		r.leaseS, r.mayActUntil = 0, 0 // as there is no fleet to be in touch with
 		r.emit(Fenced{Until: r.Fence()})
 		clear(r.hints)
-		r.contested = 0
+		r.contestedVersion = 0
 		r.decider.SetDispatchers(r.settings.Dispatchers)
 		return
 	case RemoveOrdered:
 		r.emit(Ordered{Order: ev.Order, Fault: OrderFault(r.fleet.Remove(r.now, ev.Name))})
 	}
 	_, looked := ev.(FleetLooked)
-	r.fleetMoved(looked)
+	r.fleetUpdated(looked)
 }
 
-func (r *Reducer) fleetBegun(self membership.Record) {
+func (r *Reducer) beginFleet(self membership.Record) {
 	if r.fleet == nil {
 		v, err := membership.New(r.now, self)
 		if err != nil {
@@ -120,44 +120,44 @@
 	}
 	if r.recorder != nil { // the member that begins just now has not heard it
 		r.emit(r.Config())
-		self.Config = r.audited.Config
+		self.Config = r.heldVersions.Config
 	}
-	r.says = membership.Says{Generation: self.Generation, Program: self.Program, Config: self.Config, Zone: self.Zone}
-	r.saysOfItself()
-	r.fleetMoved(true)
+	r.ownVersions = membership.Says{Generation: self.Generation, Program: self.Program, Config: self.Config, Zone: self.Zone}
+	r.updateOwnRecord()
+	r.fleetUpdated(true)
 }
 
-// saysOfItself has the view say what this process acts on.
-func (r *Reducer) saysOfItself() {
-	if r.says.Generation == 0 {
+// updateOwnRecord has the view say what this process acts on.
+func (r *Reducer) updateOwnRecord() {
+	if r.ownVersions.Generation == 0 {
 		return // an upgrade's follower has not begun itself
 	}
-	r.says.Routes = r.routes()
-	r.fleet.Say(r.now, r.says, r.draining)
+	r.ownVersions.Routes = r.heldRouteSet()
+	r.fleet.Say(r.now, r.ownVersions, r.draining)
 }
 
-// fleetMoved tells others and the decision module of what has changed. After a look, or anything else that a picture is due for, all is told.
-func (r *Reducer) fleetMoved(looked bool) {
+// fleetUpdated tells others and the decision module of what has changed. After a look, or anything else that a picture is due for, all is told.
+func (r *Reducer) fleetUpdated(looked bool) {
 	// One that has met nobody yet knows no number, and the settings' stands.
-	if n := r.fleet.Acting(); n != r.acting && r.fleet.Self().State != membership.Joining {
-		r.acting = n
+	if n := r.fleet.Acting(); n != r.actingMembers && r.fleet.Self().State != membership.Joining {
+		r.actingMembers = n
 		r.decider.SetDispatchers(n)
 	}
-	r.fence()
-	r.bringUp()
+	r.updateFence()
+	r.fetchNewerConfig()
 	moved := r.fleet.Moved()
-	news, fresh := r.fleet.News(), r.fleet.Fresh()
-	if len(news) > 0 {
-		r.emit(FleetNews{Records: news})
+	records, fresh := r.fleet.News(), r.fleet.Fresh()
+	if len(records) > 0 {
+		r.emit(FleetNews{Records: records})
 	}
 	if !looked && !moved {
 		return // danger: a picture of hundreds for each word that brings nothing new would cost more than all else
 	}
 	p := r.fleet.Picture()
-	r.sayClashes(p.Clashes)
+	r.logClashes(p.Clashes)
 	p.FloorsTold = r.fleet.FloorsTold(r.settings.Dispatchers)
 	if r.fenced() {
-		p.Fenced = r.fenceWhy
+		p.Fenced = r.fenceReason
 	}
 	r.emit(FleetPictured{Picture: p, Fresh: fresh, Hints: r.recentHints()})
 }
@@ -181,17 +181,17 @@
 	if r.fleet == nil {
 		return nil
 	}
-	return &FleetState{View: r.fleet.Export(), Says: r.says, Acting: r.acting, Routes: r.routesName, Hints: r.exportHints(),
-		Lease: r.lease, Until: r.fenceUntil, Contested: r.contested, AskAt: r.askAt, DeafUntil: r.deafUntil}
+	return &FleetState{View: r.fleet.Export(), Says: r.ownVersions, Acting: r.actingMembers, Routes: r.routeSourceName, Hints: r.exportHints(),
+		Lease: r.leaseS, Until: r.mayActUntil, Contested: r.contestedVersion, AskAt: r.nextFullFetchAt, DeafUntil: r.hintsIgnoredUntil}
 }
 
 func (r *Reducer) importFleet(st *FleetState) (err error) {
 	if st == nil {
 		return nil
 	}
-	r.says, r.acting, r.routesName = st.Says, st.Acting, st.Routes
-	r.lease, r.fenceUntil = st.Lease, st.Until
-	r.contested, r.askAt, r.deafUntil = max(0, st.Contested), st.AskAt, st.DeafUntil
+	r.ownVersions, r.actingMembers, r.routeSourceName = st.Says, st.Acting, st.Routes
+	r.leaseS, r.mayActUntil = st.Lease, st.Until
+	r.contestedVersion, r.nextFullFetchAt, r.hintsIgnoredUntil = max(0, st.Contested), st.AskAt, st.DeafUntil
 	for i, x := range st.Hints {
 		if _, listed := r.workers[x.Worker]; !listed || !isTime(x.At) {
 			return fmt.Errorf("hint %d (%q) is of no worker or at no time", i, x.Worker)
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -36,13 +36,13 @@
 	if len(news) != 1 || p.Acting != 1 || p.Members[0].State != membership.Joining || p.Members[0].Routes.No != 1 {
 		t.Fatalf("begun: %+v, news %v", p, news)
 	}
-	if r.acting != 0 {
-		t.Errorf("one that has met nobody counts %d, and the settings' number should stand", r.acting)
+	if r.actingMembers != 0 {
+		t.Errorf("one that has met nobody counts %d, and the settings' number should stand", r.actingMembers)
 	}
 	r.Step(1.1, FleetTold{Records: []membership.Record{other(membership.Serving, membership.Fine)}})
 	p, _ = pictured(r.Step(1.5, FleetLooked{Sight: membership.Sight{Reached: []uint64{2}}}))
-	if p.Acting != 2 || r.acting != 2 || p.Members[0].State != membership.Serving {
-		t.Errorf("met: %+v, the module counts %d", p.Members, r.acting)
+	if p.Acting != 2 || r.actingMembers != 2 || p.Members[0].State != membership.Serving {
+		t.Errorf("met: %+v, the module counts %d", p.Members, r.actingMembers)
 	}
 	r.Step(2, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 7, Workers: workers("b")}})
 	r.Step(2.1, DrainOrdered{})
@@ -59,18 +59,18 @@
 	}
 	mine, _ := r.Fleet()
 	its, kept := twin.Fleet()
-	if !kept || its.Digest != mine.Digest || twin.acting != 2 || !reflect.DeepEqual(twin.exportFleet(), r.exportFleet()) {
+	if !kept || its.Digest != mine.Digest || twin.actingMembers != 2 || !reflect.DeepEqual(twin.exportFleet(), r.exportFleet()) {
 		t.Errorf("passed on as %+v, was %+v", its, mine)
 	}
 	gone := FleetRefused{Process: 2}
 	if a, b := r.Step(3, gone), twin.Step(3, gone); !reflect.DeepEqual(a, b) {
 		t.Errorf("a successor does otherwise: %+v, %+v", b, a)
 	}
-	if r.acting != 1 {
-		t.Errorf("%d may be acting after a refusal", r.acting)
+	if r.actingMembers != 1 {
+		t.Errorf("%d may be acting after a refusal", r.actingMembers)
 	}
 	r.Step(4, FleetEnded{})
-	if _, kept := r.Fleet(); kept || r.acting != 0 {
+	if _, kept := r.Fleet(); kept || r.actingMembers != 0 {
 		t.Error("a view is kept though the fleet has ended")
 	}
 }
--- a/internal/core/floors.go
+++ b/internal/core/floors.go
@@ -42,8 +42,8 @@
 func (FloorsNews) effect() {}
 func (FloorTold) effect()  {}
 
-// floorsOf applies an event of the floors; there is a view.
-func (r *Reducer) floorsOf(ev Event) {
+// applyFloorEvent applies an event of the floors; there is a view.
+func (r *Reducer) applyFloorEvent(ev Event) {
 	switch ev := ev.(type) {
 	case FleetFloored:
 		r.fleet.TakeFloors(r.now, ev.Floors)
@@ -56,23 +56,23 @@
 }
 
 // fence works out until when this dispatcher may act, and tells of floors that have changed.
-func (r *Reducer) fence() {
-	news := r.fleet.FloorNews()
-	if len(news) > 0 {
-		r.emit(FloorsNews{Floors: news})
+func (r *Reducer) updateFence() {
+	floors := r.fleet.FloorNews()
+	if len(floors) > 0 {
+		r.emit(FloorsNews{Floors: floors})
 	}
-	was, until := r.fenced(), r.fenceUntil
-	r.fenceUntil, r.fenceWhy = r.fleet.Fence(r.settings.Dispatchers, r.lease)
-	if r.fenceUntil != until {
+	was, until := r.fenced(), r.mayActUntil
+	r.mayActUntil, r.fenceReason = r.fleet.Fence(r.settings.Dispatchers, r.leaseS)
+	if r.mayActUntil != until {
 		r.emit(Fenced{Until: r.Fence()})
 	}
-	for _, f := range news {
-		if f.Kind == membership.OfRoutes && !f.Withdrawn && f.No > r.version && r.watching {
+	for _, f := range floors {
+		if f.Kind == membership.OfRoutes && !f.Withdrawn && f.No > r.routeSetVersion && r.watching {
 			r.emit(FetchRouteSet{Source: r.source}) // a straggler brings itself up
 		}
 	}
 	if now := r.fenced(); now != was && now {
-		r.emit(Log{Text: "shut out, nothing new is sent: " + r.fenceWhy})
+		r.emit(Log{Text: "shut out, nothing new is sent: " + r.fenceReason})
 	} else if now != was {
 		r.emit(Log{Text: "may act again"})
 	}
@@ -87,18 +87,18 @@
 	switch {
 	case altered.Is("ignores a floor"):
 		return math.Inf(1)
-	case r.fleet == nil && r.lease > 0: // it is to have a lease, and has not begun as a member
+	case r.fleet == nil && r.leaseS > 0: // it is to have a lease, and has not begun as a member
 		return math.Inf(-1)
-	case r.fleet == nil || r.lease == 0 && r.fenceUntil == 0:
+	case r.fleet == nil || r.leaseS == 0 && r.mayActUntil == 0:
 		return math.Inf(1)
 	}
-	return r.fenceUntil
+	return r.mayActUntil
 }
 
 // Lease says, before the first step, for how many seconds this dispatcher may act without touch with its fleet; 0 for any time. Danger: one
 // that can't become a member, since its address is taken, must not act in the meantime as if it had no lease.
 func (r *Reducer) Lease(seconds float64) {
 	if seconds > 0 && !math.IsInf(seconds, 1) {
-		r.lease = seconds
+		r.leaseS = seconds
 	}
 }
--- a/internal/core/hints_test.go
+++ b/internal/core/hints_test.go
@@ -32,7 +32,7 @@
 	if got := hintsOf(r.Step(2, FleetHinted{Hints: []Hint{drain}})); !reflect.DeepEqual(got, []Hint{drain}) {
 		t.Errorf("passed on: %v", got)
 	}
-	for now, want := range map[float64]int{3: 1, 2 + hintMost + 1: 0} { // what one that joins is told
+	for now, want := range map[float64]int{3: 1, 2 + hintLifetimeS + 1: 0} { // what one that joins is told
 		twin := member(t, "a", "b")
 		twin.Step(2, FleetHinted{Hints: []Hint{drain}})
 		for _, e := range twin.Step(now, FleetLooked{}) {
@@ -100,7 +100,7 @@
 	if err != nil || len(twin.hints) != 2 || twin.sourceName() != "s" {
 		t.Errorf("a successor holds %d hints: %v", len(twin.hints), err)
 	}
-	r.Step(2+hintMost+1, FleetLooked{})
+	r.Step(2+hintLifetimeS+1, FleetLooked{})
 	if len(r.hints) != 0 {
 		t.Error("a peer's word counts for ever")
 	}
@@ -145,14 +145,14 @@
 	if r, err = Import(settings(choice.Idempotent), st); err != nil {
 		t.Fatal(err)
 	}
-	if got := hintsOf(r.Step(5, FleetHinted{Hints: []Hint{{"b", 42, "s"}}})); got != nil || usable(r) != "abc" || r.version != 1 {
-		t.Errorf("%q in use as of %d, passed on %v", usable(r), r.version, got)
+	if got := hintsOf(r.Step(5, FleetHinted{Hints: []Hint{{"b", 42, "s"}}})); got != nil || usable(r) != "abc" || r.routeSetVersion != 1 {
+		t.Errorf("%q in use as of %d, passed on %v", usable(r), r.routeSetVersion, got)
 	}
 	r.Step(6, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 2, Workers: states("aal")[2:]}})
 	if usable(r) != "ab" {
 		t.Errorf("its own word: %q", usable(r))
 	}
-	r.Step(4+hintMost+1, FleetHinted{Hints: []Hint{{"b", 3, "s"}}})
+	r.Step(4+hintLifetimeS+1, FleetHinted{Hints: []Hint{{"b", 3, "s"}}})
 	if usable(r) != "a" {
 		t.Errorf("a peer's word later on: %q", usable(r))
 	}
@@ -202,11 +202,11 @@
 		}
 		return ids
 	}
-	if got := told(2 + 10*hintMost); got != "ab" {
+	if got := told(2 + 10*hintLifetimeS); got != "ab" {
 		t.Errorf("told %q", got)
 	}
-	r.Step(3+10*hintMost, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 6, Workers: states("a")}})
-	if got := told(4 + 10*hintMost); got != "b" {
+	r.Step(3+10*hintLifetimeS, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 6, Workers: states("a")}})
+	if got := told(4 + 10*hintLifetimeS); got != "b" {
 		t.Errorf("after a has come back: %q", got)
 	}
 }
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -32,17 +32,17 @@
 	q.open++
 	r.branches[b.id] = b
 	// A worker that drains, is out by hand or has gone gets nothing new, whatever the decider still thinks of it.
-	if q.over || r.fenced() || !known || !r.usable(worker) || !allowed || until <= r.now || b.no >= r.settings.MaxAttempts {
-		r.later = append(r.later, func() { r.endBranch(b, choice.Skipped, nil) })
+	if q.closed || r.fenced() || !known || !r.usable(worker) || !allowed || until <= r.now || b.no >= r.settings.MaxAttempts {
+		r.deferred = append(r.deferred, func() { r.endBranch(b, choice.Skipped, nil) })
 		return
 	}
 	b.addr = worker.Addr
 	r.tally.Branches++
-	r.act(audit.Sent, q, b.worker)
+	r.recordAct(audit.Sent, q, b.worker)
 	r.emit(SendBranch{Branch: b.id, Request: q.call.ID, Worker: b.worker, Addr: b.addr, Until: until, Exchange: q.call.Exchange, Before: before,
-		Once: r.effect(q) != choice.Idempotent, Message: q.call.Message})
+		Once: r.effectOf(q) != choice.Idempotent, Message: q.call.Message})
 	if until < q.deadline {
-		r.after(until, timer{kind: timerBranch, branch: b.id})
+		r.setTimer(until, timer{kind: timerBranch, branch: b.id})
 	}
 }
 
@@ -75,13 +75,13 @@
 	if !h.r.settings.RetryAfter || pause < 0 || math.IsNaN(pause) {
 		pause = 0
 	}
-	h.final(id, Answer{Verdict: Busy, Pause: min(pause, h.r.settings.MaxRetryAfter), Reason: "busy"})
+	h.answer(id, Answer{Verdict: Busy, Pause: min(pause, h.r.settings.MaxRetryAfter), Reason: "busy"})
 }
 
-func (h host) Fail(id string) { h.final(id, Answer{Verdict: Failed, Reason: "failed"}) }
+func (h host) Fail(id string) { h.answer(id, Answer{Verdict: Failed, Reason: "failed"}) }
 
-func (h host) final(id string, a Answer) {
-	if q := h.r.requests[RequestID(id)]; q != nil && !q.over {
+func (h host) answer(id string, a Answer) {
+	if q := h.r.requests[RequestID(id)]; q != nil && !q.closed {
 		h.r.answer(q, a)
 	}
 }
@@ -94,12 +94,12 @@
 	}
 	if b := q.branches[attempt]; !b.givenUp {
 		h.r.tally.Moves++
-		h.r.later = append(h.r.later, h.r.release(b, choice.Cancelled))
+		h.r.deferred = append(h.r.deferred, h.r.giveUpWithCode(b, choice.Cancelled))
 	}
 }
 
 func (h host) Timer(delay float64, token uint64) {
-	h.r.after(h.r.now+max(0, delay), timer{kind: timerDecider, token: token})
+	h.r.setTimer(h.r.now+max(0, delay), timer{kind: timerDecider, token: token})
 }
 
 func (h host) CloseIdle(workerID string) {
@@ -113,7 +113,7 @@
 		return // danger: a watch that runs would be opened anew, and what it was about to tell be lost with its connection
 	}
 	h.r.watching = on
-	h.r.emit(Watch{On: on, Source: h.r.source, Since: h.r.version})
+	h.r.emit(Watch{On: on, Source: h.r.source, Since: h.r.routeSetVersion})
 }
 
 func (h host) ListAll()        { h.r.emit(FetchRouteSet{Source: h.r.source}) }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -10,33 +10,33 @@
 
 // Loop runs a reducer on one goroutine and hands its effects to the outside.
 type Loop struct {
-	reducer *Reducer
-	clock   func() float64
-	perform func(Effect)
-	events  chan Event
-	news    chan Event // discovery's, which must not wait behind the rest
-	done    chan struct{}
-	holds   chan chan struct{} // each closed when the loop may go on
-	backlog []Event            // to be applied before anything that is posted; touched by the loop, or while held
-	watch   func(now float64, ev Event, effects []Effect)
-	publish func(View)
-	viewAt  float64 // when the next view is due
+	reducer      *Reducer
+	clock        func() float64
+	perform      func(Effect)
+	events       chan Event
+	urgent       chan Event // discovery's, which must not wait behind the rest
+	done         chan struct{}
+	holdRequests chan chan struct{} // each closed when the loop may go on
+	backlog      []Event            // to be applied before anything that is posted; touched by the loop, or while held
+	observe      func(now float64, ev Event, effects []Effect)
+	publish      func(View)
+	nextViewAt   float64 // when the next view is due
 }
 
-// viewEvery is the time between two views, in seconds: half the age that operators' figures may have.
-const viewEvery = 0.25
+// viewIntervalS is the time between two views, in seconds: half the age that operators' figures may have.
+const viewIntervalS = 0.25
 
 // NewLoop makes a loop. perform is called from the loop's goroutine and must not block or post.
 func NewLoop(r *Reducer, clock func() float64, perform func(Effect)) *Loop {
 	return &Loop{reducer: r, clock: clock, perform: perform, events: make(chan Event, queueLength),
-		news: make(chan Event, 16), done: make(chan struct{}), holds: make(chan chan struct{})}
+		urgent: make(chan Event, 16), done: make(chan struct{}), holdRequests: make(chan chan struct{})}
 }
 
 // Post hands an event to the reducer; after the loop's end it is dropped.
 func (l *Loop) Post(ev Event) {
 	queue := l.events
-	if isNews(ev) {
-		queue = l.news
+	if isUrgent(ev) {
+		queue = l.urgent
 	}
 	select {
 	case queue <- ev:
@@ -44,8 +44,8 @@
 	}
 }
 
-// isNews tells what must not wait behind the rest.
-func isNews(ev Event) bool {
+// isUrgent tells what must not wait behind the rest.
+func isUrgent(ev Event) bool {
 	switch ev.(type) {
 	case RouteSetTold, RouteSetRefused, Reloaded, BanOrdered, DrainOrdered, RemoveOrdered, FleetHinted, FleetFloored, FleetContacted, FloorOrdered:
 		return true
@@ -53,7 +53,7 @@
 	return false
 }
 
-// Publish has f told of the route set every viewEvery seconds, from the loop's goroutine. The loop must not run yet.
+// Publish has f told of the route set every viewIntervalS seconds, from the loop's goroutine. The loop must not run yet.
 func (l *Loop) Publish(f func(View)) { l.publish = f }
 
 // Run steps the reducer until the context ends.
@@ -68,20 +68,20 @@
 		}
 		now := l.clock()
 		effects := l.reducer.Step(now, ev)
-		if l.watch != nil {
-			l.watch(now, ev, effects)
+		if l.observe != nil {
+			l.observe(now, ev, effects)
 		}
 		for _, e := range effects {
 			l.perform(e)
 		}
 		due, ok := l.reducer.Due()
 		if l.publish != nil {
-			if now >= l.viewAt {
+			if now >= l.nextViewAt {
 				l.publish(l.reducer.View(now))
-				l.viewAt = now + viewEvery
+				l.nextViewAt = now + viewIntervalS
 			}
-			if !ok || due > l.viewAt {
-				due, ok = l.viewAt, true
+			if !ok || due > l.nextViewAt {
+				due, ok = l.nextViewAt, true
 			}
 		}
 		if ok {
@@ -101,32 +101,32 @@
 			return ev, true
 		}
 		select { // a drain that was told comes before whatever else waits
-		case ev := <-l.news:
+		case ev := <-l.urgent:
 			return ev, true
 		default:
 		}
 		select {
 		case <-ctx.Done():
 			return nil, false
-		case ev := <-l.news:
+		case ev := <-l.urgent:
 			return ev, true
 		case ev := <-l.events:
 			return ev, true
 		case <-wake:
 			return Tick{}, true
-		case goOn := <-l.holds:
-			<-goOn
+		case resume := <-l.holdRequests:
+			<-resume
 		}
 	}
 }
 
 // Hold stops the loop between two steps and returns the word that lets it go on. It tells false where the loop has
 // ended. While it is held the caller may use the reducer, Drain and Backlog.
-func (l *Loop) Hold() (goOn func(), ok bool) {
-	word := make(chan struct{})
+func (l *Loop) Hold() (resume func(), ok bool) {
+	held := make(chan struct{})
 	select {
-	case l.holds <- word:
-		return func() { close(word) }, true
+	case l.holdRequests <- held:
+		return func() { close(held) }, true
 	case <-l.done:
 		return nil, false
 	}
@@ -137,9 +137,9 @@
 func (l *Loop) Drain() {
 	for {
 		select {
-		case ev := <-l.news:
+		case ev := <-l.urgent:
 			at := 0
-			for at < len(l.backlog) && isNews(l.backlog[at]) {
+			for at < len(l.backlog) && isUrgent(l.backlog[at]) {
 				at++
 			}
 			l.backlog = append(l.backlog[:at], append([]Event{ev}, l.backlog[at:]...)...)
@@ -163,4 +163,4 @@
 
 // Watch has f told of every step, before its effects are performed. f is called from the loop's goroutine and must
 // not block; nil ends it. The loop must be held, or not run yet.
-func (l *Loop) Watch(f func(now float64, ev Event, effects []Effect)) { l.watch = f }
+func (l *Loop) Watch(f func(now float64, ev Event, effects []Effect)) { l.observe = f }
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -44,9 +44,9 @@
 func (Ordered) effect()     {}
 func (SendAway) effect()    {}
 
-// mostBans bounds the workers out by hand. Danger: workers come and go for as long as the dispatcher runs, and a ban
+// maxBans bounds the workers out by hand. Danger: workers come and go for as long as the dispatcher runs, and a ban
 // outlives its worker's place in the list. It is far more than a list that fits into discovery's answer needs at once.
-const mostBans = 1 << 14
+const maxBans = 1 << 14
 
 // banOrdered puts a ban in force or ends it. Two bans need one return.
 func (r *Reducer) banOrdered(ev BanOrdered) {
@@ -62,19 +62,19 @@
 		if listed {
 			// Danger: whoever takes a worker out restarts it, and discovery may tell of that late or never. Taken for
 			// warm it would be pushed over.
-			r.returned[ev.Worker] = r.now
+			r.restoredAt[ev.Worker] = r.now
 			// Danger: what was measured before would keep one that was slow then from ever being tried again.
-			gone := r.worker(worker)
+			gone := r.deciderWorker(worker)
 			gone.State = choice.Terminated
 			r.decider.List(r.now, choice.ListChanges, []choice.Worker{gone})
-			r.decider.List(r.now, choice.ListChanges, []choice.Worker{r.worker(worker)})
+			r.decider.List(r.now, choice.ListChanges, []choice.Worker{r.deciderWorker(worker)})
 		}
-	case len(r.banned) >= mostBans:
+	case len(r.banned) >= maxBans:
 		fault = TooManyBans
 	default:
 		r.banned[ev.Worker] = true
 		r.emit(DropWorker{Addr: worker.Addr})
-		r.decider.List(r.now, choice.ListChanges, []choice.Worker{r.worker(worker)})
+		r.decider.List(r.now, choice.ListChanges, []choice.Worker{r.deciderWorker(worker)})
 	}
 	r.emit(Ordered{Order: ev.Order, Fault: fault})
 }
@@ -89,20 +89,20 @@
 }
 
 // usable tells whether a worker may be sent anything new.
-func (r *Reducer) usable(h Worker) bool { return h.State == WorkerActive && !r.out(h.ID) }
+func (r *Reducer) usable(h Worker) bool { return h.State == WorkerActive && !r.excluded(h.ID) }
 
 // out tells whether a worker is out of use, whatever discovery says: by hand, or by a peer's newer word.
-func (r *Reducer) out(id WorkerID) bool {
+func (r *Reducer) excluded(id WorkerID) bool {
 	_, hinted := r.hints[id]
 	return hinted || r.banned[id]
 }
 
 // worker is a worker as the decision module is told of it: one that is out by hand is leaving, and one that was
 // put back has just started.
-func (r *Reducer) worker(h Worker) choice.Worker {
+func (r *Reducer) deciderWorker(h Worker) choice.Worker {
 	w := choice.Worker{ID: string(h.ID), Zone: h.Zone, Kind: h.Kind, Cell: h.Cell, State: workerStates[h.State],
-		Share: h.Weight, Started: max(h.Started, r.returned[h.ID])}
-	if w.State == choice.InService && r.out(h.ID) {
+		Share: h.Weight, Started: max(h.Started, r.restoredAt[h.ID])}
+	if w.State == choice.InService && r.excluded(h.ID) {
 		w.State = choice.Terminating
 	}
 	return w
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -87,24 +87,24 @@
 		t.Fatal(err)
 	}
 	h := workers("a")[0]
-	if w := r.worker(h); w.Started != 0 || w.State != choice.InService {
+	if w := r.deciderWorker(h); w.Started != 0 || w.State != choice.InService {
 		t.Errorf("%+v", w)
 	}
 	r.Step(50, BanOrdered{Worker: "a"})
-	if w := r.worker(h); w.State != choice.Terminating {
+	if w := r.deciderWorker(h); w.State != choice.Terminating {
 		t.Errorf("%+v", w)
 	}
 	r.Step(60, BanOrdered{Worker: "a", Lift: true})
-	if w := r.worker(h); w.Started != 60 || w.State != choice.InService {
+	if w := r.deciderWorker(h); w.Started != 60 || w.State != choice.InService {
 		t.Errorf("%+v", w)
 	}
 	h.Started = 70 // restarted since
-	if w := r.worker(h); w.Started != 70 {
+	if w := r.deciderWorker(h); w.Started != 70 {
 		t.Errorf("%+v", w)
 	}
 	r.Step(80, told(true))
 	r.Step(80, told(true)) // an empty list is believed the second time
-	if len(r.returned) != 0 {
+	if len(r.restoredAt) != 0 {
 		t.Error("a return is remembered of a worker that is not listed")
 	}
 }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -12,7 +12,7 @@
 	deadline float64
 	branches []*branch
 	open     int  // branches that have not ended
-	over     bool // the final answer was given, or is no longer owed
+	closed   bool // the final answer was given, or is no longer owed
 }
 
 func (r *Reducer) callArrived(c Call) {
@@ -25,7 +25,7 @@
 	case !known:
 		r.emit(Answer{Exchange: c.Exchange, Verdict: Rejected, Reason: "unknown class"})
 		return
-	case r.requests[c.ID] != nil || r.spent[c.ID]:
+	case r.requests[c.ID] != nil || r.endedIDs[c.ID]:
 		// An id used twice would mix up the two requests' call-backs, and a worker may still know the first.
 		r.emit(Answer{Exchange: c.Exchange, Verdict: Rejected, Reason: "request id in use"})
 		return
@@ -48,7 +48,7 @@
 	q := &request{call: c, deadline: r.now + c.Remaining}
 	r.tally.Calls++
 	r.requests[c.ID], r.exchanges[c.Exchange] = q, q
-	r.after(q.deadline, timer{kind: timerExpire, request: c.ID, exchange: c.Exchange})
+	r.setTimer(q.deadline, timer{kind: timerExpire, request: c.ID, exchange: c.Exchange})
 	r.decider.Request(r.now, choice.Request{ID: string(c.ID), Deadline: q.deadline, Class: class,
 		Tenant: tenant, Key: c.Key, HasKey: c.HasKey, Memory: c.Memory, Slots: c.Slots, Hint: c.Hint,
 		HasHint: c.HasHint, Repeat: c.Repeat})
@@ -57,7 +57,7 @@
 func (r *Reducer) callerLeft(exchange ExchangeID) {
 	if q := r.exchanges[exchange]; q != nil {
 		r.finish(q)
-		r.settle()
+		r.runDeferred()
 		r.decider.Withdrawn(r.now, string(q.call.ID))
 	}
 }
@@ -71,22 +71,22 @@
 			r.endBranch(b, choice.TimedOut, nil)
 		}
 	}
-	r.settle()
-	if !q.over {
+	r.runDeferred()
+	if !q.closed {
 		r.answer(q, Answer{Verdict: Failed, Reason: "out of time"})
 		r.decider.Withdrawn(r.now, string(q.call.ID))
 	}
 }
 
 // effect tells what a repeat of the request would do.
-func (r *Reducer) effect(q *request) choice.Effect {
+func (r *Reducer) effectOf(q *request) choice.Effect {
 	return r.settings.Classes[r.classes[q.call.Class]].Effect
 }
 
 // answer gives the one final answer of a request.
 func (r *Reducer) answer(q *request, a Answer) {
 	a.Exchange = q.call.Exchange
-	r.act(actOf[a.Verdict], q, "")
+	r.recordAct(auditKinds[a.Verdict], q, "")
 	switch {
 	case a.Verdict == Busy && len(q.branches) == 0:
 		r.tally.RefusedAtOnce++
@@ -102,24 +102,24 @@
 // finish marks that nothing more is owed to the caller, and gives up what is still out for it. Danger: an attempt whose connection is
 // still being opened would be sent when that comes up, long after its caller has gone or was answered.
 func (r *Reducer) finish(q *request) {
-	q.over = true
+	q.closed = true
 	q.call.Message = Message{}
 	delete(r.exchanges, q.call.Exchange)
 	for _, b := range q.branches {
 		if !b.ended {
 			r.giveUp(b)
-			r.later = append(r.later, func() { r.endBranch(b, choice.TimedOut, nil) }) // it tells nothing of its worker
+			r.deferred = append(r.deferred, func() { r.endBranch(b, choice.TimedOut, nil) }) // it tells nothing of its worker
 		}
 	}
-	r.forget(q)
+	r.removeIfDone(q)
 }
 
 // forget drops a request that is answered and has no open branch.
-func (r *Reducer) forget(q *request) {
-	if q.over && q.open == 0 {
+func (r *Reducer) removeIfDone(q *request) {
+	if q.closed && q.open == 0 {
 		delete(r.requests, q.call.ID)
 		if r.now < q.deadline {
-			r.spent[q.call.ID] = true
+			r.endedIDs[q.call.ID] = true
 		}
 	}
 }
--- a/internal/core/configuration.go
+++ b/internal/core/routeset.go
@@ -14,7 +14,7 @@
 
 // applyRouteSet takes discovery's news before any later branch is sent.
 func (r *Reducer) applyRouteSet(set RouteSet, form choice.ListForm) {
-	r.version = set.Version
+	r.routeSetVersion = set.Version
 	before := maps.Clone(r.workers)
 	if set.Full {
 		r.workers = make(map[WorkerID]Worker, len(set.Workers))
@@ -23,13 +23,13 @@
 	for _, h := range set.Workers {
 		r.workers[h.ID] = h
 	}
-	back := r.unhint(set.Version) // discovery's own word
+	restored := r.dropAnsweredHints(set.Version) // discovery's own word
 	for _, h := range set.Workers {
-		list = append(list, r.worker(h))
+		list = append(list, r.deciderWorker(h))
 	}
 	if !set.Full {
-		for _, h := range back {
-			list = append(list, r.worker(h))
+		for _, h := range restored {
+			list = append(list, r.deciderWorker(h))
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(before)) {
@@ -44,15 +44,15 @@
 			delete(r.workers, id)
 		}
 	}
-	maps.DeleteFunc(r.returned, func(id WorkerID, _ float64) bool {
+	maps.DeleteFunc(r.restoredAt, func(id WorkerID, _ float64) bool {
 		_, listed := r.workers[id]
 		return !listed
 	})
 	r.decider.List(r.now, form, list)
-	r.acted, r.summed, r.contested = r.version, false, 0
-	r.holds()
+	r.newestHeldVersion, r.digestValid, r.contestedVersion = r.routeSetVersion, false, 0
+	r.recordHeldVersions()
 	if form != choice.ListRemembered {
-		r.drained(before)
+		r.announceDrains(before)
 	}
 }
 
@@ -64,10 +64,10 @@
 		return
 	}
 	r.source = Source{Addr: ev.Discovery, No: r.source.No + 1}
-	r.version, r.acted, r.watching, r.doubted = VersionUnknown, VersionUnknown, true, false
-	r.recent, r.contested = nil, 0
+	r.routeSetVersion, r.newestHeldVersion, r.watching, r.recheckPending = VersionUnknown, VersionUnknown, true, false
+	r.recentDrains, r.contestedVersion = nil, 0
 	clear(r.hints) // of the old source; each worker that is still out is told by the new one
-	r.audited.Begun++
-	r.holds()
-	r.emit(Watch{On: true, Source: r.source, Since: r.version})
+	r.heldVersions.Begun++
+	r.recordHeldVersions()
+	r.emit(Watch{On: true, Source: r.source, Since: r.routeSetVersion})
 }
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -79,11 +79,11 @@
 var ErrState = errors.New("core: state not usable")
 
 const (
-	mostNumber = 1 << 62 // of what counts up
-	mostTime   = 1e12    // seconds
+	maxCounter = 1 << 62 // of what counts up
+	maxTimeS   = 1e12    // seconds
 )
 
-func isTime(t float64) bool { return t >= -mostTime && t <= mostTime }
+func isTime(t float64) bool { return t >= -maxTimeS && t <= maxTimeS }
 
 // Export returns all that the reducer remembers, between two steps. Messages' bodies are shared with the
 // reducer, which never writes to them; everything else is a copy.
@@ -92,16 +92,16 @@
 	if err != nil {
 		return State{}, err
 	}
-	s := State{Now: r.now, Source: r.source, Version: r.version, Watching: r.watching, LastID: r.lastID,
-		TimerSeq: r.timerSeq, Draining: r.draining, Doubted: r.doubted, Fleet: r.exportFleet(), Audit: r.exportAudit(), Decider: decider, Spent: make([]RequestID, 0, len(r.spent)),
+	s := State{Now: r.now, Source: r.source, Version: r.routeSetVersion, Watching: r.watching, LastID: r.lastID,
+		TimerSeq: r.timerSeq, Draining: r.draining, Doubted: r.recheckPending, Fleet: r.exportFleet(), Audit: r.exportAudit(), Decider: decider, Spent: make([]RequestID, 0, len(r.endedIDs)),
 		Timers: make([]TimerState, 0, len(r.timers)), Requests: make([]RequestState, 0, len(r.requests))}
-	for id := range r.spent {
+	for id := range r.endedIDs {
 		s.Spent = append(s.Spent, id)
 	}
 	for id := range r.banned {
 		s.Banned = append(s.Banned, id)
 	}
-	for id, at := range r.returned {
+	for id, at := range r.restoredAt {
 		s.Returned = append(s.Returned, ReturnState{Worker: id, At: at})
 	}
 	for _, h := range r.workers {
@@ -112,10 +112,10 @@
 			Branch: t.branch, Fault: t.fault, Token: t.token})
 	}
 	for _, q := range r.requests {
-		out := RequestState{Call: q.call, Deadline: q.deadline, Over: q.over}
+		out := RequestState{Call: q.call, Deadline: q.deadline, Over: q.closed}
 		for _, b := range q.branches {
 			out.Branches = append(out.Branches, BranchState{ID: b.id, Worker: b.worker, Addr: b.addr, Sent: b.sent, Ended: b.ended,
-				Begun: b.begun, InDoubt: b.inDoubt, Zone: b.zone, Cell: b.cell, Code: b.code,
+				Begun: b.started, InDoubt: b.inDoubt, Zone: b.zone, Cell: b.cell, Code: b.code,
 				GivenUp: b.givenUp, Released: b.released})
 		}
 		s.Requests = append(s.Requests, out)
@@ -142,24 +142,24 @@
 func Import(s choice.Settings, st State) (*Reducer, error) {
 	// Danger: numbers near their ends would wrap, and a timer that sets itself anew would fire without end; times
 	// that are no numbers compare as neither before nor after.
-	if st.TimerSeq > mostNumber || uint64(st.LastID) > mostNumber || st.Decider.Scalars.Token > mostNumber {
-		return nil, fmt.Errorf("%w: a running number is over %d", ErrState, uint64(mostNumber))
+	if st.TimerSeq > maxCounter || uint64(st.LastID) > maxCounter || st.Decider.Scalars.Token > maxCounter {
+		return nil, fmt.Errorf("%w: a running number is over %d", ErrState, uint64(maxCounter))
 	}
 	if !isTime(st.Now) {
 		return nil, fmt.Errorf("%w: now is %v", ErrState, st.Now)
 	}
-	r := empty(st.Now, s)
-	r.source, r.version, r.watching, r.lastID, r.timerSeq = st.Source, st.Version, st.Watching, st.LastID, st.TimerSeq
+	r := newReducer(st.Now, s)
+	r.source, r.routeSetVersion, r.watching, r.lastID, r.timerSeq = st.Source, st.Version, st.Watching, st.LastID, st.TimerSeq
 	for i, h := range st.Workers {
 		if _, twice := r.workers[h.ID]; twice || h.State < WorkerActive || h.State > WorkerLeft {
 			return nil, fmt.Errorf("%w: worker %d (%q) is there twice or in no state", ErrState, i, h.ID)
 		}
 		r.workers[h.ID] = h
 	}
-	if len(st.Banned) > mostBans {
-		return nil, fmt.Errorf("%w: %d workers are out by hand, %d at most", ErrState, len(st.Banned), mostBans)
+	if len(st.Banned) > maxBans {
+		return nil, fmt.Errorf("%w: %d workers are out by hand, %d at most", ErrState, len(st.Banned), maxBans)
 	}
-	r.draining, r.doubted = st.Draining, st.Doubted
+	r.draining, r.recheckPending = st.Draining, st.Doubted
 	for _, id := range st.Banned {
 		r.banned[id] = true
 	}
@@ -167,10 +167,10 @@
 		if _, listed := r.workers[x.Worker]; !listed || !isTime(x.At) {
 			return nil, fmt.Errorf("%w: return %d (%q) is of no worker or at no time", ErrState, i, x.Worker)
 		}
-		r.returned[x.Worker] = x.At
+		r.restoredAt[x.Worker] = x.At
 	}
 	for _, id := range st.Spent {
-		r.spent[id] = true
+		r.endedIDs[id] = true
 	}
 	for i, q := range st.Requests {
 		if err := r.importRequest(q); err != nil {
@@ -194,8 +194,8 @@
 	if err := r.importFleet(st.Fleet); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrState, err)
 	}
-	if r.acting > 0 {
-		s.Dispatchers = r.acting
+	if r.actingMembers > 0 {
+		s.Dispatchers = r.actingMembers
 	}
 	s.TellsTaken = true // as BranchTaken
 	d, err := choice.Restore(s, host{r}, st.Decider)
@@ -210,18 +210,18 @@
 	if _, known := r.classes[q.Call.Class]; !known {
 		return fmt.Errorf("%w: it is of class %q, which the settings do not name", ErrState, q.Call.Class)
 	}
-	if r.requests[q.Call.ID] != nil || r.spent[q.Call.ID] || r.exchanges[q.Call.Exchange] != nil {
+	if r.requests[q.Call.ID] != nil || r.endedIDs[q.Call.ID] || r.exchanges[q.Call.Exchange] != nil {
 		return fmt.Errorf("%w: id %q or exchange %d is there twice", ErrState, q.Call.ID, q.Call.Exchange)
 	}
 	if !isTime(q.Deadline) {
 		return fmt.Errorf("%w: deadline %v", ErrState, q.Deadline)
 	}
-	to := &request{call: q.Call, deadline: q.Deadline, over: q.Over}
+	to := &request{call: q.Call, deadline: q.Deadline, closed: q.Over}
 	for no, b := range q.Branches {
 		if b.ID > r.lastID || r.branches[b.ID] != nil {
 			return fmt.Errorf("%w: branch %d is there twice or not given out yet", ErrState, b.ID)
 		}
-		own := &branch{id: b.ID, no: no, req: to, worker: b.Worker, addr: b.Addr, sent: b.Sent, ended: b.Ended, begun: b.Begun,
+		own := &branch{id: b.ID, no: no, req: to, worker: b.Worker, addr: b.Addr, sent: b.Sent, ended: b.Ended, started: b.Begun,
 			inDoubt: b.InDoubt, zone: b.Zone, cell: b.Cell, code: b.Code, givenUp: b.GivenUp, released: b.Released}
 		to.branches = append(to.branches, own)
 		if !b.Ended {
@@ -229,11 +229,11 @@
 			r.branches[b.ID] = own
 		}
 	}
-	if to.over && to.open == 0 {
+	if to.closed && to.open == 0 {
 		return fmt.Errorf("%w: %q is over and has nothing open", ErrState, q.Call.ID)
 	}
 	r.requests[q.Call.ID] = to
-	if !to.over {
+	if !to.closed {
 		r.exchanges[q.Call.Exchange] = to
 	}
 	return nil
@@ -245,7 +245,7 @@
 	if !r.watching {
 		return nil
 	}
-	return []Effect{Watch{On: true, Source: r.source, Since: r.version}}
+	return []Effect{Watch{On: true, Source: r.source, Since: r.routeSetVersion}}
 }
 
 // StoodStill says that everything was held until now, so that the time is not taken for slowness of the workers.
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -12,10 +12,10 @@
 type timerKind uint8
 
 const (
-	timerExpire  timerKind = iota + 1 // a request's deadline
-	timerBranch                       // a branch's end before that
-	timerDoubt                        // the end of the wait for a start that was in doubt
-	timerDecider                      // the decision module's own
+	timerExpire      timerKind = iota + 1 // a request's deadline
+	timerBranch                           // a branch's end before that
+	timerStartReport                      // the end of the wait for a start that was in doubt
+	timerDecider                          // the decision module's own
 )
 
 // timer says what is to be done when its time has come. It is a record, not a function, so that it can be written
@@ -26,8 +26,8 @@
 	kind     timerKind
 	request  RequestID  // timerExpire
 	exchange ExchangeID // timerExpire: ids may be used again, exchanges are not
-	branch   BranchID   // timerBranch, timerDoubt
-	fault    Fault      // timerDoubt
+	branch   BranchID   // timerBranch, timerStartReport
+	fault    Fault      // timerStartReport
 	token    uint64     // timerDecider
 }
 
@@ -52,7 +52,7 @@
 }
 
 // after sets a timer.
-func (r *Reducer) after(at float64, t timer) {
+func (r *Reducer) setTimer(at float64, t timer) {
 	r.timerSeq++
 	t.at, t.seq = at, r.timerSeq
 	heap.Push(&r.timers, t)
@@ -63,14 +63,14 @@
 func (r *Reducer) fireTimers(last uint64) {
 	for len(r.timers) > 0 && r.timers[0].at <= r.now && r.timers[0].seq <= last {
 		r.fire(heap.Pop(&r.timers).(timer))
-		r.settle()
+		r.runDeferred()
 	}
 }
 
 func (r *Reducer) fire(t timer) {
 	switch t.kind {
 	case timerExpire:
-		delete(r.spent, t.request)
+		delete(r.endedIDs, t.request)
 		if q := r.requests[t.request]; q != nil && q.call.Exchange == t.exchange {
 			r.expire(q)
 		}
@@ -79,7 +79,7 @@
 			r.giveUp(b)
 			r.endBranch(b, choice.TimedOut, nil)
 		}
-	case timerDoubt:
+	case timerStartReport:
 		if b := r.branches[t.branch]; b != nil {
 			r.branchFailed(b, t.fault)
 		}
