--- a/internal/core/configfetch.go
+++ b/internal/core/configfetch.go
@@ -11,8 +11,8 @@
 // A straggler is brought up: it hears from the view that others act on a newer configuration and asks one of them for its shared part.
 // docs/audit-design.md says what passes on, and what does not.
 
-// MostShared bounds the text of a configuration's shared part, in bytes.
-const MostShared = 64 << 10
+// MaxSharedBytes bounds the text of a configuration's shared part, in bytes.
+const MaxSharedBytes = 64 << 10
 
 // configFetchIntervalS is the time between two questions for a configuration, in seconds.
 const configFetchIntervalS = 1.0
@@ -181,7 +181,7 @@
 }
 
 // Shared is the shared part of the configuration in force as text, and its version; false where none is known.
-func (s State) Shared() (text []byte, v membership.Version, known bool) {
+func (s State) SharedConfig() (text []byte, v membership.Version, known bool) {
 	if s.Audit == nil || len(s.Audit.Shared) == 0 {
 		return nil, membership.Version{}, false
 	}
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -63,7 +63,7 @@
 func (r *Reducer) applyFleetEvent(ev Event) {
 	if begun, is := ev.(FleetBegun); is {
 		r.routeSourceName, r.leaseS = begun.Routes, 0
-		r.Lease(begun.Lease)
+		r.SetLease(begun.Lease)
 		r.beginFleet(begun.Self)
 		return
 	}
@@ -97,7 +97,7 @@
 	case FleetEnded:
 		r.fleet, r.actingMembers, r.ownVersions, r.routeSourceName = nil, 0, membership.Says{}, ""
 		r.leaseS, r.mayActUntil = 0, 0 // as there is no fleet to be in touch with
-		r.emit(Fenced{Until: r.Fence()})
+		r.emit(Fenced{Until: r.FencedFrom()})
 		clear(r.hints)
 		r.contestedVersion = 0
 		r.decider.SetDispatchers(r.settings.Dispatchers)
--- a/internal/core/floors.go
+++ b/internal/core/floors.go
@@ -64,7 +64,7 @@
 	was, until := r.fenced(), r.mayActUntil
 	r.mayActUntil, r.fenceReason = r.fleet.Fence(r.settings.Dispatchers, r.leaseS)
 	if r.mayActUntil != until {
-		r.emit(Fenced{Until: r.Fence()})
+		r.emit(Fenced{Until: r.FencedFrom()})
 	}
 	for _, f := range floors {
 		if f.Kind == membership.OfRoutes && !f.Withdrawn && f.No > r.routeSetVersion && r.watching {
@@ -80,10 +80,10 @@
 
 // fenced tells whether nothing new may be sent, at the time of the step. Danger: what a step asks for is written later, after a dial or a stop
 // of the process, so whoever writes asks again.
-func (r *Reducer) fenced() bool { return r.now >= r.Fence() }
+func (r *Reducer) fenced() bool { return r.now >= r.FencedFrom() }
 
 // Fence is the time from which on nothing new may be sent; positive infinity for never.
-func (r *Reducer) Fence() float64 {
+func (r *Reducer) FencedFrom() float64 {
 	switch {
 	case altered.Is("ignores a floor"):
 		return math.Inf(1)
@@ -97,7 +97,7 @@
 
 // Lease says, before the first step, for how many seconds this dispatcher may act without touch with its fleet; 0 for any time. Danger: one
 // that can't become a member, since its address is taken, must not act in the meantime as if it had no lease.
-func (r *Reducer) Lease(seconds float64) {
+func (r *Reducer) SetLease(seconds float64) {
 	if seconds > 0 && !math.IsInf(seconds, 1) {
 		r.leaseS = seconds
 	}
--- a/internal/workerconn/sender.go
+++ b/internal/workerconn/sender.go
@@ -185,7 +185,7 @@
 		s.pool.tried(c, true)
 		return core.NotSent
 	}
-	return core.Cut
+	return core.BrokenBeforeSend
 }
 
 // hear reads the worker's answer to a request that was written. It leaves the connection to the exchange, for what follows the head.
@@ -198,9 +198,9 @@
 		s.log.WithError(err).WithFields(logrus.Fields{"worker": x.branch.Worker, "idle": c.age, "after": time.Since(written)}).Debug("no answer")
 		if c.kept() && !errors.Is(err, os.ErrDeadlineExceeded) && !s.ended(x) {
 			s.pool.tried(c, true)
-			return core.Stale, true
+			return core.StaleConnection, true
 		}
-		return core.Broken, true
+		return core.BrokenAfterSend, true
 	}
 	s.pool.tried(c, false)
 	return verdict(a)
@@ -222,9 +222,9 @@
 	case a.status == fasthttp.StatusAccepted:
 		return 0, false
 	case a.turnedAway && (a.status == fasthttp.StatusServiceUnavailable || a.status == fasthttp.StatusGatewayTimeout):
-		return core.TurnedAway, true
+		return core.WorkerBusy, true
 	case a.status == fasthttp.StatusBadRequest || a.status == fasthttp.StatusNotFound:
-		return core.Unfit, true
+		return core.RequestUnusable, true
 	default:
 		return core.Errored, true
 	}
--- a/internal/workerconn/sender_test.go
+++ b/internal/workerconn/sender_test.go
@@ -182,16 +182,16 @@
 		play func(l *link)
 		want core.Fault
 	}{
-		{"turned away 503", func(l *link) { l.say("503 Busy\r\nX-Turned-Away: 1") }, core.TurnedAway},
-		{"turned away 504", func(l *link) { l.say("504 Busy\r\nX-Turned-Away: 1") }, core.TurnedAway},
+		{"turned away 503", func(l *link) { l.say("503 Busy\r\nX-Turned-Away: 1") }, core.WorkerBusy},
+		{"turned away 504", func(l *link) { l.say("504 Busy\r\nX-Turned-Away: 1") }, core.WorkerBusy},
 		{"503 without the mark may have run", func(l *link) { l.say("503 Busy") }, core.Errored},
 		{"a marked 500 may have run", func(l *link) { l.say("500 Odd\r\nX-Turned-Away: 1") }, core.Errored},
-		{"400 is the request's fault", func(l *link) { l.say("400 Bad Request") }, core.Unfit},
-		{"404 is the request's fault", func(l *link) { l.say("404 Not Found") }, core.Unfit},
+		{"400 is the request's fault", func(l *link) { l.say("400 Bad Request") }, core.RequestUnusable},
+		{"404 is the request's fault", func(l *link) { l.say("404 Not Found") }, core.RequestUnusable},
 		{"200 is no taking", func(l *link) { l.say("200 OK") }, core.Errored},
-		{"ends before the answer", func(l *link) { l.Close() }, core.Broken},
-		{"ends inside the answer", func(l *link) { io.WriteString(l, "HTTP/1.1 202 Acc"); l.Close() }, core.Broken},
-		{"no HTTP", func(l *link) { io.WriteString(l, "what\r\n\r\n"); l.Close() }, core.Broken},
+		{"ends before the answer", func(l *link) { l.Close() }, core.BrokenAfterSend},
+		{"ends inside the answer", func(l *link) { io.WriteString(l, "HTTP/1.1 202 Acc"); l.Close() }, core.BrokenAfterSend},
+		{"no HTTP", func(l *link) { io.WriteString(l, "what\r\n\r\n"); l.Close() }, core.BrokenAfterSend},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := listen(t)
@@ -489,7 +489,7 @@
 	s.Send(branch(2, p.addr()))
 	l.request()
 	l.Close()
-	wantFault(t, events, 2, core.Stale)
+	wantFault(t, events, 2, core.StaleConnection)
 	if s.pool.limit != s.pool.idleFor {
 		t.Errorf("kept for %v after one break", s.pool.limit)
 	}
