--- a/cmd/foldlb/bringup.go
+++ b/cmd/foldlb/bringup.go
@@ -47,7 +47,7 @@
 
 // under tells under which settings a process goes on with what another hands over.
 func (s *setup) under(st core.State) (choice.Settings, error) {
-	if text, v, known := st.SharedConfig(); known {
+	if text, v, known := st.Shared(); known {
 		if err := s.goOn(core.ConfigHeld{Config: v, Shared: text, By: st.Audit.By}); err != nil {
 			return s.cfg.Settings, err
 		}
--- a/cmd/foldlb/fleet.go
+++ b/cmd/foldlb/fleet.go
@@ -66,8 +66,8 @@
 // takePart begins this process's part in the fleet, or ends its predecessor's.
 func (n *node) takePart(ctx context.Context) {
 	if n.member != nil {
-		n.body.Reducer.SetLease(n.member.cfg.Lease.Seconds())
-		n.workers.Fence(n.body.Reducer.FencedFrom())
+		n.body.Reducer.Lease(n.member.cfg.Lease.Seconds())
+		n.workers.Fence(n.body.Reducer.Fence())
 		go n.member.run(ctx)
 	} else if _, was := n.body.Reducer.Fleet(); was {
 		n.loop.Prepend([]core.Event{core.FleetEnded{}})
--- a/cmd/foldlb/operate.go
+++ b/cmd/foldlb/operate.go
@@ -43,7 +43,7 @@
 	}
 	var ln *net.UnixListener
 	if taken != nil && taken.Parcel.Control >= 0 {
-		ln, err = control.InheritedListener(taken.Parcel.Control, taken.Files)
+		ln, err = control.Taken(taken.Parcel.Control, taken.Files)
 	} else {
 		ln, err = control.Listen(s.operator.Control.Socket)
 	}
@@ -69,7 +69,7 @@
 	server := control.NewServer(ln, handlers, n.log)
 	n.giver.Leave = func(pid int) {
 		n.leaveDoor()
-		server.StopAnswering()
+		server.Leave()
 		s.announce(pid)
 	}
 	n.body.Control = server
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -80,7 +80,7 @@
 }
 
 // Taken makes a listener of the one that another process handed over. It removes the socket's file when closed.
-func InheritedListener(place int, files *hold.Received) (*net.UnixListener, error) {
+func Taken(place int, files *hold.Received) (*net.UnixListener, error) {
 	ln, err := files.Listener(place)
 	if err != nil {
 		return nil, fmt.Errorf("control socket: %w", err)
@@ -125,7 +125,7 @@
 
 // Leave says that another process answers from now on: new questions that still come here end without a word, and
 // are asked again.
-func (s *Server) StopAnswering() { s.handedOver.Store(true) }
+func (s *Server) Leave() { s.handedOver.Store(true) }
 
 // Close closes the socket and removes its file.
 func (s *Server) Close() error { return s.ln.Close() }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -116,7 +116,7 @@
 // TestLeft: a server that has left ends questions without a word, so that they are asked again.
 func TestLeft(t *testing.T) {
 	s, path := serve(t)
-	s.StopAnswering()
+	s.Leave()
 	if err := Ask(path, "count", 1, nil); err == nil || !strings.Contains(err.Error(), "without an answer") {
 		t.Errorf("after it has left: %v", err)
 	}
--- a/internal/core/audit.go
+++ b/internal/core/audit.go
@@ -6,28 +6,28 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// AuditBegun begins an account of what is acted on, or says what a successor's program and configuration are.
+// AuditBegun starts the audit of what this process acts on. In a successor it states the program and configuration in use.
 type AuditBegun struct {
 	Process uint64
-	Program membership.Version
-	Config  membership.Version
-	Routes  string         // the name of the source of route sets among members; empty for its address
-	Last    audit.Versions // that the process before acted on last, where its record is known
-	Shared  []byte         `cbor:",omitempty"` // the configuration's shared part, as text
-	By      string         `cbor:",omitempty"` // the member that told it; empty for the own file
-	BringUp bool           `cbor:",omitempty"` // newer configurations are asked for at members that act on them
+	Program membership.Version // that is running
+	Config  membership.Version // in force
+	Routes  string             // name of the source of route sets within the fleet; empty for its address
+	Last    audit.Versions     // last acted on by the previous process, if its record is known
+	Shared  []byte             `cbor:",omitempty"` // the configuration's shared part as text
+	By      string             `cbor:",omitempty"` // the member the configuration came from; empty for the local file
+	BringUp bool               `cbor:",omitempty"` // request newer configurations from members that have them in force
 }
 
-// AuditLooked says that a second has passed: spans that have lasted long enough end.
+// AuditLooked comes every second and closes spans that have lasted long enough.
 type AuditLooked struct{}
 
-// AuditAsked asks for what is remembered of a request, which comes as AuditTold.
+// AuditAsked requests the recorded acts of a request; the answer is AuditTold.
 type AuditAsked struct {
 	Order   OrderID
 	Request RequestID
 }
 
-// AuditEnded ends the account: the last span, and the sums.
+// AuditEnded ends the audit: the last span and the sums are emitted.
 type AuditEnded struct{}
 
 func (AuditBegun) event()  {}
@@ -35,21 +35,21 @@
 func (AuditAsked) event()  {}
 func (AuditEnded) event()  {}
 
-// AuditSpans are spans that have ended.
+// AuditSpans carries the spans that have ended.
 type AuditSpans struct{ Spans []audit.Span }
 
-// AuditHeld says which versions are held from now on. It comes before what is done on them. Danger: a span is told as it ends, and a
-// process that is killed would leave no word of what it acted on last.
+// AuditHeld reports the versions in use from now on. It precedes all effects that are based on them: spans are recorded
+// only when they end, so without it a process that is killed would leave no record of the versions it acted on last.
 type AuditHeld struct{ Versions audit.Versions }
 
-// AuditTold is what is remembered of a request, and the span that is under way.
+// AuditTold carries the recorded acts of a request and the current span.
 type AuditTold struct {
 	Order OrderID
 	Acts  []audit.Act
 	Now   audit.Span
 }
 
-// AuditSummed is the account's end.
+// AuditSummed closes the audit with the number of acts of each kind and the number of spans.
 type AuditSummed struct {
 	Sums  [audit.Kinds]uint64
 	Spans uint64
@@ -60,10 +60,10 @@
 func (AuditTold) effect()   {}
 func (AuditSummed) effect() {}
 
-// applyAuditEvent applies an event of the audit.
+// applyAuditEvent applies an event of the audit. Without a recorder all but AuditBegun are ignored.
 func (r *Reducer) applyAuditEvent(ev Event) {
-	if begun, is := ev.(AuditBegun); is {
-		r.beginAudit(begun)
+	if started, is := ev.(AuditBegun); is {
+		r.beginAudit(started)
 	}
 	if r.recorder == nil {
 		return
@@ -88,7 +88,7 @@
 
 func (r *Reducer) beginAudit(ev AuditBegun) {
 	r.heldVersions.Program, r.routeSourceName, r.fetchesConfigs = ev.Program, ev.Routes, ev.BringUp
-	// Danger: what its predecessor took up in its last moments may be newer than what a successor read.
+	// The predecessor may have adopted a newer configuration just before the handover than the one this process read.
 	if held := r.heldVersions.Config; r.recorder == nil || held.Source != ev.Config.Source || held.No <= ev.Config.No {
 		r.heldVersions.Config, r.sharedConfig, r.sharedConfigFrom = ev.Config, ev.Shared, ev.By
 	}
@@ -100,7 +100,7 @@
 	r.auditProcess = ev.Process
 	r.heldVersions.Begun = ev.Last.Begun
 	if last := ev.Last.Routes; last.Source == r.sourceName() {
-		r.newestHeldVersion = max(r.newestHeldVersion, last.No) // danger: what was acted on before a restart must not be gone behind after it
+		r.newestHeldVersion = max(r.newestHeldVersion, last.No) // after a restart the process must not go back behind a version that it acted on before
 	} else if last.Source != "" {
 		r.heldVersions.Begun++
 	}
@@ -109,28 +109,28 @@
 	r.emitHeldVersions()
 }
 
-// routes is the version of the route set that is held.
+// heldRouteSet returns the version of the route set in use.
 func (r *Reducer) heldRouteSet() membership.Version {
 	return membership.Version{No: r.routeSetVersion, Digest: r.currentDigest(), Source: r.sourceName()}
 }
 
-// holds says to the account which versions are held from now on.
+// recordHeldVersions tells the recorder which versions are in use from now on.
 func (r *Reducer) recordHeldVersions() {
 	if r.recorder == nil {
 		return
 	}
-	was, told := r.heldVersions.Routes, r.heldRouteSet()
-	r.heldVersions.Routes = told
+	previous, current := r.heldVersions.Routes, r.heldRouteSet()
+	r.heldVersions.Routes = current
 	held := r.heldVersions
-	if altered.Is("records the version before") && was != told {
-		held.Routes = was
+	if altered.Is("records the version before") && previous != current {
+		held.Routes = previous
 	}
 	if r.recorder.Hold(r.now, held) {
 		r.emitHeldVersions()
 	}
 }
 
-// emitHeldVersions tells which spans have ended, and what is held.
+// emitHeldVersions emits the spans that have ended and the versions in use.
 func (r *Reducer) emitHeldVersions() {
 	if done := r.recorder.Take(); len(done) > 0 {
 		r.emit(AuditSpans{Spans: done})
@@ -138,22 +138,22 @@
 	r.emit(AuditHeld{Versions: r.recorder.Now().Versions})
 }
 
-// act counts an act, on the versions held now.
+// recordAct counts an act under the versions in use.
 func (r *Reducer) recordAct(kind audit.Kind, q *request, worker WorkerID) {
 	if r.recorder != nil {
 		r.recorder.Act(r.now, kind, string(q.call.ID), string(worker))
 	}
 }
 
-// AuditState is the account's part of a reducer's state.
+// AuditState is the audit's part of a reducer's state.
 type AuditState struct {
 	Process  uint64
-	Recorder audit.State `cbor:"Book"`
-	Held     audit.Versions
-	Acted    int64
-	Shared   []byte `cbor:",omitempty"` // the configuration's shared part, as text
-	By       string `cbor:",omitempty"` // the member that told it
-	BringUp  bool   `cbor:",omitempty"`
+	Recorder audit.State    `cbor:"Book"`
+	Held     audit.Versions // versions in use
+	Acted    int64          // newest version of the route set that was in use
+	Shared   []byte         `cbor:",omitempty"` // the configuration's shared part as text
+	By       string         `cbor:",omitempty"` // the member the configuration came from; empty for the local file
+	BringUp  bool           `cbor:",omitempty"`
 }
 
 func (r *Reducer) exportAudit() *AuditState {
@@ -172,7 +172,7 @@
 	}
 }
 
-// Audited is what was acted on last, by which process; false where there is no account.
-func (r *Reducer) HeldVersions() (v audit.Versions, process uint64, kept bool) {
+// HeldVersions returns the versions last acted on and the process's number; false without an audit.
+func (r *Reducer) HeldVersions() (v audit.Versions, process uint64, audited bool) {
 	return r.heldVersions, r.auditProcess, r.recorder != nil
 }
--- a/internal/core/branches.go
+++ b/internal/core/branches.go
@@ -5,63 +5,64 @@
 	"foldlb.example/foldlb/internal/audit"
 )
 
-// Branches: attempts of a request, from the send to their end.
+// Branches are the attempts of a request, from the send to their outcome.
 
 // branch is one attempt of a request.
-type branch struct {
+type branch struct { // index among the request's branches
 	id      BranchID
 	no      int
-	req     *request
+	req     *request // when it was opened
 	worker  WorkerID
 	addr    string
 	sent    float64
-	zone    string // of the worker, as it was told then
-	cell    int
-	started bool // its start has been passed on
+	zone    string // of the worker when the branch was opened
+	cell    int    // of the worker when the branch was opened
+	started bool   // the worker reported that the job started
 
-	// An attempt is open, given up (its worker is being told, and code is what it will end as), or ended. released says that nothing of it
-	// runs, or may yet, as far as its worker or this machine can know.
+	// A branch is open, given up (its worker is being told, and code is the outcome it will have) or ended. released is set
+	// when, as far as its worker or this machine can know, nothing of the branch runs or will run.
 	givenUp  bool
 	ended    bool
 	code     choice.Code
 	released bool
 
-	inDoubt bool // its connection broke, and a report of its start is still waited for
+	inDoubt bool // the connection broke, and a report of the job's start is awaited
 }
 
 var faultCodes = map[Fault]choice.Code{NoConnect: choice.NoConnect, BrokenBeforeSend: choice.BrokenBeforeSend, WorkerBusy: choice.Busy,
 	BrokenAfterSend: choice.Reset, StaleConnection: choice.StaleConnection, Errored: choice.Errored, RequestUnusable: choice.Skipped, NotSent: choice.Skipped}
 
-// branchFailed ends a branch whose job was not taken. Danger: a worker that turns away what it can't use is
-// well; taken for an error of its own, a few bad requests would bar it from all others.
-func (r *Reducer) branchFailed(b *branch, fault Fault) {
+// branchFailed handles a branch whose worker did not accept the job. A worker that rejects an invalid request is
+// healthy: if that counted as its error, a few bad requests would bar it for all other requests.
+func (r *Reducer) branchFailed(b *branch, f Fault) {
 	switch {
-	case fault == RequestUnusable:
-		r.endBranch(b, faultCodes[fault], &Answer{Verdict: Rejected, Reason: "no worker can use the request"})
+	case f == RequestUnusable:
+		r.endBranch(b, faultCodes[f], &Answer{Verdict: Rejected, Reason: "no worker can use the request"})
 		return
-	case fault == BrokenAfterSend && b.started:
-		return // the job runs: its end will be reported, or it ends at the deadline
-	case fault == BrokenAfterSend && r.effectOf(b.req) == choice.AtMostOnce && !b.inDoubt:
-		// Danger: a job that was taken before the break runs, and may never be sent again. Its start, if there
-		// is one, is reported at once.
+	case f == BrokenAfterSend && b.started:
+		return // the job is running: its end will be reported, or the branch times out
+	case f == BrokenAfterSend && r.effectOf(b.req) == choice.AtMostOnce && !b.inDoubt:
+		// A job that was accepted before the connection broke is running and must not be sent again. A worker reports
+		// the start of a job at once, so a short wait settles whether it started.
 		b.inDoubt = true
-		r.setTimer(r.now+startReportWaitS, timer{kind: timerStartReport, branch: b.id, fault: fault})
+		r.setTimer(r.now+startReportWaitS, timer{kind: timerStartReport, branch: b.id, fault: f})
 		return
-	case b.started && faultCodes[fault].NeverRan():
-		fault = Errored // danger: the worker has told that it began, so what says that it never ran is another one's word, or a mistake
-	case b.givenUp && (fault == BrokenAfterSend || fault == StaleConnection):
-		return // this machine closed the connection, and the worker is being told
-	case fault == BrokenAfterSend || fault == StaleConnection:
-		// Danger: the worker may have taken the job and said so just as the connection broke.
-		r.giveUpWithCode(b, faultCodes[fault])()
+	case b.started && faultCodes[f].NeverRan():
+		f = Errored // the job has started, so a fault that says it never ran belongs to another branch or is wrong
+	case b.givenUp && (f == BrokenAfterSend || f == StaleConnection):
+		return // this machine closed the connection itself; the worker is being told
+	case f == BrokenAfterSend || f == StaleConnection:
+		// The worker may have accepted the job, and its answer may have been lost with the connection.
+		r.giveUpWithCode(b, faultCodes[f])()
 		return
 	}
-	b.released = fault == Errored && !b.started // where it has begun, whoever says that it ended may mean another one
-	r.endBranch(b, faultCodes[fault], nil)
+	b.released = f == Errored && !b.started // for a job that has started, the error may refer to another branch
+	r.endBranch(b, faultCodes[f], nil)
 }
 
-// release gives a branch up, and returns what ends it. Where copies are not allowed and its class may be repeated, that is to wait for the word
-// of its worker: until then it counts as out. Danger: a repeat elsewhere would be a second copy.
+// giveUpWithCode gives a branch up and returns the function that ends it. Where second copies are not allowed and the
+// class permits repeats, that function does nothing: the branch counts as open until BranchReleased, because an earlier
+// repeat elsewhere could run as a second copy.
 func (r *Reducer) giveUpWithCode(b *branch, code choice.Code) (end func()) {
 	r.giveUp(b)
 	if b.code = code; !r.settings.SecondCopies && r.effectOf(b.req) != choice.AtMostOnce && !b.req.closed {
@@ -70,7 +71,7 @@
 	return func() { r.endBranch(b, code, nil) }
 }
 
-// released enters that the giving up of a branch is over, and ends the branch where that was waited for.
+// branchReleased records that giving up a branch has finished, and ends the branch if it was kept open for that.
 func (r *Reducer) branchReleased(ev BranchReleased) {
 	q := r.requests[ev.Request]
 	if q == nil {
@@ -84,7 +85,8 @@
 	}
 }
 
-// endBranch passes the one outcome of a branch on. Where that decides the request it brings the final answer; the first one counts.
+// endBranch delivers a branch's outcome to the decision module, once. If the outcome decides the request, final is its
+// answer; only the first final answer counts.
 func (r *Reducer) endBranch(b *branch, code choice.Code, final *Answer) {
 	if b.ended {
 		return
@@ -102,10 +104,10 @@
 		Code: code, Latency: r.now - b.sent, Final: q.closed})
 }
 
-// actOf is how the account counts an answer.
+// auditKinds maps an answer's verdict to the kind of act that the audit counts.
 var auditKinds = map[Verdict]audit.Kind{Served: audit.Answered, Busy: audit.Refused, Failed: audit.Failed, Rejected: audit.Failed, UnknownRequest: audit.Failed}
 
-// giveUp has a branch's worker told that nobody waits for it any more, once.
+// giveUp tells a branch's worker, once, that nobody waits for the branch any more.
 func (r *Reducer) giveUp(b *branch) {
 	if b.givenUp {
 		return
@@ -115,8 +117,8 @@
 	r.emit(GiveUpBranch{Branch: b.id, Request: b.req.call.ID, Worker: b.worker, Addr: b.addr})
 }
 
-// jobReported applies a call-back. Calls are repeated until answered and may come late, so whatever names
-// no open branch changes nothing. A request may have branches at several workers: the sender tells which.
+// jobReported applies a callback. Callbacks are repeated until answered and may arrive late, so one that matches no open
+// branch changes nothing. A request may have branches at several workers; the sender identifies the branch.
 func (r *Reducer) jobReported(ev JobReported) {
 	q := r.requests[ev.Request]
 	if q == nil {
@@ -154,7 +156,7 @@
 	case JobReturned:
 		code := choice.Returned
 		if b.started {
-			code = choice.Errored // danger: what has begun was not handed back unstarted, whoever says so
+			code = choice.Errored // a job that has started can't have been returned unstarted
 		}
 		r.endBranch(b, code, nil)
 	case JobLost:
@@ -163,9 +165,9 @@
 	}
 }
 
-// serveLateResult serves a request with the result of a branch that was taken for lost, and ends the others.
-func (r *Reducer) serveLateResult(q *request, result []byte) {
-	r.answer(q, Answer{Verdict: Served, Body: result})
+// serveLateResult answers a request with the result of a branch that was believed lost, and ends the other branches.
+func (r *Reducer) serveLateResult(req *request, result []byte) {
+	r.answer(req, Answer{Verdict: Served, Body: result})
 	r.runDeferred()
-	r.decider.Withdrawn(r.now, string(q.call.ID))
+	r.decider.Withdrawn(r.now, string(req.call.ID))
 }
--- a/internal/core/configfetch.go
+++ b/internal/core/configfetch.go
@@ -8,33 +8,33 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// A straggler is brought up: it hears from the view that others act on a newer configuration and asks one of them for its shared part.
-// docs/audit-design.md says what passes on, and what does not.
+// A member with an outdated configuration sees in the fleet view that others have a newer one in force, and requests its
+// shared part from one of them. docs/audit-design.md lists what is passed on and what is not.
 
-// MaxSharedBytes bounds the text of a configuration's shared part, in bytes.
+// MaxSharedBytes bounds the length of a configuration's shared part as text.
 const MaxSharedBytes = 64 << 10
 
-// configFetchIntervalS is the time between two questions for a configuration, in seconds.
+// configFetchIntervalS is the time between two requests for a configuration.
 const configFetchIntervalS = 1.0
 
-// AuditConfigured says that another configuration is to be in force, of this dispatcher's own file or of a peer's. It is answered by
+// AuditConfigured asks for another configuration to be put in force, from the local file or from a peer. The answer is
 // ConfigHeld.
 type AuditConfigured struct {
 	Config   membership.Version
-	Settings *choice.Settings `cbor:",omitempty"` // nil where they have not changed
-	Shared   []byte           `cbor:",omitempty"` // the settings' shared part, as text
-	By       string           `cbor:",omitempty"` // the member that told it; empty for the own file
+	Settings *choice.Settings `cbor:",omitempty"` // nil if unchanged
+	Shared   []byte           `cbor:",omitempty"` // the shared part as text
+	By       string           `cbor:",omitempty"` // the member it came from; empty for the local file
 }
 
-// ConfigHeld says which configuration is in force, after AuditConfigured or a start.
+// ConfigHeld reports the configuration in force, after AuditConfigured or a start.
 type ConfigHeld struct {
 	Config membership.Version
 	Shared []byte
-	By     string // the member that told it; empty for the own file
-	Fault  string // why another one that was told is not in force; empty where it is
+	By     string // the member it came from; empty for the local file
+	Fault  string // why the requested configuration was refused; empty if it is in force
 }
 
-// FetchConfig asks a member for the configuration that it acts on.
+// FetchConfig requests from a member the configuration that it has in force.
 type FetchConfig struct {
 	Process uint64
 	Member  string
@@ -45,26 +45,26 @@
 func (ConfigHeld) effect()     {}
 func (FetchConfig) effect()    {}
 
-// configured puts another configuration in force, whole or not at all.
+// applyConfig puts another configuration in force, completely or not at all.
 func (r *Reducer) applyConfig(ev AuditConfigured) {
-	held := r.Config()
-	if held.Fault = r.configRefusal(ev); held.Fault == "" && ev.Settings != nil && ev.Config.Digest != held.Config.Digest {
+	current := r.Config()
+	if current.Fault = r.configRefusal(ev); current.Fault == "" && ev.Settings != nil && ev.Config.Digest != current.Config.Digest {
 		if err := r.reconfigure(*ev.Settings); err != nil {
-			held.Fault = err.Error()
+			current.Fault = err.Error()
 		}
 	}
-	if held.Fault == "" {
+	if current.Fault == "" {
 		r.heldVersions.Config, r.sharedConfigFrom = ev.Config, ev.By
 		if ev.Shared != nil {
 			r.sharedConfig = ev.Shared
 		}
-		held = r.Config()
+		current = r.Config()
 		r.recordHeldVersions()
 		if ev.By != "" {
 			r.emit(Log{Text: fmt.Sprintf("configuration %d taken from %s", ev.Config.No, ev.By)})
 		}
 	}
-	r.emit(held)
+	r.emit(current)
 	if r.fleet != nil {
 		r.ownVersions.Config = r.heldVersions.Config
 		r.updateOwnRecord()
@@ -72,36 +72,36 @@
 	}
 }
 
-// Config is the configuration in force.
+// Config returns the configuration in force.
 func (r *Reducer) Config() ConfigHeld {
 	return ConfigHeld{Config: r.heldVersions.Config, Shared: r.sharedConfig, By: r.sharedConfigFrom}
 }
 
-// refusal tells why a configuration may not be acted on; empty where it may.
+// configRefusal returns the reason why a configuration must not be put in force; empty if it may be.
 func (r *Reducer) configRefusal(ev AuditConfigured) string {
-	held := r.heldVersions.Config
+	current := r.heldVersions.Config
 	switch {
-	case held.Source != ev.Config.Source:
+	case current.Source != ev.Config.Source:
 		if ev.By != "" {
-			return fmt.Sprintf("%q, not %q, is the source of configurations here", held.Source, ev.Config.Source)
+			return fmt.Sprintf("%q, not %q, is the source of configurations here", current.Source, ev.Config.Source)
 		}
-	case ev.Config.No < held.No && !altered.Is("takes an older configuration"):
-		return fmt.Sprintf("configuration %d is older than %d, which is in force", ev.Config.No, held.No)
-	case ev.Config.No == held.No && ev.Config.Digest != held.Digest && held.No > 0:
-		return fmt.Sprintf("configuration %d is in force with other contents; state a higher number", held.No)
-	case ev.Config.No == held.No:
+	case ev.Config.No < current.No && !altered.Is("takes an older configuration"):
+		return fmt.Sprintf("configuration %d is older than %d, which is in force", ev.Config.No, current.No)
+	case ev.Config.No == current.No && ev.Config.Digest != current.Digest && current.No > 0:
+		return fmt.Sprintf("configuration %d is in force with other contents; state a higher number", current.No)
+	case ev.Config.No == current.No:
 		return ""
 	}
 	if r.fleet != nil {
-		if other, twofold := r.fleet.Other(membership.OfConfig, ev.Config); twofold {
+		if other, conflict := r.fleet.Other(membership.OfConfig, ev.Config); conflict {
 			return fmt.Sprintf("configuration %d has two contents: one was told here, another is at %s", ev.Config.No, other)
 		}
 	}
 	return ""
 }
 
-// reconfigure has the decision module go on under other settings, with all that it remembers, as after a hand-over. Danger: a class that is
-// gone while requests of it are open would leave them without an end, so such settings are refused until none is.
+// reconfigure gives the decision module new settings and keeps its state, as in a handover. Settings that lack the class of
+// an open request are refused, because that request would never be ended.
 func (r *Reducer) reconfigure(s choice.Settings) error {
 	classes, tenants := map[string]int{}, map[string]int{}
 	for i, c := range s.Classes {
@@ -119,12 +119,12 @@
 	if err != nil {
 		return err
 	}
-	under := s
-	under.TellsTaken = true // as BranchTaken
+	moduleSettings := s
+	moduleSettings.TellsTaken = true // the connections to workers report it, as BranchTaken
 	if r.actingMembers > 0 {
-		under.Dispatchers = r.actingMembers
+		moduleSettings.Dispatchers = r.actingMembers
 	}
-	d, err := choice.Restore(under, host{r}, st)
+	d, err := choice.Restore(moduleSettings, host{r}, st)
 	if err != nil {
 		return err
 	}
@@ -132,7 +132,8 @@
 	return nil
 }
 
-// fetchNewerConfig asks a member that acts on a newer configuration for it: one of those with the highest number that all who hold it hold alike.
+// fetchNewerConfig requests a newer configuration from a live member that has it in force. It selects the highest version
+// for which all members that hold it report the same contents.
 func (r *Reducer) fetchNewerConfig() {
 	held := r.heldVersions.Config
 	if r.recorder == nil || !r.fetchesConfigs || r.now < r.nextConfigFetchAt {
@@ -175,13 +176,13 @@
 	}
 	r.peerRequests++
 	r.nextConfigFetchAt = r.now + configFetchIntervalS
-	// Danger: all stragglers would begin with the same one, so each begins at a place of its own.
+	// Starting at a different member for each process keeps all outdated members from asking the same one.
 	ask := reached[(r.peerRequests+r.auditProcess)%uint64(len(reached))]
 	r.emit(FetchConfig{Process: ask.Process, Member: ask.Name, Config: ask.Config})
 }
 
-// Shared is the shared part of the configuration in force as text, and its version; false where none is known.
-func (s State) SharedConfig() (text []byte, v membership.Version, known bool) {
+// Shared returns the shared part of the configuration in force as text, with its version; false if it is unknown.
+func (s State) Shared() (text []byte, v membership.Version, known bool) {
 	if s.Audit == nil || len(s.Audit.Shared) == 0 {
 		return nil, membership.Version{}, false
 	}
--- a/internal/core/configfetch_test.go
+++ b/internal/core/configfetch_test.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if text, v, known := st.SharedConfig(); !known || string(text) != "5" || v != config(5, 5) || !strings.Contains(st.Audit.By, "m0") {
+	if text, v, known := st.Shared(); !known || string(text) != "5" || v != config(5, 5) || !strings.Contains(st.Audit.By, "m0") {
 		t.Errorf("passed on: %q %v %v", text, v, known)
 	}
 }
--- a/internal/core/conflict.go
+++ b/internal/core/conflict.go
@@ -9,25 +9,25 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// One number with two contents. A discovery that was split, or two that go by one name, tell two lists under one number. Whoever acts on one
-// of them goes on. Whoever does not yet, does not begin to: of such a list only what it takes out counts, since a drain that was told must be
-// kept to, until a number comes that all agree on.
+// Two route sets with the same version and different contents can exist if discovery was partitioned, or if two instances
+// use the same name. A dispatcher that already acts on one of them continues. Others do not adopt it: they apply only
+// the removals it contains, since a drain must be honoured, until a version arrives on which all members agree.
 
 const (
-	contestedFetchIntervalS = 2.0 // seconds between two questions for a whole list in place of one that is contested
-	maxLoggedClashes        = 64  // numbers with two contents that are remembered as said
+	contestedFetchIntervalS = 2.0 // between two requests for the full list while one is contested
+	maxLoggedClashes        = 64  // bounds the conflicts that are remembered as logged
 )
 
-// workerDigest is a worker's part of the route set's digest.
-func workerDigest(h Worker) uint64 {
+// workerDigest returns a worker's summand of the route set's digest.
+func workerDigest(worker Worker) uint64 {
 	f := fnv.New64a()
-	f.Write([]byte(h.ID))
-	f.Write([]byte{byte(h.State)})
+	f.Write([]byte(worker.ID))
+	f.Write([]byte{byte(worker.State)})
 	return f.Sum64()
 }
 
-// currentDigest sums the route set up: the same list has the same digest at every dispatcher, whatever addresses it was told. It is worked out once
-// for each list, and only where somebody asks.
+// currentDigest returns the digest of the route set, which is the same at every dispatcher with the same list, whatever
+// addresses the list was sent with. It is computed on demand and cached until the next list.
 func (r *Reducer) currentDigest() uint64 {
 	if !r.digestValid {
 		r.digestValid, r.routeSetDigest = true, 0
@@ -38,25 +38,25 @@
 	return r.routeSetDigest
 }
 
-// digestAfter is the digest that the route set would have with a source's news in it.
-func (r *Reducer) digestAfter(set RouteSet) (d uint64) {
+// digestAfter returns the digest that the route set would have after an update from its source.
+func (r *Reducer) digestAfter(set RouteSet) (digest uint64) {
 	if !set.Full {
-		d = r.currentDigest()
+		digest = r.currentDigest()
 	}
-	for _, h := range set.Workers {
-		if old, listed := r.workers[h.ID]; listed && !set.Full {
-			d -= workerDigest(old)
+	for _, worker := range set.Workers {
+		if old, listed := r.workers[worker.ID]; listed && !set.Full {
+			digest -= workerDigest(old)
 		}
-		if h.State != WorkerLeft {
-			d += workerDigest(h)
+		if worker.State != WorkerLeft {
+			digest += workerDigest(worker)
 		}
 	}
-	return d
+	return digest
 }
 
-// contest names a member that holds a list's number with another content; false where the list may be acted on. Where a list before it was
-// contested, changes say nothing of what that one brought in.
-func (r *Reducer) conflictingHolder(set RouteSet) (other membership.Key, is bool) {
+// conflictingHolder returns a member that holds different contents under the update's version, or false if the update may be
+// applied. After a contested list, changes conflict too, because they do not repeat what that list added.
+func (r *Reducer) conflictingHolder(set RouteSet) (other membership.Key, found bool) {
 	if r.fleet == nil || set.Version <= r.routeSetVersion || altered.Is("acts on a contested list") {
 		return other, false
 	}
@@ -66,31 +66,31 @@
 	return r.fleet.Other(membership.OfRoutes, membership.Version{No: set.Version, Digest: r.digestAfter(set), Source: r.sourceName()})
 }
 
-// applyRemovals keeps to what a contested list takes out, and to nothing else of it; false where that would leave less than half of the next
-// workers in use, or none are. Danger: a list that can't be acted on for long would take out one after the other, until nobody is left to send
-// to; and one that has just started has nothing else to act on.
+// applyRemovals applies the removals of a contested list and nothing else. It returns false, with nothing applied, if
+// less than half of the active workers would stay in use, or none would. Without this bound, a conflict that lasts would
+// remove one worker after the other until none is left; and a process that has just started has no other list to use.
 func (r *Reducer) applyRemovals(set RouteSet, other membership.Key) bool {
 	listed := map[WorkerID]Worker{}
-	for _, h := range set.Workers {
-		listed[h.ID] = h
+	for _, worker := range set.Workers {
+		listed[worker.ID] = worker
 	}
 	var out []Worker
-	active, stay := 0, 0
-	for id, h := range r.workers {
-		if h.State != WorkerActive || r.banned[id] {
+	active, staying := 0, 0
+	for id, worker := range r.workers {
+		if worker.State != WorkerActive || r.banned[id] {
 			continue
 		}
 		active++
-		now, told := listed[id]
+		now, inList := listed[id]
 		switch {
-		case !r.usable(h):
-		case told && now.State != WorkerActive || !told && set.Full:
-			out = append(out, h)
+		case !r.usable(worker):
+		case inList && now.State != WorkerActive || !inList && set.Full:
+			out = append(out, worker)
 		default:
-			stay++
+			staying++
 		}
 	}
-	if stay == 0 || float64(stay) < (1-maxHintedShare)*float64(active) {
+	if staying == 0 || float64(staying) < (1-maxHintedShare)*float64(active) {
 		return false
 	}
 	if r.contestedVersion == 0 {
@@ -104,11 +104,11 @@
 	r.contestedVersion = max(r.contestedVersion, set.Version)
 	var hints []Hint
 	var list []choice.Worker
-	for _, h := range out {
-		r.hints[h.ID] = hint{version: set.Version, receivedAt: r.now, fromDiscovery: true}
-		r.emit(DropWorker{Addr: h.Addr})
-		list = append(list, r.deciderWorker(h))
-		hints = append(hints, Hint{Worker: h.ID, Version: set.Version, Source: r.sourceName()})
+	for _, worker := range out {
+		r.hints[worker.ID] = hint{routeSetVersion: set.Version, receivedAt: r.now, fromDiscovery: true}
+		r.emit(DropWorker{Addr: worker.Addr})
+		list = append(list, r.deciderWorker(worker))
+		hints = append(hints, Hint{Worker: worker.ID, Version: set.Version, Source: r.sourceName()})
 	}
 	r.decider.List(r.now, choice.ListChanges, list)
 	if len(hints) > 0 {
@@ -118,20 +118,21 @@
 	return true
 }
 
-// fetchFullRouteSet asks the source for its whole list in place of one that is contested.
+// fetchFullRouteSet requests the source's full list to replace a contested one.
 func (r *Reducer) fetchFullRouteSet() {
 	r.nextFullFetchAt = r.now + contestedFetchIntervalS
 	r.emit(FetchRouteSet{Source: r.source})
 }
 
-// refetchContested asks anew where a list is contested: who holds the other content may have gone on, and the source does not tell it again.
+// refetchContested repeats the request for the full list while one is contested: the member with the other contents may
+// have moved on, and the source does not send its list again by itself.
 func (r *Reducer) refetchContested() {
 	if r.contestedVersion > 0 && r.now >= r.nextFullFetchAt {
 		r.fetchFullRouteSet()
 	}
 }
 
-// logClashes says once of each number that it has two contents, with both origins.
+// logClashes logs each version with conflicting contents once, with a member that holds each of the two.
 func (r *Reducer) logClashes(all []membership.Clash) {
 	if len(all) == 0 {
 		clear(r.loggedClashes)
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -1,43 +1,43 @@
 package core
 
-// RequestID names a caller's request. Callers never use one twice.
+// RequestID identifies a caller's request. Callers must never reuse one.
 type RequestID string
 
-// WorkerID names a worker, the same at every dispatcher.
+// WorkerID identifies a worker; it is the same at every dispatcher.
 type WorkerID string
 
-// ExchangeID names an HTTP exchange with a client: one request, for as long as the client waits for its answer.
+// ExchangeID identifies an HTTP exchange with a client: one request, for as long as the client waits for its answer.
 type ExchangeID uint64
 
-// BranchID names a branch: one attempt of a request at one worker.
+// BranchID identifies a branch: one attempt of a request at one worker.
 type BranchID uint64
 
-// Message is what a caller asks for, handed to the workers unread.
+// Message is the request as the caller sent it; it is passed to workers without being interpreted.
 type Message struct {
 	Verb   string
 	Target string
-	Token  string // the caller's own mark of a repeat
+	Token  string // the caller's idempotency key
 	Body   []byte
 }
 
-// Call is a request as its front took it.
+// Call is a request as the client-side server parsed it.
 type Call struct {
 	Exchange  ExchangeID `cbor:"Leg"`
 	ID        RequestID
 	Class     string
 	Tenant    string
-	Key       uint64 // what the request is about
+	Key       uint64 // hash of the entity the request is about
 	HasKey    bool
-	Remaining float64 // seconds that the caller waits
-	Slots     float64
-	Memory    float64
+	Remaining float64 // seconds that the caller will wait
+	Slots     float64 // of a worker, that the request needs
+	Memory    float64 // of a worker, that the request needs
 	Hint      float64 // expected work in core seconds
 	HasHint   bool
-	Repeat    bool // the caller says that it asked before
+	Repeat    bool // the caller says that this is a repeat
 	Message   Message
 }
 
-// WorkerState is what discovery says of a worker.
+// WorkerState is a worker's state according to discovery.
 type WorkerState int
 
 // The states of a worker.
@@ -59,75 +59,76 @@
 	Started float64 // Unix seconds; 0 for long ago
 }
 
-// RouteSet is discovery's list, or what changed in it.
+// RouteSet is discovery's list of workers, or a change to it.
 type RouteSet struct {
-	Version int64
-	Full    bool
+	Version int64    // increases with every change
+	Full    bool     // Workers is the complete list, not a change
 	Workers []Worker `cbor:"Hops"`
 }
 
-// Limits is what a dispatcher may use of its machine.
+// Limits bounds the resources that a dispatcher may use on its machine.
 type Limits struct {
 	Cores    float64
 	MemoryMB int
 	Sockets  int
 }
 
-// Source is one discovery address in use. A reload that names another one makes a new source, so that what
-// the old one still says can be told from it.
+// Source is one discovery address in use. A reload that changes the address creates a new source, so that late messages
+// from the previous one can be recognised.
 type Source struct {
 	Addr string
-	No   int // counts the addresses used since the start
+	No   int // number of address changes since the start
 }
 
-// Event is anything that reaches the reducer from outside.
+// Event is any input to the reducer.
 type Event interface{ event() }
 
-// CallArrived brings a request whose last byte has been read.
+// CallArrived reports a request that has been read to its last byte.
 type CallArrived struct{ Call Call }
 
-// CallerLeft says that a caller closed its exchange before the answer.
+// CallerLeft reports that a caller closed its exchange before it was answered.
 type CallerLeft struct {
 	Exchange ExchangeID `cbor:"Leg"`
 }
 
-// HealthAsked is a question whether this dispatcher is ready.
+// HealthAsked asks whether this dispatcher is ready.
 type HealthAsked struct {
 	Exchange ExchangeID `cbor:"Leg"`
 }
 
-// Fault is how an exchange with a worker ended, where it did not take the job.
+// Fault is the reason why an exchange with a worker ended without the worker accepting the job.
 type Fault int
 
 // The faults of a branch.
 const (
-	NoConnect        Fault = iota // no connection came up: it never ran
-	BrokenBeforeSend              // a connection came up and broke before the last byte: it never ran
-	WorkerBusy                    // the worker gave a busy answer: it never ran
-	BrokenAfterSend               // the connection broke after the last byte: it may have run
-	StaleConnection               // a kept connection broke under the request: it may have run
-	Errored                       // the worker answered with an error: it may have run
-	RequestUnusable               // the worker can't use the request, whoever is asked: it never ran
-	NotSent                       // this dispatcher had no place for it, or called it off: the worker knows nothing
+	NoConnect        Fault = iota // the connection could not be established: the job never ran
+	BrokenBeforeSend              // the connection broke before the last byte was sent: the job never ran
+	WorkerBusy                    // the worker answered that it is busy: the job never ran
+	BrokenAfterSend               // the connection broke after the last byte was sent: the job may have run
+	StaleConnection               // a kept-alive connection broke during the request: the job may have run
+	Errored                       // the worker answered with an error: the job may have run
+	RequestUnusable               // the request is invalid for every worker: the job never ran
+	NotSent                       // this dispatcher had no capacity for it or cancelled it: the worker never received it
 )
 
-// BranchFailed says that a branch's exchange ended without the worker taking the job.
+// BranchFailed reports that a branch's exchange ended without the worker accepting the job.
 type BranchFailed struct {
 	Branch BranchID
 	Fault  Fault
 }
 
-// BranchTaken says that a branch's worker has taken the job.
+// BranchTaken reports that a branch's worker has accepted the job.
 type BranchTaken struct{ Branch BranchID }
 
-// BranchReleased says that the giving up of a branch that may have been written is over: its worker has confirmed that, or can't be told.
+// BranchReleased reports the end of giving up a branch that may have been sent. Told is set if its worker confirmed the
+// cancellation; otherwise the worker could not be told.
 type BranchReleased struct {
 	Branch  BranchID
 	Request RequestID
 	Told    bool
 }
 
-// JobState is what a worker reports of a job that it took.
+// JobState is the state of a job as its worker reports it.
 type JobState int
 
 // The states of a job.
@@ -136,40 +137,40 @@
 	JobRunning
 	JobDone
 	JobFailed
-	JobReturned // handed back, never started
-	JobLost
+	JobReturned // handed back without having started
+	JobLost     // the worker no longer has the job
 )
 
-// JobReported is a worker's call-back. Where it has an exchange it is answered there: Served where this dispatcher knows
-// the request or its id is used, Unowned where another one's request it may be.
+// JobReported is a worker's callback. If it has an exchange, that is answered: with Served if the request or its id is
+// known here, and with UnknownRequest if another dispatcher may own the request.
 type JobReported struct {
 	Exchange ExchangeID `cbor:"Leg,omitempty"` // 0 for none
 	Request  RequestID
 	From     WorkerID
 	State    JobState
-	Share    float64 // part done, while running
+	Share    float64 // fraction done, from 0 to 1, while running
 	Result   []byte
 }
 
-// RouteSetTold brings discovery's news.
+// RouteSetTold delivers a route set, or a change to it, from discovery.
 type RouteSetTold struct {
 	Source   Source
 	RouteSet RouteSet
 }
 
-// RouteSetRefused says that a question to discovery failed, or that a watch broke.
+// RouteSetRefused reports that a request to discovery failed, or that a watch ended with an error.
 type RouteSetRefused struct{ Source Source }
 
-// Reloaded brings those parts of a configuration read again that may change while the dispatcher runs.
+// Reloaded carries the settings that may change while the dispatcher runs.
 type Reloaded struct {
 	Discovery string
 	Limits    Limits
 }
 
-// Stopping says that the process ends now: all that callers wait for must be answered.
+// Stopping reports that the process is about to end: every waiting caller must be answered.
 type Stopping struct{}
 
-// Tick says only that time has passed.
+// Tick reports only that time has passed.
 type Tick struct{}
 
 func (CallArrived) event()     {}
@@ -185,7 +186,7 @@
 func (Stopping) event()        {}
 func (Tick) event()            {}
 
-// Effect is anything that the reducer wants done outside.
+// Effect is an action that the reducer asks its host process to perform.
 type Effect interface{ effect() }
 
 // Verdict is the kind of a final answer.
@@ -194,19 +195,19 @@
 // The verdicts.
 const (
 	Served         Verdict = iota
-	Busy                   // a busy answer: asking again is harmless
-	Failed                 // no promise
-	Rejected               // the request itself is at fault
-	UnknownRequest         // nothing is said: another process may be the one to ask
+	Busy                   // a repeat is harmless
+	Failed                 // the request may have run, or may not
+	Rejected               // the request itself is invalid
+	UnknownRequest         // the request is not known here; another process may own it
 )
 
-// Answer is the one final answer on an exchange.
+// Answer is the final answer on an exchange; there is exactly one.
 type Answer struct {
 	Exchange ExchangeID
 	Verdict  Verdict
-	Pause    float64 // seconds after which a busy caller should come back; 0 for no word
+	Pause    float64 // seconds after which the caller should retry a busy answer; 0 for none stated
 	Body     []byte
-	Reason   string // for people
+	Reason   string // explanation for people
 }
 
 // SendBranch sends a request to a worker.
@@ -215,14 +216,14 @@
 	Request  RequestID
 	Worker   WorkerID `cbor:"Hop"`
 	Addr     string
-	Until    float64    // when the branch is given up
-	Exchange ExchangeID `cbor:"Leg,omitempty"` // whose caller waits for it; 0 for one that nobody need ask for
-	Before   float64    `cbor:",omitempty"`    // when its first byte must be written, since its class allows a repeat for so long; 0 for no such time
-	Once     bool       `cbor:",omitempty"`    // what a worker says of it must be beyond doubt, as a repeat may do harm
+	Until    float64    // when the branch times out
+	Exchange ExchangeID `cbor:"Leg,omitempty"` // of the waiting caller; 0 if the branch may be sent without checking that it still waits
+	Before   float64    `cbor:",omitempty"`    // the first byte must be written before this time, when the class's window for a repeat ends; 0 for no limit
+	Once     bool       `cbor:",omitempty"`    // the worker's answer must be unambiguous, because a repeat may do harm
 	Message  Message
 }
 
-// GiveUpBranch ends the wait for a branch and tells its worker so.
+// GiveUpBranch stops waiting for a branch and tells its worker so.
 type GiveUpBranch struct {
 	Branch  BranchID
 	Request RequestID
@@ -233,27 +234,27 @@
 // CloseIdle closes the idle connections to a worker.
 type CloseIdle struct{ Addr string }
 
-// DropWorker says that a worker takes nothing new: what has not been written to it yet must not be.
+// DropWorker means that a worker may be sent nothing new, including branches that have not been written yet.
 type DropWorker struct{ Addr string }
 
-// VersionUnknown stands for the version of a list that a source has not told yet.
+// VersionUnknown is the version of a route set that its source has not sent yet.
 const VersionUnknown int64 = -1
 
-// Watch begins to watch a source's route set for what is newer than Since, or ends that. From an unknown
-// version on it begins with the whole list.
+// Watch starts or stops watching a source's route set for versions newer than Since. From VersionUnknown, the watch
+// starts with the full list.
 type Watch struct {
 	On     bool
 	Source Source
 	Since  int64
 }
 
-// FetchRouteSet asks a source once for the whole list.
+// FetchRouteSet requests the full list from a source once.
 type FetchRouteSet struct{ Source Source }
 
-// SetLimits divides new limits among the parts.
+// SetLimits applies new resource limits.
 type SetLimits struct{ Limits Limits }
 
-// Log is a line for the log.
+// Log writes a line to the log.
 type Log struct{ Text string }
 
 func (Answer) effect()        {}
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -6,28 +6,28 @@
 	"foldlb.example/foldlb/choice"
 )
 
-// Tally counts what the reducer did since its process began. A successor begins at 0.
+// Tally counts the reducer's work since its process started. A successor starts at 0.
 type Tally struct {
-	Calls         uint64 // requests taken
-	Branches      uint64 // sent, or given to the workers' connections to send
-	Moves         uint64 // called off by the decision module, to be tried elsewhere
+	Calls         uint64 // requests accepted
+	Branches      uint64 // sent, or passed to the worker connections to be sent
+	Moves         uint64 // cancelled by the decision module in order to try another worker
 	RefusedAtOnce uint64 // busy answers before any attempt
-	RefusedTried  uint64 // busy answers after attempts that did not run, or may be repeated
-	Failed        uint64 // failures told, those at a deadline too
-	ListsDoubted  uint64 // answers of the source that were asked for again before they were believed
+	RefusedTried  uint64 // busy answers after attempts that did not run or may be repeated
+	Failed        uint64 // requests answered as failed, including at their deadline
+	ListsDoubted  uint64 // implausible lists that were requested again before being applied
 }
 
-// FiguresAsked asks for the tally, which comes as Figures.
+// FiguresAsked requests the tally; the answer is Figures.
 type FiguresAsked struct{}
 
 func (FiguresAsked) event() {}
 
-// Figures is the tally as of now, with what it is read beside.
+// Figures is the current tally with related values.
 type Figures struct {
 	Tally   Tally
 	Version int64 // of the route set
 	View    View
-	Open    int // requests that are not answered yet
+	Open    int // number of unanswered requests
 }
 
 func (Figures) effect() {}
@@ -36,9 +36,10 @@
 	r.emit(Figures{Tally: r.tally, Version: r.routeSetVersion, View: r.View(r.now), Open: len(r.exchanges)})
 }
 
-// routeSetTold applies a source's news. Danger: a list from a source that has lost its state, or read a part of it,
-// would empty the route set, or bring back workers that have left. Such a list is asked for anew, whole and once; what is
-// told then counts, since a source may really begin anew, and what it tells of drains must be kept to.
+// routeSetTold applies an update from the source. A source that has lost its state, or has read only a part of it, may
+// send a list that empties the route set or brings back workers that have left. Such a list is not applied but requested
+// again, once, in full. The next one is applied even if it looks the same, since a source may really have started over,
+// and the drains that it reports must be honoured.
 func (r *Reducer) routeSetTold(set RouteSet) {
 	if reason := r.doubtReason(set); reason != "" && !r.recheckPending {
 		r.tally.ListsDoubted++
@@ -48,13 +49,14 @@
 		r.emit(Watch{On: true, Source: r.source, Since: r.routeSetVersion})
 		return
 	}
-	if other, is := r.conflictingHolder(set); is && r.applyRemovals(set, other) {
+	if other, conflict := r.conflictingHolder(set); conflict && r.applyRemovals(set, other) {
 		r.recheckPending = false
 		return
 	}
 	if set.Version < r.newestHeldVersion {
-		r.heldVersions.Begun++ // by rule a source that truly goes back has begun anew, and is newer than all that it told before
-		// Danger: peers go on telling drains under its old numbers, which look newer than all that it tells for a while.
+		r.heldVersions.Begun++ // by convention, a source that goes back has started over and is newer than everything before
+		// Peers keep sending hints under the source's earlier, higher versions, which would look newer than its own
+		// list for a while.
 		clear(r.hints)
 		r.recentDrains, r.hintsIgnoredUntil = nil, r.now+hintLifetimeS
 	}
@@ -66,26 +68,26 @@
 	r.applyRouteSet(set, form)
 }
 
-// doubt names what is odd about a source's news; empty for nothing.
-func (r *Reducer) doubtReason(set RouteSet) string {
+// doubtReason returns why an update from the source is implausible; empty if it is not.
+func (r *Reducer) doubtReason(update RouteSet) string {
 	switch {
-	case set.Version < r.newestHeldVersion:
-		return fmt.Sprintf("version %d was told after version %d", set.Version, r.newestHeldVersion)
-	case set.Full && len(set.Workers) == 0 && len(r.workers) > 0:
+	case update.Version < r.newestHeldVersion:
+		return fmt.Sprintf("version %d was told after version %d", update.Version, r.newestHeldVersion)
+	case update.Full && len(update.Workers) == 0 && len(r.workers) > 0:
 		return fmt.Sprintf("an empty list was told where %d workers are held", len(r.workers))
 	}
 	return ""
 }
 
-// applyDoubtedDrains keeps to the drains of a list that is not believed otherwise. Danger: they count as told, and the list that is asked for in its
-// place may come late.
+// applyDoubtedDrains applies the drains of a list that is otherwise not applied. A drain must be honoured from the moment
+// it is received, and the list that is requested instead may come late.
 func (r *Reducer) applyDoubtedDrains(set RouteSet) {
 	var list []choice.Worker
-	for _, x := range set.Workers {
-		if h, listed := r.workers[x.ID]; listed && r.usable(h) && x.State != WorkerActive {
-			r.hints[h.ID] = hint{version: set.Version, receivedAt: r.now, fromDiscovery: true}
-			r.emit(DropWorker{Addr: h.Addr})
-			list = append(list, r.deciderWorker(h))
+	for _, update := range set.Workers {
+		if worker, listed := r.workers[update.ID]; listed && r.usable(worker) && update.State != WorkerActive {
+			r.hints[worker.ID] = hint{routeSetVersion: set.Version, receivedAt: r.now, fromDiscovery: true}
+			r.emit(DropWorker{Addr: worker.Addr})
+			list = append(list, r.deciderWorker(worker))
 		}
 	}
 	if len(list) > 0 {
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -6,30 +6,30 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// FleetBegun begins a view of the fleet with this process's own record. Where there is a view already, as after a hand-over,
-// only what the process acts on is taken from it.
+// FleetBegun starts the view of the fleet with this process's own record. If there is a view already, as after a handover,
+// only the versions this process acts on are taken from the record.
 type FleetBegun struct {
 	Self   membership.Record
-	Routes string  // the name of the source of route sets among members; empty for its address
-	Lease  float64 // seconds that this dispatcher may act without touch with the fleet; 0 for any time
+	Routes string  // name of the source of route sets within the fleet; empty for its address
+	Lease  float64 // seconds that this dispatcher may act without contact to the fleet; 0 for no limit
 }
 
-// FleetTold brings what other members tell.
+// FleetTold delivers records from other members.
 type FleetTold struct{ Records []membership.Record }
 
-// FleetLooked brings whom the transport reaches. It comes twice a second.
+// FleetLooked delivers the transport's list of reachable members, twice a second.
 type FleetLooked struct{ Sight membership.Sight }
 
-// FleetRefused says that a member's machine told that nobody listens there.
+// FleetRefused reports that a member's host refuses connections, so that its process has ended.
 type FleetRefused struct{ Process uint64 }
 
-// FleetEntered says that this process is stopping, or has left.
+// FleetEntered reports that this process is stopping or has left the fleet.
 type FleetEntered struct{ State membership.State }
 
-// FleetEnded says that this dispatcher is a member no longer: its operator file has no fleet any more.
+// FleetEnded reports that this dispatcher is no longer a member, because its operator file no longer configures a fleet.
 type FleetEnded struct{}
 
-// RemoveOrdered takes a member that is gone for good out of the fleet.
+// RemoveOrdered removes a member from the fleet that has gone for good.
 type RemoveOrdered struct {
 	Order OrderID
 	Name  string
@@ -43,17 +43,17 @@
 func (FleetEnded) event()    {}
 func (RemoveOrdered) event() {}
 
-// NoFleet is the fault of an order that needs a view of the fleet.
+// NoFleet is the fault of an order that needs a fleet.
 const NoFleet OrderFault = "this dispatcher keeps no view of a fleet"
 
-// FleetNews is to be told to other members.
+// FleetNews carries records to send to other members.
 type FleetNews struct{ Records []membership.Record }
 
-// FleetPictured is the view as of now, for those outside, with what has changed since the last.
+// FleetPictured publishes the current view, with the changes since the previous one.
 type FleetPictured struct {
 	Picture membership.Picture
 	Fresh   []membership.Change
-	Hints   []Hint // that still count
+	Hints   []Hint // that are still valid
 }
 
 func (FleetNews) effect()     {}
@@ -61,10 +61,10 @@
 
 // applyFleetEvent applies an event of the fleet.
 func (r *Reducer) applyFleetEvent(ev Event) {
-	if begun, is := ev.(FleetBegun); is {
-		r.routeSourceName, r.leaseS = begun.Routes, 0
-		r.SetLease(begun.Lease)
-		r.beginFleet(begun.Self)
+	if started, is := ev.(FleetBegun); is {
+		r.routeSourceName, r.leaseS = started.Routes, 0
+		r.Lease(started.Lease)
+		r.beginFleet(started.Self)
 		return
 	}
 	if r.fleet == nil {
@@ -96,8 +96,8 @@
 		r.fleet.Enter(r.now, ev.State)
 	case FleetEnded:
 		r.fleet, r.actingMembers, r.ownVersions, r.routeSourceName = nil, 0, membership.Says{}, ""
-		r.leaseS, r.mayActUntil = 0, 0 // as there is no fleet to be in touch with
-		r.emit(Fenced{Until: r.FencedFrom()})
+		r.leaseS, r.mayActUntil = 0, 0 // without a fleet there is no contact to lose
+		r.emit(Fenced{Until: r.Fence()})
 		clear(r.hints)
 		r.contestedVersion = 0
 		r.decider.SetDispatchers(r.settings.Dispatchers)
@@ -118,7 +118,7 @@
 		}
 		r.fleet = v
 	}
-	if r.recorder != nil { // the member that begins just now has not heard it
+	if r.recorder != nil { // a member that is only now joining does not have it yet
 		r.emit(r.Config())
 		self.Config = r.heldVersions.Config
 	}
@@ -127,31 +127,32 @@
 	r.fleetUpdated(true)
 }
 
-// updateOwnRecord has the view say what this process acts on.
+// updateOwnRecord enters the versions that this process acts on in its own record.
 func (r *Reducer) updateOwnRecord() {
 	if r.ownVersions.Generation == 0 {
-		return // an upgrade's follower has not begun itself
+		return // a successor that still follows its predecessor has not joined yet
 	}
 	r.ownVersions.Routes = r.heldRouteSet()
 	r.fleet.Say(r.now, r.ownVersions, r.draining)
 }
 
-// fleetUpdated tells others and the decision module of what has changed. After a look, or anything else that a picture is due for, all is told.
-func (r *Reducer) fleetUpdated(looked bool) {
-	// One that has met nobody yet knows no number, and the settings' stands.
+// fleetUpdated passes changes on to other members and to the decision module. After FleetLooked, and after other changes to
+// the view, it also publishes a picture.
+func (r *Reducer) fleetUpdated(fullUpdate bool) {
+	// Before it has met another member the process does not know their number; the settings' number applies.
 	if n := r.fleet.Acting(); n != r.actingMembers && r.fleet.Self().State != membership.Joining {
 		r.actingMembers = n
 		r.decider.SetDispatchers(n)
 	}
 	r.updateFence()
 	r.fetchNewerConfig()
-	moved := r.fleet.Moved()
+	viewChanged := r.fleet.Moved()
 	records, fresh := r.fleet.News(), r.fleet.Fresh()
 	if len(records) > 0 {
 		r.emit(FleetNews{Records: records})
 	}
-	if !looked && !moved {
-		return // danger: a picture of hundreds for each word that brings nothing new would cost more than all else
+	if !fullUpdate && !viewChanged {
+		return // building a picture of hundreds of members for every message without changes would dominate the cost
 	}
 	p := r.fleet.Picture()
 	r.logClashes(p.Clashes)
@@ -162,19 +163,19 @@
 	r.emit(FleetPictured{Picture: p, Fresh: fresh, Hints: r.recentHints()})
 }
 
-// FleetState is the view's part of a reducer's state.
+// FleetState is the fleet's part of a reducer's state. Times are seconds on the dispatcher's clock.
 type FleetState struct {
 	View   membership.ViewState
-	Says   membership.Says
-	Acting int
-	Routes string      `cbor:",omitempty"`
-	Hints  []HintState `cbor:",omitempty"`
-	Lease  float64     `cbor:",omitempty"`
-	Until  float64     `cbor:",omitempty"` // when it may act no longer
-
-	Contested int64   `cbor:",omitempty"` // number of the list with two contents of which only what it takes out counts
-	AskAt     float64 `cbor:",omitempty"`
-	DeafUntil float64 `cbor:",omitempty"` // for hints, since the source has begun anew
+	Says   membership.Says // versions reported in the own record
+	Acting int             // members that may be acting; 0 for the number in the settings
+	Routes string          `cbor:",omitempty"` // name of the source of route sets within the fleet
+	Hints  []HintState     `cbor:",omitempty"`
+	Lease  float64         `cbor:",omitempty"` // seconds; 0 for no lease
+	Until  float64         `cbor:",omitempty"` // nothing new may be sent from then on
+
+	Contested int64   `cbor:",omitempty"` // version with conflicting contents whose removals alone are applied; 0 for none
+	AskAt     float64 `cbor:",omitempty"` // earliest time of the next request for the full list
+	DeafUntil float64 `cbor:",omitempty"` // hints are ignored until then, because the source has started over
 }
 
 func (r *Reducer) exportFleet() *FleetState {
@@ -202,7 +203,7 @@
 	return err
 }
 
-// Fleet is the view of the fleet as of now; false where there is none.
+// Fleet returns the current view of the fleet; false if there is none.
 func (r *Reducer) Fleet() (membership.Picture, bool) {
 	if r.fleet == nil {
 		return membership.Picture{}, false
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -79,7 +79,7 @@
 func TestLeaseFromTheStart(t *testing.T) {
 	r := start(t, choice.Idempotent, "a")
 	r.settings.Dispatchers = 2
-	r.SetLease(4)
+	r.Lease(4)
 	expect(t, r.Step(1, call("r0")), "answer 1 ")
 	r.Step(1, FleetBegun{Self: self(), Lease: 4})
 	r.Step(1, FleetTold{Records: []membership.Record{other(membership.Serving, membership.Fine)}})
--- a/internal/core/floors.go
+++ b/internal/core/floors.go
@@ -7,42 +7,43 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// FleetFloored brings floors that another member tells.
+// FleetFloored delivers floors, the minimum versions for acting, from another member.
 type FleetFloored struct{ Floors []membership.Floor }
 
-// FleetContacted brings a member's answer to a question.
+// FleetContacted delivers a member's answer to a probe.
 type FleetContacted struct{ Contact membership.Contact }
 
-// FloorOrdered tells a floor to the fleet, or withdraws one. It is answered by FloorTold.
+// FloorOrdered announces a floor to the fleet, or withdraws one. The answer is FloorTold.
 type FloorOrdered struct {
 	Order OrderID
 	Floor membership.Floor
-	Force bool
+	Force bool // announce it although members would be fenced
 }
 
 func (FleetFloored) event()   {}
 func (FleetContacted) event() {}
 func (FloorOrdered) event()   {}
 
-// FloorsNews are floors to be told to other members.
+// FloorsNews carries floors to send to other members.
 type FloorsNews struct{ Floors []membership.Floor }
 
-// FloorTold is the answer to an order: whom the floor shuts out unless they come up to it, or why it is not told.
+// FloorTold answers FloorOrdered: the members that the floor fences unless they reach it, or why it is not announced.
 type FloorTold struct {
 	Order OrderID
-	Floor membership.Floor // as it is held
-	Hit   []string
-	Fault string
+	Floor membership.Floor // as it is now in force
+	Hit   []string         // names of members below the floor
+	Fault string           // empty if the floor is in force
 }
 
-// Fenced says from when on nothing new may be written to workers, on the dispatcher's clock; positive infinity for never.
+// Fenced reports the time from which on nothing new may be sent to workers, on the dispatcher's clock; positive infinity
+// for no limit.
 type Fenced struct{ Until float64 }
 
 func (Fenced) effect()     {}
 func (FloorsNews) effect() {}
 func (FloorTold) effect()  {}
 
-// applyFloorEvent applies an event of the floors; there is a view.
+// applyFloorEvent applies an event that concerns floors. There must be a view of the fleet.
 func (r *Reducer) applyFloorEvent(ev Event) {
 	switch ev := ev.(type) {
 	case FleetFloored:
@@ -55,39 +56,39 @@
 	}
 }
 
-// fence works out until when this dispatcher may act, and tells of floors that have changed.
+// updateFence recomputes until when this dispatcher may act, and passes on floors that have changed.
 func (r *Reducer) updateFence() {
 	floors := r.fleet.FloorNews()
 	if len(floors) > 0 {
 		r.emit(FloorsNews{Floors: floors})
 	}
-	was, until := r.fenced(), r.mayActUntil
+	wasFenced, previousUntil := r.fenced(), r.mayActUntil
 	r.mayActUntil, r.fenceReason = r.fleet.Fence(r.settings.Dispatchers, r.leaseS)
-	if r.mayActUntil != until {
-		r.emit(Fenced{Until: r.FencedFrom()})
+	if r.mayActUntil != previousUntil {
+		r.emit(Fenced{Until: r.Fence()})
 	}
 	for _, f := range floors {
 		if f.Kind == membership.OfRoutes && !f.Withdrawn && f.No > r.routeSetVersion && r.watching {
-			r.emit(FetchRouteSet{Source: r.source}) // a straggler brings itself up
+			r.emit(FetchRouteSet{Source: r.source}) // below the floor: update the route set without waiting for the source
 		}
 	}
-	if now := r.fenced(); now != was && now {
+	if now := r.fenced(); now != wasFenced && now {
 		r.emit(Log{Text: "shut out, nothing new is sent: " + r.fenceReason})
-	} else if now != was {
+	} else if now != wasFenced {
 		r.emit(Log{Text: "may act again"})
 	}
 }
 
-// fenced tells whether nothing new may be sent, at the time of the step. Danger: what a step asks for is written later, after a dial or a stop
-// of the process, so whoever writes asks again.
-func (r *Reducer) fenced() bool { return r.now >= r.FencedFrom() }
+// fenced reports whether nothing new may be sent at the time of the step. Effects are carried out later, perhaps after a
+// dial or a stop of the process, so the sender checks again before it writes.
+func (r *Reducer) fenced() bool { return r.now >= r.Fence() }
 
-// Fence is the time from which on nothing new may be sent; positive infinity for never.
-func (r *Reducer) FencedFrom() float64 {
+// Fence returns the time from which on nothing new may be sent; positive infinity for no limit.
+func (r *Reducer) Fence() float64 {
 	switch {
 	case altered.Is("ignores a floor"):
 		return math.Inf(1)
-	case r.fleet == nil && r.leaseS > 0: // it is to have a lease, and has not begun as a member
+	case r.fleet == nil && r.leaseS > 0: // a lease is configured, but the process has not joined the fleet yet
 		return math.Inf(-1)
 	case r.fleet == nil || r.leaseS == 0 && r.mayActUntil == 0:
 		return math.Inf(1)
@@ -95,9 +96,10 @@
 	return r.mayActUntil
 }
 
-// Lease says, before the first step, for how many seconds this dispatcher may act without touch with its fleet; 0 for any time. Danger: one
-// that can't become a member, since its address is taken, must not act in the meantime as if it had no lease.
-func (r *Reducer) SetLease(seconds float64) {
+// Lease sets how many seconds this dispatcher may act without contact to its fleet; 0 for no limit. It must be called
+// before the first step: a process that can't join, for example because its address is in use, must not act in the
+// meantime as if it had no lease.
+func (r *Reducer) Lease(seconds float64) {
 	if seconds > 0 && !math.IsInf(seconds, 1) {
 		r.leaseS = seconds
 	}
--- a/internal/core/hints.go
+++ b/internal/core/hints.go
@@ -11,23 +11,23 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// Peers' word of drains. Discovery tells each dispatcher at its own time, and is cut off from some for a while. What it told one member of
-// a fleet is therefore passed on, and counts at the others until discovery's own word reaches them.
+// Discovery informs each dispatcher at a different time, and some may be cut off from it for a while. Members of a fleet
+// therefore pass drains on as hints, which are valid until discovery's own list reaches the receiver.
 
-// Hint is a peer's word that a worker takes nothing new, as of a version of the route set.
+// Hint is a peer's statement that a worker is draining as of a version of the route set.
 type Hint struct {
 	Worker  WorkerID `cbor:"1,keyasint"`
 	Version int64    `cbor:"2,keyasint"`
-	Source  string   `cbor:"3,keyasint"` // as the fleet names it; versions of two sources don't compare
+	Source  string   `cbor:"3,keyasint"` // name of the source within the fleet; versions of different sources can't be compared
 }
 
-// FleetHinted brings hints from a peer.
+// FleetHinted delivers hints from a peer.
 type FleetHinted struct{ Hints []Hint }
 
-// HintsNews are hints to be passed on to the other members.
+// HintsNews carries hints to send to other members.
 type HintsNews struct{ Hints []Hint }
 
-// AskHints asks a member that holds a newer list for the drains that it knows of.
+// AskHints requests the known drains from a member that holds a newer list.
 type AskHints struct{ Process uint64 }
 
 func (FleetHinted) event() {}
@@ -35,20 +35,20 @@
 func (AskHints) effect()   {}
 
 const (
-	hintLifetimeS        = 30.0 // seconds that a hint counts without discovery's own word, since it was last told
-	maxRecentDrains      = 256  // hints that are kept for those that join, or whose discovery is late
-	hintRequestIntervalS = 1.0  // seconds between two questions for them
-	maxHintedShare       = 0.5  // of the workers that hints may take out, all together
+	hintLifetimeS        = 30.0 // validity of a hint since it was last received, unless discovery's list supersedes it earlier
+	maxRecentDrains      = 256  // hints kept for members that join or whose discovery is late
+	hintRequestIntervalS = 1.0  // between two AskHints
+	maxHintedShare       = 0.5  // fraction of the workers that hints may exclude in total
 )
 
-// hint is what is held of one.
+// hint is a hint in effect for a worker.
 type hint struct {
-	version       int64
-	receivedAt    float64
-	fromDiscovery bool // discovery's own word, of a list with two contents
+	routeSetVersion int64
+	receivedAt      float64
+	fromDiscovery   bool // discovery's own list, one with conflicting contents
 }
 
-// sourceName is the source of the route set as the members of a fleet name it among themselves.
+// sourceName returns the name of the route set's source within the fleet.
 func (r *Reducer) sourceName() string {
 	if r.routeSourceName != "" && r.source.No == 0 {
 		return r.routeSourceName
@@ -56,29 +56,29 @@
 	return r.source.Addr
 }
 
-// hinted takes hints in. Danger: a peer may be wrong, or lie. Its word only ever takes a worker out, never brings one back; only where
-// it is newer than what discovery told here, of the same source; for a time; and never for more than a part of the fleet, so that no
-// peer's word can leave nobody to send to.
+// applyHints applies hints from a peer, which may be wrong or malicious. Hints can only exclude a worker, never bring one
+// back; they must be newer than the route set held here and from the same source; they expire; and together they may
+// exclude only a part of the workers, so that no peer can leave this dispatcher without any.
 func (r *Reducer) applyHints(list []Hint) {
 	var accepted []Hint
 	var drained []choice.Worker
 	refused := 0
 	for _, x := range list {
-		h, listed := r.workers[x.Worker]
+		worker, listed := r.workers[x.Worker]
 		old, held := r.hints[x.Worker]
 		switch {
-		case r.now < r.hintsIgnoredUntil || x.Source != r.sourceName() || x.Version <= r.routeSetVersion || !listed || h.State != WorkerActive || held && old.version > x.Version:
-		case held && old.version == x.Version:
+		case r.now < r.hintsIgnoredUntil || x.Source != r.sourceName() || x.Version <= r.routeSetVersion || !listed || worker.State != WorkerActive || held && old.routeSetVersion > x.Version:
+		case held && old.routeSetVersion == x.Version:
 			old.receivedAt = r.now
 			r.hints[x.Worker] = old
 		case !held && float64(len(r.hints)+1) > maxHintedShare*float64(len(r.workers)):
 			refused++
 		default:
-			r.hints[x.Worker] = hint{version: x.Version, receivedAt: r.now, fromDiscovery: old.fromDiscovery}
+			r.hints[x.Worker] = hint{routeSetVersion: x.Version, receivedAt: r.now, fromDiscovery: old.fromDiscovery}
 			accepted = append(accepted, x)
 			if !held {
-				r.emit(DropWorker{Addr: h.Addr})
-				drained = append(drained, r.deciderWorker(h))
+				r.emit(DropWorker{Addr: worker.Addr})
+				drained = append(drained, r.deciderWorker(worker))
 			}
 		}
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-// remember keeps hints for those that join, meet again, or are told late by their own discovery.
+// rememberDrains keeps hints for members that join, reconnect, or are informed late by their own discovery.
 func (r *Reducer) rememberDrains(hints []Hint) {
 	for _, x := range hints {
 		r.recentDrains = append(r.recentDrains, HintState{Worker: x.Worker, Version: x.Version, At: r.now})
@@ -104,8 +104,9 @@
 	}
 }
 
-// recentHints are those that still hold here: of workers that the own list has out, and for a time of those that peers told. Danger: two that
-// lag would keep a peer's slip alive between them for ever. One that came back is told of by discovery only.
+// recentHints returns the hints to repeat: those of workers that the own list has drained or removed, and for a limited time those received
+// from peers. Without the limit, two dispatchers with outdated lists would keep a peer's mistake alive between them. Only
+// discovery reports that a worker is back.
 func (r *Reducer) recentHints() (all []Hint) {
 	r.recentDrains = slices.DeleteFunc(r.recentDrains, func(x HintState) bool {
 		h, listed := r.workers[x.Worker]
@@ -118,8 +119,9 @@
 	return all
 }
 
-// requestHints asks one of those that hold a newer list, while this dispatcher's own discovery has not told it. Danger: what was told to all as a
-// drain began is lost to those that could not be reached then, and an exchange of everything comes only where views differ.
+// requestHints sends AskHints to one of the members that hold a newer list, until this dispatcher's own discovery has sent it.
+// Hints are sent when a drain starts and are lost for members that are unreachable then, and a full exchange takes place
+// only where views differ.
 func (r *Reducer) requestHints() {
 	if r.now < r.nextHintRequestAt || r.routeSetVersion == VersionUnknown {
 		return
@@ -138,46 +140,47 @@
 	r.emit(AskHints{Process: ahead[(r.peerRequests+r.fleet.Self().Process)%uint64(len(ahead))].Process})
 }
 
-// unhint drops hints that are answered by a version of discovery's, or too old, and returns the workers that are in service again for it.
-func (r *Reducer) dropAnsweredHints(version int64) (restored []Worker) {
+// dropAnsweredHints removes hints that a list of the given version supersedes or that have expired. It returns the workers
+// that are back in use as a result.
+func (r *Reducer) dropAnsweredHints(routeSetVersion int64) (restored []Worker) {
 	for _, id := range slices.Sorted(maps.Keys(r.hints)) {
 		x := r.hints[id]
-		h, listed := r.workers[id]
-		if listed && h.State == WorkerActive && (x.version > version || altered.Is("a peer's word beats discovery's")) && r.hintValid(x) {
+		worker, listed := r.workers[id]
+		if listed && worker.State == WorkerActive && (x.routeSetVersion > routeSetVersion || altered.Is("a peer's word beats discovery's")) && r.hintValid(x) {
 			continue
 		}
 		delete(r.hints, id)
-		if listed && h.State == WorkerActive {
-			restored = append(restored, h)
+		if listed && worker.State == WorkerActive {
+			restored = append(restored, worker)
 		}
 	}
 	return restored
 }
 
-// stands tells whether a hint that discovery has not answered yet still counts.
-func (r *Reducer) hintValid(x hint) bool {
-	return x.fromDiscovery && r.contestedVersion > 0 || r.now-x.receivedAt < hintLifetimeS
+// hintValid reports whether a hint that discovery has not superseded is still valid.
+func (r *Reducer) hintValid(h hint) bool {
+	return h.fromDiscovery && r.contestedVersion > 0 || r.now-h.receivedAt < hintLifetimeS
 }
 
-// expireHints drops hints that are too old.
+// expireHints removes hints that have expired.
 func (r *Reducer) expireHints() {
 	var list []choice.Worker
-	for _, h := range r.dropAnsweredHints(r.routeSetVersion) {
-		list = append(list, r.deciderWorker(h))
+	for _, worker := range r.dropAnsweredHints(r.routeSetVersion) {
+		list = append(list, r.deciderWorker(worker))
 	}
 	if len(list) > 0 {
 		r.decider.List(r.now, choice.ListChanges, list)
 	}
 }
 
-// drained passes on which workers a list has taken out.
+// announceDrains sends hints for the workers that a list has drained or removed.
 func (r *Reducer) announceDrains(before map[WorkerID]Worker) {
 	if r.fleet == nil {
 		return
 	}
 	var hints []Hint
 	for _, id := range slices.Sorted(maps.Keys(before)) {
-		if h, listed := r.workers[id]; before[id].State == WorkerActive && (!listed || h.State != WorkerActive) {
+		if worker, listed := r.workers[id]; before[id].State == WorkerActive && (!listed || worker.State != WorkerActive) {
 			hints = append(hints, Hint{Worker: id, Version: r.routeSetVersion, Source: r.sourceName()})
 		}
 	}
@@ -192,12 +195,12 @@
 	Worker  WorkerID `cbor:"Hop"`
 	Version int64
 	At      float64
-	Own     bool `cbor:",omitempty"` // discovery's own word, of a list with two contents
+	Own     bool `cbor:",omitempty"` // from discovery's own list, one with conflicting contents
 }
 
 func (r *Reducer) exportHints() (all []HintState) {
 	for id, x := range r.hints {
-		all = append(all, HintState{id, x.version, x.receivedAt, x.fromDiscovery})
+		all = append(all, HintState{id, x.routeSetVersion, x.receivedAt, x.fromDiscovery})
 	}
 	slices.SortFunc(all, func(a, b HintState) int { return cmp.Compare(a.Worker, b.Worker) })
 	return all
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -7,13 +7,13 @@
 	"foldlb.example/foldlb/internal/audit"
 )
 
-// host carries out the decider's actions. It never calls back into the decider: outcomes that an action
-// causes are put off until the decider has returned.
+// host performs the decision module's actions. It must not call back into the module from within one, so outcomes that
+// an action causes are deferred until the module has returned.
 type host struct{ r *Reducer }
 
 var _ choice.Actions = host{}
 
-// Assign opens the request's next branch. Where it can't be sent any more it ends as skipped.
+// Assign opens the request's next branch. If the branch may not be sent any more, it ends as skipped.
 func (h host) Assign(id, workerID string, until float64) {
 	r := h.r
 	q := r.requests[RequestID(id)]
@@ -31,7 +31,7 @@
 	q.branches = append(q.branches, b)
 	q.open++
 	r.branches[b.id] = b
-	// A worker that drains, is out by hand or has gone gets nothing new, whatever the decider still thinks of it.
+	// A worker that is draining, excluded or gone must get nothing new, even if the decision module still selects it.
 	if q.closed || r.fenced() || !known || !r.usable(worker) || !allowed || until <= r.now || b.no >= r.settings.MaxAttempts {
 		r.deferred = append(r.deferred, func() { r.endBranch(b, choice.Skipped, nil) })
 		return
@@ -46,19 +46,20 @@
 	}
 }
 
-// mayRepeat tells whether the request's class allows a further branch at a worker after those that it has had, whatever the decider thinks,
-// and until when its first byte may be written; 0 for no such time. A worker gets a request a second time only where the first never
-// reached it, was turned away on its own connection, or was called off and the worker has confirmed that. Danger: call-backs are told again until they are answered, so one that ended an
-// earlier branch there may come once more, and would end the later one, which runs.
+// mayRepeat reports whether the request's class allows a further branch at a worker, given the earlier branches, and the
+// time before which its first byte must be written; 0 for no limit. This check does not rely on the decision module.
+// A worker gets a request a second time only if the first branch never reached it, was refused as busy on its own
+// connection, or was cancelled with the worker's confirmation. Otherwise, as callbacks are repeated until they are
+// answered, a repeated callback for the earlier branch would end the later one, which is still running.
 func (r *Reducer) mayRepeat(q *request, worker Worker) (before float64, ok bool) {
 	class := &r.settings.Classes[r.classes[q.call.Class]]
 	for _, b := range q.branches {
-		again := b.ended && b.code.NeverRan()
-		calledOff := b.ended && b.code == choice.Cancelled && b.released
+		neverRan := b.ended && b.code.NeverRan()
+		cancelled := b.ended && b.code == choice.Cancelled && b.released
 		switch {
-		case b.worker == worker.ID && (!again && !calledOff || b.code == choice.Returned), !b.released && !r.settings.SecondCopies:
+		case b.worker == worker.ID && (!neverRan && !cancelled || b.code == choice.Returned), !b.released && !r.settings.SecondCopies:
 			return 0, false
-		case again || class.Effect == choice.Idempotent:
+		case neverRan || class.Effect == choice.Idempotent:
 			continue
 		case class.Effect == choice.AtMostOnce,
 			class.Group == choice.GroupZone && b.zone != worker.Zone, class.Group == choice.GroupCell && b.cell != worker.Cell:
@@ -86,7 +87,7 @@
 	}
 }
 
-// Cancel gives up a branch, which ends as cancelled unless something else ended it first.
+// Cancel gives up a branch. It ends as cancelled unless another outcome arrives first.
 func (h host) Cancel(id string, attempt int) {
 	q := h.r.requests[RequestID(id)]
 	if q == nil || attempt < 0 || attempt >= len(q.branches) || q.branches[attempt].ended {
@@ -110,7 +111,7 @@
 
 func (h host) Subscribe(on bool) {
 	if on && h.r.watching {
-		return // danger: a watch that runs would be opened anew, and what it was about to tell be lost with its connection
+		return // opening it again would close the connection of the running watch and lose what it was about to deliver
 	}
 	h.r.watching = on
 	h.r.emit(Watch{On: on, Source: h.r.source, Since: h.r.routeSetVersion})
@@ -119,7 +120,7 @@
 func (h host) ListAll()        { h.r.emit(FetchRouteSet{Source: h.r.source}) }
 func (h host) Log(text string) { h.r.emit(Log{Text: text}) }
 
-// Probe and Tell have no counterpart on this platform, which allows neither.
+// Probe and SendToPeer are not supported on this platform, which allows neither.
 func (h host) Probe(worker string) {
 	h.Log("a probe of " + worker + " was asked for, which is not allowed")
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// queueLength bounds the events that wait for the reducer. Posting to a full queue waits.
+// queueLength is the capacity of the event queue. Post blocks while the queue is full.
 const queueLength = 4096
 
-// Loop runs a reducer on one goroutine and hands its effects to the outside.
+// Loop runs a reducer on one goroutine and passes its effects to the host process.
 type Loop struct {
 	reducer      *Reducer
 	clock        func() float64
 	perform      func(Effect)
 	events       chan Event
-	urgent       chan Event // discovery's, which must not wait behind the rest
+	urgent       chan Event // route sets, drains and orders, which must not wait behind requests
 	done         chan struct{}
-	holdRequests chan chan struct{} // each closed when the loop may go on
-	backlog      []Event            // to be applied before anything that is posted; touched by the loop, or while held
+	holdRequests chan chan struct{} // the loop resumes when the received channel is closed
+	backlog      []Event            // applied before all posted events; accessed by the loop's goroutine, or by others while it is held
 	observe      func(now float64, ev Event, effects []Effect)
 	publish      func(View)
-	nextViewAt   float64 // when the next view is due
+	nextViewAt   float64 // in seconds on the loop's clock
 }
 
-// viewIntervalS is the time between two views, in seconds: half the age that operators' figures may have.
+// viewIntervalS is the time between two views in seconds: half the maximum age that the operators' figures may have.
 const viewIntervalS = 0.25
 
-// NewLoop makes a loop. perform is called from the loop's goroutine and must not block or post.
+// NewLoop returns a loop for a reducer. clock returns the dispatcher's time in seconds. perform is called on the loop's
+// goroutine and must neither block nor post events.
 func NewLoop(r *Reducer, clock func() float64, perform func(Effect)) *Loop {
 	return &Loop{reducer: r, clock: clock, perform: perform, events: make(chan Event, queueLength),
 		urgent: make(chan Event, 16), done: make(chan struct{}), holdRequests: make(chan chan struct{})}
 }
 
-// Post hands an event to the reducer; after the loop's end it is dropped.
+// Post queues an event for the reducer. It blocks while the queue is full; after the loop has ended it drops the event.
 func (l *Loop) Post(ev Event) {
 	queue := l.events
 	if isUrgent(ev) {
@@ -44,7 +45,7 @@
 	}
 }
 
-// isUrgent tells what must not wait behind the rest.
+// isUrgent reports whether an event must be applied before queued requests.
 func isUrgent(ev Event) bool {
 	switch ev.(type) {
 	case RouteSetTold, RouteSetRefused, Reloaded, BanOrdered, DrainOrdered, RemoveOrdered, FleetHinted, FleetFloored, FleetContacted, FloorOrdered:
@@ -53,10 +54,10 @@
 	return false
 }
 
-// Publish has f told of the route set every viewIntervalS seconds, from the loop's goroutine. The loop must not run yet.
+// PublishViews has f called with the view every viewIntervalS seconds, on the loop's goroutine. It must be called before Run.
 func (l *Loop) PublishViews(f func(View)) { l.publish = f }
 
-// Run steps the reducer until the context ends.
+// Run steps the reducer until the context is cancelled.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
 	wake := time.NewTimer(0)
@@ -92,7 +93,7 @@
 	}
 }
 
-// next waits for the next event. It tells false where the context has ended.
+// next waits for the next event. It returns false if the context is cancelled.
 func (l *Loop) next(ctx context.Context, wake <-chan time.Time) (Event, bool) {
 	for {
 		if len(l.backlog) > 0 {
@@ -100,7 +101,7 @@
 			l.backlog = l.backlog[1:]
 			return ev, true
 		}
-		select { // a drain that was told comes before whatever else waits
+		select { // a drain must be applied before any other waiting event
 		case ev := <-l.urgent:
 			return ev, true
 		default:
@@ -120,8 +121,8 @@
 	}
 }
 
-// Hold stops the loop between two steps and returns the word that lets it go on. It tells false where the loop has
-// ended. While it is held the caller may use the reducer, Drain and Backlog.
+// Hold stops the loop between two steps and returns the function that resumes it, or false if the loop has ended. While
+// the loop is held, the caller may use the reducer, DrainQueues and Backlog.
 func (l *Loop) Hold() (resume func(), ok bool) {
 	held := make(chan struct{})
 	select {
@@ -132,8 +133,8 @@
 	}
 }
 
-// Drain takes all posted events out of the queues into the backlog, news first, so that nobody waits to post. The
-// loop must be held, or not run yet.
+// DrainQueues moves all posted events from the queues to the backlog, urgent ones first, so that no call of Post stays
+// blocked. The loop must be held, or not running yet.
 func (l *Loop) DrainQueues() {
 	for {
 		select {
@@ -155,12 +156,12 @@
 	}
 }
 
-// Backlog returns the events that were taken out of the queues and not applied yet. The loop must be held.
+// Backlog returns the events that were taken from the queues and not applied yet. The loop must be held.
 func (l *Loop) Backlog() []Event { return l.backlog }
 
-// Precede puts events before all that are posted. The loop must be held, or not run yet.
+// Prepend puts events before all that were posted. The loop must be held, or not running yet.
 func (l *Loop) Prepend(events []Event) { l.backlog = append(events, l.backlog...) }
 
-// Watch has f told of every step, before its effects are performed. f is called from the loop's goroutine and must
-// not block; nil ends it. The loop must be held, or not run yet.
+// Observe has f called for every step before its effects are performed, on the loop's goroutine. f must not block; nil
+// removes it. The loop must be held, or not running yet.
 func (l *Loop) Observe(f func(now float64, ev Event, effects []Effect)) { l.observe = f }
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -2,41 +2,41 @@
 
 import "foldlb.example/foldlb/choice"
 
-// Orders are what operators ask of a running dispatcher through its door. Each is answered by one Ordered effect, which
-// comes after all that puts it in force.
+// Orders are requests of an operator to a running dispatcher, received through the admin socket. Each is answered by one
+// Ordered effect, which follows all effects that carry the order out.
 
-// OrderID names an order, for its answer; 0 stands for one that nobody waits for.
+// OrderID identifies an order for its answer; 0 if nobody waits for the answer.
 type OrderID uint64
 
-// BanOrdered takes a worker out of use, or puts it back. A ban holds whatever discovery says of the worker.
+// BanOrdered takes a worker out of use, or with Lift puts it back. A ban overrides what discovery reports of the worker.
 type BanOrdered struct {
 	Order  OrderID
 	Worker WorkerID `cbor:"Hop"`
 	Lift   bool
 }
 
-// DrainOrdered sends callers away, or takes them again. What has been taken is served on, whatever is ordered.
+// DrainOrdered starts turning callers away, or with End accepts them again. Requests that were taken are served in any case.
 type DrainOrdered struct {
 	Order OrderID
 	End   bool
 }
 
-// Ordered says that an order is in force, or why it never will be.
+// Ordered reports that an order has been carried out, or why it is refused.
 type Ordered struct {
 	Order OrderID
 	Fault OrderFault
 }
 
-// OrderFault is why an order is not followed.
+// OrderFault is the reason why an order is refused.
 type OrderFault string
 
-// The faults of orders; the empty one is none.
+// The reasons for refusing an order; the empty one means that it was carried out.
 const (
 	UnknownWorker OrderFault = "no quote worker has this id"
 	TooManyBans   OrderFault = "too many quote workers are out already"
 )
 
-// SendAway has callers' connections closed as they fall idle or get their answers, or kept again.
+// SendAway starts closing callers' connections when they become idle or have been answered, or stops doing so.
 type SendAway struct{ On bool }
 
 func (BanOrdered) event()   {}
@@ -44,11 +44,12 @@
 func (Ordered) effect()     {}
 func (SendAway) effect()    {}
 
-// maxBans bounds the workers out by hand. Danger: workers come and go for as long as the dispatcher runs, and a ban
-// outlives its worker's place in the list. It is far more than a list that fits into discovery's answer needs at once.
+// maxBans bounds the number of banned workers. A ban outlives its worker's entry in the list, so without a bound the bans
+// would grow for as long as the dispatcher runs. It is far more than the workers of any list that fits into an answer of
+// discovery.
 const maxBans = 1 << 14
 
-// banOrdered puts a ban in force or ends it. Two bans need one return.
+// banOrdered starts or ends a ban. Bans are not counted: two of them are ended by one return.
 func (r *Reducer) banOrdered(ev BanOrdered) {
 	worker, listed := r.workers[ev.Worker]
 	banned := r.banned[ev.Worker]
@@ -56,14 +57,14 @@
 	switch {
 	case !listed && !banned:
 		fault = UnknownWorker
-	case banned != ev.Lift: // out already, or not out
+	case banned != ev.Lift: // already banned, or not banned
 	case ev.Lift:
 		delete(r.banned, ev.Worker)
 		if listed {
-			// Danger: whoever takes a worker out restarts it, and discovery may tell of that late or never. Taken for
-			// warm it would be pushed over.
+			// An operator who takes a worker out usually restarts it, and discovery may report the restart late or never. If
+			// the worker were treated as warm, it would be overloaded.
 			r.restoredAt[ev.Worker] = r.now
-			// Danger: what was measured before would keep one that was slow then from ever being tried again.
+			// Measurements from before the ban would keep a worker that was slow then from ever being tried again.
 			gone := r.deciderWorker(worker)
 			gone.State = choice.Terminated
 			r.decider.List(r.now, choice.ListChanges, []choice.Worker{gone})
@@ -79,7 +80,7 @@
 	r.emit(Ordered{Order: ev.Order, Fault: fault})
 }
 
-// drainOrdered begins or ends a drain by hand. One that is under way, or is not, stays so.
+// drainOrdered starts or ends a drain. An order that asks for the present state changes nothing.
 func (r *Reducer) drainOrdered(ev DrainOrdered) {
 	if r.draining == ev.End {
 		r.draining = !ev.End
@@ -88,33 +89,35 @@
 	r.emit(Ordered{Order: ev.Order})
 }
 
-// usable tells whether a worker may be sent anything new.
-func (r *Reducer) usable(h Worker) bool { return h.State == WorkerActive && !r.excluded(h.ID) }
+// usable reports whether a worker may be sent new requests.
+func (r *Reducer) usable(worker Worker) bool {
+	return worker.State == WorkerActive && !r.excluded(worker.ID)
+}
 
-// out tells whether a worker is out of use, whatever discovery says: by hand, or by a peer's newer word.
+// excluded reports whether a worker is out of use despite discovery's list: by an operator's ban, or by a hint.
 func (r *Reducer) excluded(id WorkerID) bool {
 	_, hinted := r.hints[id]
 	return hinted || r.banned[id]
 }
 
-// worker is a worker as the decision module is told of it: one that is out by hand is leaving, and one that was
-// put back has just started.
-func (r *Reducer) deciderWorker(h Worker) choice.Worker {
-	w := choice.Worker{ID: string(h.ID), Zone: h.Zone, Kind: h.Kind, Cell: h.Cell, State: workerStates[h.State],
-		Share: h.Weight, Started: max(h.Started, r.restoredAt[h.ID])}
-	if w.State == choice.InService && r.excluded(h.ID) {
-		w.State = choice.Terminating
+// deciderWorker converts a worker for the decision module: an excluded one is shown as terminating, and one that an
+// operator put back as just started.
+func (r *Reducer) deciderWorker(worker Worker) choice.Worker {
+	converted := choice.Worker{ID: string(worker.ID), Zone: worker.Zone, Kind: worker.Kind, Cell: worker.Cell, State: workerStates[worker.State],
+		Share: worker.Weight, Started: max(worker.Started, r.restoredAt[worker.ID])}
+	if converted.State == choice.InService && r.excluded(worker.ID) {
+		converted.State = choice.Terminating
 	}
-	return w
+	return converted
 }
 
-// View is what operators see of the route set.
+// View summarises the route set for operators.
 type View struct {
 	Known    int // workers in the list
-	Excluded int // of those, the ones avoided now: out by hand, or barred by the decision module
+	Excluded int // of those, the ones banned by operators or barred by the decision module
 }
 
-// View counts the route set as of now.
+// View returns the summary at the given time.
 func (r *Reducer) View(now float64) View {
 	v := View{Known: len(r.workers), Excluded: r.decider.EjectedCount(now)}
 	for id := range r.banned {
--- a/internal/core/reducer.go
+++ b/internal/core/reducer.go
@@ -1,6 +1,6 @@
-// Package core is the dispatcher's reducer: every change of state goes through Reducer.Step, which takes a
-// typed event and returns the effects it asks for. It hosts the decision module and keeps the platform's
-// rules; it knows nothing of sockets or of any protocol.
+// Package core holds the dispatcher's reducer: every change of state goes through Reducer.Step, which takes a typed
+// event and returns the effects to perform, in order. It hosts the decision module (package choice) and enforces the
+// platform's rules. It does no I/O and is independent of sockets and protocols.
 package core
 
 import (
@@ -13,14 +13,15 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// maxDiscoveryWaitS is for how long at the most a new process says that it is not ready since discovery has not answered, in seconds. Danger: who
-// is given requests before that sends them to workers that have long gone; and where discovery is down, nobody would ever be ready.
+// maxDiscoveryWaitS bounds how long a new process reports itself as not ready while discovery has not answered. If it
+// were ready at once, it would send requests to workers that left long ago; without the bound, no new process would
+// become ready during an outage of discovery.
 const maxDiscoveryWaitS = 3.0
 
-// startReportWaitS is how long a job in doubt may take to report its start, in seconds.
+// startReportWaitS is how long to wait for a worker's report that a job started after the connection to it broke.
 const startReportWaitS = 0.15
 
-// Reducer owns all state of a dispatcher. It must be used from one goroutine.
+// Reducer owns all state of a dispatcher. It is not safe for concurrent use. Times are seconds on the dispatcher's clock.
 type Reducer struct {
 	now               float64
 	settings          choice.Settings
@@ -28,58 +29,58 @@
 	tenants           map[string]int
 	decider           *choice.Dispatcher
 	requests          map[RequestID]*request
-	endedIDs          map[RequestID]bool // ids of requests that have ended, until their deadlines
+	endedIDs          map[RequestID]bool // ids of finished requests whose deadlines have not passed
 	exchanges         map[ExchangeID]*request
 	branches          map[BranchID]*branch
 	workers           map[WorkerID]Worker
 	source            Source
-	routeSetVersion   int64                // of the list that the source told
-	watching          bool                 // a watch of the source was asked for and has not been refused
-	readyAt           float64              // when it is ready whatever discovery says; 0 once that has told or refused something
-	banned            map[WorkerID]bool    // out by hand, listed or not
-	restoredAt        map[WorkerID]float64 // when a listed worker was put back by hand
-	hints             map[WorkerID]hint    // out by a peer's word, listed as active
-	nextHintRequestAt float64              // when the next question for drains may go out
-	hintsIgnoredUntil float64              // until when no hints are believed, since the source has begun anew
-	recentDrains      []HintState          // drains that were told lately, by this source or by peers
-	routeSourceName   string               // of the source, among the members of a fleet
-	draining          bool                 // by hand
-	stopping          bool                 // all that was taken has been answered, and the process ends
-	recheckPending    bool                 // the source was asked for its whole list, since what it told was odd
+	routeSetVersion   int64                // of the route set last received from the source
+	watching          bool                 // a watch of the source was requested and has not been refused
+	readyAt           float64              // when the dispatcher is ready even if discovery has not answered; 0 once it has answered or refused
+	banned            map[WorkerID]bool    // taken out of use by an operator, listed or not
+	restoredAt        map[WorkerID]float64 // when an operator put a listed worker back into use
+	hints             map[WorkerID]hint    // listed as active, but reported as draining by a peer or by a contested list
+	nextHintRequestAt float64              // earliest time of the next AskHints
+	hintsIgnoredUntil float64              // hints are ignored until then, because the source has started over
+	recentDrains      []HintState          // drains received recently from this source or from peers
+	routeSourceName   string               // the source's name within the fleet; empty for its address
+	draining          bool                 // an operator has ordered it
+	stopping          bool                 // the process is ending, and every request taken has been answered
+	recheckPending    bool                 // the source was asked for its full list because its last one was implausible
 	tally             Tally
-	fleet             *membership.View // nil where this dispatcher keeps none
-	ownVersions       membership.Says  // of itself, to the fleet
-	recorder          *audit.Recorder  // nil where there is none
-	auditProcess      uint64           // the process's number in its account
-	leaseS            float64          // seconds that it may act without touch with the fleet; 0 for any time
-	mayActUntil       float64          // when it may act no longer
-	fenceReason       string
-	heldVersions      audit.Versions // as the recorder holds them
-	sharedConfig      []byte         // the configuration's shared part, as text; empty where it is not known
-	sharedConfigFrom  string         // the member that told it; empty for the own file
-	fetchesConfigs    bool           // newer configurations are asked for at members that act on them
-	nextConfigFetchAt float64        // when the next question for one may go out
-	peerRequests      uint64         // questions that went out
-	newestHeldVersion int64          // newest version of the source's route set that was held
-	routeSetDigest    uint64         // digest of the route set, where it is summed up
+	fleet             *membership.View // nil without a fleet
+	ownVersions       membership.Says  // what this process reports of itself to the fleet
+	recorder          *audit.Recorder  // nil without an audit
+	auditProcess      uint64           // the process's number in its audit records
+	leaseS            float64          // seconds that the dispatcher may act without contact to its fleet; 0 for no limit
+	mayActUntil       float64          // nothing new may be sent from then on
+	fenceReason       string           // for operators
+	heldVersions      audit.Versions   // as the recorder has them
+	sharedConfig      []byte           // the configuration's shared part as text; empty if unknown
+	sharedConfigFrom  string           // the member it came from; empty for the local file
+	fetchesConfigs    bool             // newer configurations are requested from members that have them in force
+	nextConfigFetchAt float64          // earliest time of the next FetchConfig
+	peerRequests      uint64           // sent so far, to spread them over the peers
+	newestHeldVersion int64            // newest version of the source's route set that was in use
+	routeSetDigest    uint64           // valid if digestValid is set
 	digestValid       bool
-	contestedVersion  int64                     // newest number of a list with two contents of which only what it takes out counts; 0 for none
-	nextFullFetchAt   float64                   // when the source may be asked again for its whole list in place of one that is contested
-	loggedClashes     map[membership.Clash]bool // numbers of which it was said
-	actingMembers     int                       // members that may be acting, as last told to the decision module; 0 for the settings' number
+	contestedVersion  int64                     // newest version with conflicting contents whose removals alone are applied; 0 for none
+	nextFullFetchAt   float64                   // earliest time of the next request for the full list while one is contested
+	loggedClashes     map[membership.Clash]bool // conflicts that have been logged, without their members
+	actingMembers     int                       // members that may be acting, as last passed to the decision module; 0 for the number in the settings
 	timers            timerHeap
 	timerSeq          uint64
 	lastID            BranchID
 	effects           []Effect
-	deferred          []func() // outcomes that the decider's own actions caused; it must not be called from them
+	deferred          []func() // outcomes caused by the decision module's own actions, which must not be delivered from within them
 }
 
-// New starts a reducer from the route set that the dispatcher last held, with discovery's address. The first
-// effects come with Resume, where lists are pushed, and with the first Step.
+// New returns a reducer that starts with the route set that the dispatcher last held, and with discovery's address. The
+// first effects come from Resume, where lists are pushed, and from the first Step.
 func New(now float64, s choice.Settings, known RouteSet, discovery string) (*Reducer, error) {
 	r := newReducer(now, s)
 	r.source = Source{Addr: discovery}
-	s.TellsTaken = true // as BranchTaken
+	s.TellsTaken = true // the connections to workers report it, as BranchTaken
 	d, err := choice.New(now, s, host{r})
 	if err != nil {
 		return nil, fmt.Errorf("start the decision module: %w", err)
@@ -87,13 +88,14 @@
 	r.decider = d
 	known.Full = true
 	r.applyRouteSet(known, choice.ListRemembered)
-	// Danger: what is remembered may be old, and all that has changed since counts as told from the first moment; and where lists are pushed
-	// the module asks for nothing, but the agent that they are pushed to speaks only when it is watched. So a new process watches at once.
+	// The remembered route set may be stale, and drains ordered since must be honoured from the start. Where lists are
+	// pushed the decision module requests nothing, but the agent that receives the pushes reports only to a watcher. A
+	// new process therefore opens a watch at once.
 	r.watching, r.readyAt = true, now+maxDiscoveryWaitS
 	return r, nil
 }
 
-// empty makes a reducer without a decision module.
+// newReducer returns a reducer without a decision module.
 func newReducer(now float64, s choice.Settings) *Reducer {
 	r := &Reducer{now: now, settings: s, classes: map[string]int{}, tenants: map[string]int{}, requests: map[RequestID]*request{},
 		endedIDs: map[RequestID]bool{}, exchanges: map[ExchangeID]*request{}, branches: map[BranchID]*branch{}, workers: map[WorkerID]Worker{},
@@ -107,7 +109,7 @@
 	return r
 }
 
-// Due tells when the reducer next wants a Tick.
+// NextTimer returns the time at which the reducer next needs a Tick; false if no timer is pending.
 func (r *Reducer) NextTimer() (float64, bool) {
 	if len(r.timers) == 0 {
 		return 0, false
@@ -115,11 +117,11 @@
 	return r.timers[0].at, true
 }
 
-// Step applies one event at the given time, then the timers that are due, and returns the effects to carry
-// out, in order. Danger: timers first would send branches to a worker whose drain the event tells, and
-// time out what the event says is done.
+// Step applies one event at the given time, then fires the timers that are due, and returns the effects to perform, in
+// order. If timers came first, they would send branches to a worker that the event drains, and time out a job that
+// the event reports as done.
 func (r *Reducer) Step(now float64, ev Event) []Effect {
-	r.now = max(r.now, now) // the clock never runs backwards for the decider
+	r.now = max(r.now, now) // the decision module requires a clock that never runs backwards
 	last := r.timerSeq
 	switch ev := ev.(type) {
 	case CallArrived:
@@ -157,7 +159,7 @@
 		r.jobReported(ev)
 	case RouteSetTold:
 		if ev.Source != r.source {
-			break // danger: an old source's list may be older than what the new one has told
+			break // a list of the previous source may be older than what the new one has sent
 		}
 		r.readyAt = 0
 		r.routeSetTold(ev.RouteSet)
@@ -191,7 +193,7 @@
 
 func (r *Reducer) emit(e Effect) { r.effects = append(r.effects, e) }
 
-// settle delivers the outcomes that the decider's own actions have caused.
+// runDeferred delivers the outcomes caused by the decision module's own actions.
 func (r *Reducer) runDeferred() {
 	for len(r.deferred) > 0 {
 		next := r.deferred[0]
@@ -200,11 +202,11 @@
 	}
 }
 
-// stop answers all that callers wait for, since nothing will answer it later. Busy is a promise that asking
-// again is harmless, so only what never ran, or may be repeated freely, is told that.
+// stop answers every request that a caller is waiting for, since nothing will answer it later. Busy promises that
+// a repeat is harmless, so it is given only to requests that never ran or are idempotent.
 func (r *Reducer) stop() {
 	r.stopping = true
-	for _, exchange := range slices.Sorted(maps.Keys(r.exchanges)) { // in order, so that twins do alike
+	for _, exchange := range slices.Sorted(maps.Keys(r.exchanges)) { // sorted, so that two versions given the same events return the same effects
 		q := r.exchanges[exchange]
 		a := Answer{Verdict: Busy, Reason: "stopping"}
 		if len(q.branches) > 0 && r.effectOf(q) != choice.Idempotent {
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -4,14 +4,14 @@
 	"foldlb.example/foldlb/choice"
 )
 
-// Requests: from a call to its only answer.
+// Requests, from the call to their final answer.
 
-// request is a caller's request until it is answered and its last branch has ended.
+// request is a caller's request, kept until it is answered and its last branch has ended.
 type request struct {
 	call     Call
-	deadline float64
+	deadline float64 // on the dispatcher's clock, seconds
 	branches []*branch
-	open     int  // branches that have not ended
+	open     int  // number of branches that have not ended
 	closed   bool // the final answer was given, or is no longer owed
 }
 
@@ -26,24 +26,24 @@
 		r.emit(Answer{Exchange: c.Exchange, Verdict: Rejected, Reason: "unknown class"})
 		return
 	case r.requests[c.ID] != nil || r.endedIDs[c.ID]:
-		// An id used twice would mix up the two requests' call-backs, and a worker may still know the first.
+		// Callbacks of two requests with the same id could not be told apart, and a worker may still know the first one.
 		r.emit(Answer{Exchange: c.Exchange, Verdict: Rejected, Reason: "request id in use"})
 		return
 	case c.Remaining <= 0:
 		r.emit(Answer{Exchange: c.Exchange, Verdict: Failed, Reason: "no time remains"})
 		return
 	case r.fenced():
-		r.emit(Answer{Exchange: c.Exchange, Verdict: Busy, Reason: "shut out"}) // asking elsewhere is harmless
+		r.emit(Answer{Exchange: c.Exchange, Verdict: Busy, Reason: "shut out"}) // never sent, so the caller may try another dispatcher
 		return
 	case r.stopping:
-		r.emit(Answer{Exchange: c.Exchange, Verdict: Busy, Reason: "stopping"}) // danger: the process ends before an attempt could
+		r.emit(Answer{Exchange: c.Exchange, Verdict: Busy, Reason: "stopping"}) // the process ends before an attempt could finish
 		return
 	case r.settings.OpenCap > 0 && len(r.exchanges) >= r.settings.OpenCap:
 		r.emit(Answer{Exchange: c.Exchange, Verdict: Busy, Reason: "too many open requests"})
 		return
 	}
-	if most := r.settings.Classes[class].Deadline; most > 0 {
-		c.Remaining = min(c.Remaining, most) // danger: a caller that says it waits for an hour is remembered for one
+	if maxRemaining := r.settings.Classes[class].Deadline; maxRemaining > 0 {
+		c.Remaining = min(c.Remaining, maxRemaining) // otherwise a caller that states an hour would keep its request in memory for an hour
 	}
 	q := &request{call: c, deadline: r.now + c.Remaining}
 	r.tally.Calls++
@@ -62,8 +62,8 @@
 	}
 }
 
-// expire ends a request at its caller's deadline. Open branches time out first, which lets the decider
-// word the answer; where it says nothing the request fails, since no request may go unanswered.
+// expire ends a request at its caller's deadline. Open branches time out first, so that the decision module can choose
+// the answer; if it gives none, the request fails, since every request must be answered.
 func (r *Reducer) expire(q *request) {
 	for _, b := range q.branches {
 		if !b.ended {
@@ -78,12 +78,12 @@
 	}
 }
 
-// effect tells what a repeat of the request would do.
+// effectOf returns the effect of repeating the request, according to its class.
 func (r *Reducer) effectOf(q *request) choice.Effect {
 	return r.settings.Classes[r.classes[q.call.Class]].Effect
 }
 
-// answer gives the one final answer of a request.
+// answer gives a request its final answer.
 func (r *Reducer) answer(q *request, a Answer) {
 	a.Exchange = q.call.Exchange
 	r.recordAct(auditKinds[a.Verdict], q, "")
@@ -99,8 +99,8 @@
 	r.finish(q)
 }
 
-// finish marks that nothing more is owed to the caller, and gives up what is still out for it. Danger: an attempt whose connection is
-// still being opened would be sent when that comes up, long after its caller has gone or was answered.
+// finish records that the caller is owed nothing more, and gives up the request's open branches. Otherwise a branch whose
+// connection is still being opened would be sent once it is up, long after the caller was answered or has left.
 func (r *Reducer) finish(q *request) {
 	q.closed = true
 	q.call.Message = Message{}
@@ -108,13 +108,13 @@
 	for _, b := range q.branches {
 		if !b.ended {
 			r.giveUp(b)
-			r.deferred = append(r.deferred, func() { r.endBranch(b, choice.TimedOut, nil) }) // it tells nothing of its worker
+			r.deferred = append(r.deferred, func() { r.endBranch(b, choice.TimedOut, nil) }) // counts neither for nor against the worker
 		}
 	}
 	r.removeIfDone(q)
 }
 
-// forget drops a request that is answered and has no open branch.
+// removeIfDone removes a request that is answered and has no open branch.
 func (r *Reducer) removeIfDone(q *request) {
 	if q.closed && q.open == 0 {
 		delete(r.requests, q.call.ID)
--- a/internal/core/routeset.go
+++ b/internal/core/routeset.go
@@ -7,12 +7,12 @@
 	"foldlb.example/foldlb/choice"
 )
 
-// What the reducer takes from discovery and from a reload.
+// Updates from discovery, and reloads of the settings.
 
 var workerStates = map[WorkerState]choice.State{WorkerActive: choice.InService, WorkerLeaving: choice.Terminating,
 	WorkerLeft: choice.Terminated}
 
-// applyRouteSet takes discovery's news before any later branch is sent.
+// applyRouteSet applies a route set from discovery before any later branch is sent.
 func (r *Reducer) applyRouteSet(set RouteSet, form choice.ListForm) {
 	r.routeSetVersion = set.Version
 	before := maps.Clone(r.workers)
@@ -20,27 +20,27 @@
 		r.workers = make(map[WorkerID]Worker, len(set.Workers))
 	}
 	list := make([]choice.Worker, 0, len(set.Workers))
-	for _, h := range set.Workers {
-		r.workers[h.ID] = h
+	for _, worker := range set.Workers {
+		r.workers[worker.ID] = worker
 	}
-	restored := r.dropAnsweredHints(set.Version) // discovery's own word
-	for _, h := range set.Workers {
-		list = append(list, r.deciderWorker(h))
+	restored := r.dropAnsweredHints(set.Version) // hints that discovery's own list has now superseded
+	for _, worker := range set.Workers {
+		list = append(list, r.deciderWorker(worker))
 	}
 	if !set.Full {
-		for _, h := range restored {
-			list = append(list, r.deciderWorker(h))
+		for _, worker := range restored {
+			list = append(list, r.deciderWorker(worker))
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(before)) {
-		h := before[id]
+		worker := before[id]
 		now, listed := r.workers[id]
-		if h.State == WorkerActive && (!listed || now.State != WorkerActive || now.Addr != h.Addr) {
-			r.emit(DropWorker{Addr: h.Addr})
+		if worker.State == WorkerActive && (!listed || now.State != WorkerActive || now.Addr != worker.Addr) {
+			r.emit(DropWorker{Addr: worker.Addr})
 		}
 	}
-	for id, h := range r.workers {
-		if h.State == WorkerLeft {
+	for id, worker := range r.workers {
+		if worker.State == WorkerLeft {
 			delete(r.workers, id)
 		}
 	}
@@ -56,8 +56,8 @@
 	}
 }
 
-// reloaded applies a configuration read again. A new source is asked for its whole list at once; its version
-// numbers have nothing to do with the old one's.
+// reloaded applies reloaded settings. A new source is asked for its full list at once; its version numbers are unrelated
+// to those of the previous source.
 func (r *Reducer) reloaded(ev Reloaded) {
 	r.emit(SetLimits{Limits: ev.Limits})
 	if ev.Discovery == r.source.Addr {
@@ -66,7 +66,7 @@
 	r.source = Source{Addr: ev.Discovery, No: r.source.No + 1}
 	r.routeSetVersion, r.newestHeldVersion, r.watching, r.recheckPending = VersionUnknown, VersionUnknown, true, false
 	r.recentDrains, r.contestedVersion = nil, 0
-	clear(r.hints) // of the old source; each worker that is still out is told by the new one
+	clear(r.hints) // they refer to the previous source; the new one lists each worker that is still draining
 	r.heldVersions.Begun++
 	r.recordHeldVersions()
 	r.emit(Watch{On: true, Source: r.source, Since: r.routeSetVersion})
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -10,35 +10,35 @@
 	"foldlb.example/foldlb/choice"
 )
 
-// State is all that a reducer remembers, as a value: what a successor needs to go on without a seam. Times are
-// seconds on the dispatcher's clock.
+// State is a reducer's complete state as a value that can be encoded: a successor process that imports it
+// continues with the same decisions. Times are seconds on the dispatcher's clock.
 type State struct {
 	Now      float64
 	Source   Source
-	Version  int64 // of the route set that the source told; VersionUnknown before the first
-	Watching bool
-	Workers  []Worker `cbor:"Hops"` // by id
-	LastID   BranchID
-	TimerSeq uint64
-	Timers   []TimerState   // in the order in which they come due
-	Requests []RequestState // by id
-	Spent    []RequestID    // ids of requests that have ended, before their deadlines
-	Banned   []WorkerID     `cbor:",omitempty"` // out by hand
-	Returned []ReturnState  `cbor:",omitempty"` // put back by hand
-	Draining bool           // by hand
-	Doubted  bool           `cbor:",omitempty"` // the source was asked for its whole list, since what it told was odd
-	Fleet    *FleetState    `cbor:",omitempty"`
-	Audit    *AuditState    `cbor:",omitempty"`
+	Version  int64          // of the route set last received; VersionUnknown before the first
+	Watching bool           // a watch of the source is open
+	Workers  []Worker       `cbor:"Hops"` // sorted by id
+	LastID   BranchID       // of the newest branch
+	TimerSeq uint64         // of the newest timer
+	Timers   []TimerState   // sorted by due time, then by Seq
+	Requests []RequestState // sorted by request id
+	Spent    []RequestID    // ids of finished requests whose deadlines have not passed
+	Banned   []WorkerID     `cbor:",omitempty"` // workers that operators took out of use
+	Returned []ReturnState  `cbor:",omitempty"` // workers that operators put back into use
+	Draining bool           // an operator has ordered this dispatcher to drain
+	Doubted  bool           `cbor:",omitempty"` // the source was asked for its full list because its last one was implausible
+	Fleet    *FleetState    `cbor:",omitempty"` // nil without a view of the fleet
+	Audit    *AuditState    `cbor:",omitempty"` // nil without an audit recorder
 	Decider  choice.Snapshot
 }
 
-// ReturnState is a worker that was put back by hand, and when.
+// ReturnState is a worker that an operator put back into use, and the time of that order.
 type ReturnState struct {
 	Worker WorkerID `cbor:"Hop"`
 	At     float64
 }
 
-// TimerState is a timer that is set. Which of the last five fields count depends on Kind.
+// TimerState is a pending timer. Kind determines which of the last five fields are used.
 type TimerState struct {
 	At       float64
 	Seq      uint64
@@ -50,11 +50,11 @@
 	Token    uint64     `cbor:",omitempty"`
 }
 
-// RequestState is a request that is unanswered, or has an open branch.
+// RequestState is a request that has not been answered or still has an open branch.
 type RequestState struct {
 	Call     Call
 	Deadline float64
-	Over     bool
+	Over     bool // the final answer was given, or is no longer owed
 	Branches []BranchState
 }
 
@@ -63,30 +63,31 @@
 	ID      BranchID
 	Worker  WorkerID `cbor:"Hop"`
 	Addr    string
-	Sent    float64
+	Sent    float64 // time at which the branch was opened
 	Ended   bool
-	Begun   bool
-	InDoubt bool
+	Begun   bool   // the worker reported that the job started
+	InDoubt bool   // the connection broke, and a report of the job's start is awaited
 	Zone    string `cbor:",omitempty"`
 	Cell    int    `cbor:",omitempty"`
-	// How it ended, or will once it is released; an older program's is Done, which may have run.
+	// The outcome; of a branch that is given up, the outcome it will have once it is released. A state from a version
+	// without this field has Done here, which is treated as "may have run".
 	Code     choice.Code `cbor:",omitempty"`
-	GivenUp  bool        `cbor:",omitempty"`
-	Released bool        `cbor:",omitempty"`
+	GivenUp  bool        `cbor:",omitempty"` // its worker is being told that nobody waits for the branch
+	Released bool        `cbor:",omitempty"` // as far as the worker or this machine can know, nothing of the branch runs or will run
 }
 
-// ErrState says that a state can't be taken up. Import's errors wrap it and name what does not fit.
+// ErrState means that a state is inconsistent and can't be imported. Errors of Import wrap it and name the fault.
 var ErrState = errors.New("core: state not usable")
 
 const (
-	maxCounter = 1 << 62 // of what counts up
-	maxTimeS   = 1e12    // seconds
+	maxCounter = 1 << 62 // of ids, sequence numbers and tokens
+	maxTimeS   = 1e12
 )
 
 func isTime(t float64) bool { return t >= -maxTimeS && t <= maxTimeS }
 
-// Export returns all that the reducer remembers, between two steps. Messages' bodies are shared with the
-// reducer, which never writes to them; everything else is a copy.
+// Export returns the reducer's complete state; it must be called between two steps. Message bodies are shared with
+// the reducer, which never writes to them; everything else is a copy. The lists are unsorted, see Sort.
 func (r *Reducer) Export() (State, error) {
 	decider, err := r.decider.Export()
 	if err != nil {
@@ -123,8 +124,8 @@
 	return s, nil
 }
 
-// Sort puts everything into the order that its fields name. Export leaves it to whoever writes the state down, since
-// the reducer stands still for as long as an export takes.
+// Sort sorts the lists as the fields of State document. Export leaves this to the code that encodes the state, because
+// the reducer is stopped for as long as an export takes.
 func (s *State) Sort() {
 	slices.SortFunc(s.Workers, func(a, b Worker) int { return cmp.Compare(a.ID, b.ID) })
 	slices.SortFunc(s.Timers, func(a, b TimerState) int {
@@ -136,12 +137,12 @@
 	slices.SortFunc(s.Returned, func(a, b ReturnState) int { return cmp.Compare(a.Worker, b.Worker) })
 }
 
-// Import makes a reducer that goes on where the exported one stood: the same events at the same times have the
-// same effects. Classes, tenants and figures of the settings may differ from the exported one's, as
-// choice.Restore says. A state that does not fit together is an error that wraps ErrState or choice.ErrState.
+// Import returns a reducer that continues from an exported state: the same events at the same times have the same
+// effects. Classes, tenants and numeric settings may differ from those of the exporting process, within the limits
+// documented at choice.Restore. For an inconsistent state it returns an error that wraps ErrState or choice.ErrState.
 func Import(s choice.Settings, st State) (*Reducer, error) {
-	// Danger: numbers near their ends would wrap, and a timer that sets itself anew would fire without end; times
-	// that are no numbers compare as neither before nor after.
+	// Counters near the end of their range would wrap around, and a timer that reschedules itself would then fire
+	// forever. NaN times compare as neither before nor after any other.
 	if st.TimerSeq > maxCounter || uint64(st.LastID) > maxCounter || st.Decider.Scalars.Token > maxCounter {
 		return nil, fmt.Errorf("%w: a running number is over %d", ErrState, uint64(maxCounter))
 	}
@@ -151,7 +152,7 @@
 	r := newReducer(st.Now, s)
 	r.source, r.routeSetVersion, r.watching, r.lastID, r.timerSeq = st.Source, st.Version, st.Watching, st.LastID, st.TimerSeq
 	for i, h := range st.Workers {
-		if _, twice := r.workers[h.ID]; twice || h.State < WorkerActive || h.State > WorkerLeft {
+		if _, duplicate := r.workers[h.ID]; duplicate || h.State < WorkerActive || h.State > WorkerLeft {
 			return nil, fmt.Errorf("%w: worker %d (%q) is there twice or in no state", ErrState, i, h.ID)
 		}
 		r.workers[h.ID] = h
@@ -197,7 +198,7 @@
 	if r.actingMembers > 0 {
 		s.Dispatchers = r.actingMembers
 	}
-	s.TellsTaken = true // as BranchTaken
+	s.TellsTaken = true // the connections to workers report it, as BranchTaken
 	d, err := choice.Restore(s, host{r}, st.Decider)
 	if err != nil {
 		return nil, err
@@ -206,41 +207,42 @@
 	return r, nil
 }
 
-func (r *Reducer) importRequest(q RequestState) error {
-	if _, known := r.classes[q.Call.Class]; !known {
-		return fmt.Errorf("%w: it is of class %q, which the settings do not name", ErrState, q.Call.Class)
+func (r *Reducer) importRequest(st RequestState) error {
+	if _, known := r.classes[st.Call.Class]; !known {
+		return fmt.Errorf("%w: it is of class %q, which the settings do not name", ErrState, st.Call.Class)
 	}
-	if r.requests[q.Call.ID] != nil || r.endedIDs[q.Call.ID] || r.exchanges[q.Call.Exchange] != nil {
-		return fmt.Errorf("%w: id %q or exchange %d is there twice", ErrState, q.Call.ID, q.Call.Exchange)
+	if r.requests[st.Call.ID] != nil || r.endedIDs[st.Call.ID] || r.exchanges[st.Call.Exchange] != nil {
+		return fmt.Errorf("%w: id %q or exchange %d is there twice", ErrState, st.Call.ID, st.Call.Exchange)
 	}
-	if !isTime(q.Deadline) {
-		return fmt.Errorf("%w: deadline %v", ErrState, q.Deadline)
+	if !isTime(st.Deadline) {
+		return fmt.Errorf("%w: deadline %v", ErrState, st.Deadline)
 	}
-	to := &request{call: q.Call, deadline: q.Deadline, closed: q.Over}
-	for no, b := range q.Branches {
+	imported := &request{call: st.Call, deadline: st.Deadline, closed: st.Over}
+	for no, b := range st.Branches {
 		if b.ID > r.lastID || r.branches[b.ID] != nil {
 			return fmt.Errorf("%w: branch %d is there twice or not given out yet", ErrState, b.ID)
 		}
-		own := &branch{id: b.ID, no: no, req: to, worker: b.Worker, addr: b.Addr, sent: b.Sent, ended: b.Ended, started: b.Begun,
+		restored := &branch{id: b.ID, no: no, req: imported, worker: b.Worker, addr: b.Addr, sent: b.Sent, ended: b.Ended, started: b.Begun,
 			inDoubt: b.InDoubt, zone: b.Zone, cell: b.Cell, code: b.Code, givenUp: b.GivenUp, released: b.Released}
-		to.branches = append(to.branches, own)
+		imported.branches = append(imported.branches, restored)
 		if !b.Ended {
-			to.open++
-			r.branches[b.ID] = own
+			imported.open++
+			r.branches[b.ID] = restored
 		}
 	}
-	if to.closed && to.open == 0 {
-		return fmt.Errorf("%w: %q is over and has nothing open", ErrState, q.Call.ID)
+	if imported.closed && imported.open == 0 {
+		return fmt.Errorf("%w: %q is over and has nothing open", ErrState, st.Call.ID)
 	}
-	r.requests[q.Call.ID] = to
-	if !to.closed {
-		r.exchanges[q.Call.Exchange] = to
+	r.requests[st.Call.ID] = imported
+	if !imported.closed {
+		r.exchanges[st.Call.Exchange] = imported
 	}
 	return nil
 }
 
-// Resume returns the effects that are performed before the first step. A predecessor's watch does not pass on: what
-// was told meanwhile is told again from the version held. And where lists are pushed, nobody asks for the first watch.
+// Resume returns the effects to perform before the first step. A predecessor's watch is not handed over: the new one
+// starts from the version held, so changes made in between are sent again. Where lists are pushed, the decision module
+// never requests the first watch, so it is opened here.
 func (r *Reducer) Resume() []Effect {
 	if !r.watching {
 		return nil
@@ -248,13 +250,14 @@
 	return []Effect{Watch{On: true, Source: r.source, Since: r.routeSetVersion}}
 }
 
-// ProcessStalled says that everything was held until now, so that the time is not taken for slowness of the workers.
+// ProcessStalled reports that the process was stopped until now, so that the decision module does not count this time
+// as latency of the workers.
 func (r *Reducer) ProcessStalled() { r.decider.ProcessStalled() }
 
-// Open counts the requests that callers wait for.
+// OpenRequests returns the number of requests that callers are waiting for.
 func (r *Reducer) OpenRequests() int { return len(r.exchanges) }
 
-// Open counts the requests that callers wait for.
+// OpenRequests returns the number of requests that callers are waiting for.
 func (s *State) OpenRequests() int {
 	n := 0
 	for _, q := range s.Requests {
@@ -265,5 +268,5 @@
 	return n
 }
 
-// Draining tells whether callers are sent away by hand, which a successor goes on with.
+// Draining reports whether an operator has ordered this dispatcher to drain. A successor continues the drain.
 func (r *Reducer) Draining() bool { return r.draining }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -6,26 +6,26 @@
 	"foldlb.example/foldlb/choice"
 )
 
-// Timers are records, so that they pass on with the state.
+// Timers are plain records, so that they can be handed over with the state.
 
-// timerKind says what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 const (
 	timerExpire      timerKind = iota + 1 // a request's deadline
-	timerBranch                           // a branch's end before that
-	timerStartReport                      // the end of the wait for a start that was in doubt
-	timerDecider                          // the decision module's own
+	timerBranch                           // a branch's time-out before that deadline
+	timerStartReport                      // the end of the wait for a start report after a broken connection
+	timerDecider                          // requested by the decision module
 )
 
-// timer says what is to be done when its time has come. It is a record, not a function, so that it can be written
-// down and taken up by another process.
-type timer struct {
-	at       float64
+// timer is an action to take at a given time. It is a record rather than a function, so that it can be encoded and
+// handed over to another process.
+type timer struct { // seconds on the dispatcher's clock
+	at       float64 // order of creation, which breaks ties
 	seq      uint64
 	kind     timerKind
 	request  RequestID  // timerExpire
-	exchange ExchangeID // timerExpire: ids may be used again, exchanges are not
+	exchange ExchangeID // timerExpire: a request id may be reused after its deadline, an exchange id is not
 	branch   BranchID   // timerBranch, timerStartReport
 	fault    Fault      // timerStartReport
 	token    uint64     // timerDecider
@@ -51,15 +51,15 @@
 	return t
 }
 
-// after sets a timer.
+// setTimer schedules a timer for the given time.
 func (r *Reducer) setTimer(at float64, t timer) {
 	r.timerSeq++
 	t.at, t.seq = at, r.timerSeq
 	heap.Push(&r.timers, t)
 }
 
-// fireTimers runs what is due, up to the last timer set before this step: the decider expects those that it
-// sets meanwhile in a later one.
+// fireTimers fires the timers that are due, up to sequence number last. Timers set during this step wait for a later one,
+// as the decision module expects.
 func (r *Reducer) fireTimers(last uint64) {
 	for len(r.timers) > 0 && r.timers[0].at <= r.now && r.timers[0].seq <= last {
 		r.fire(heap.Pop(&r.timers).(timer))
