--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -24,7 +24,7 @@
 	return config
 }
 
-func TestParseReadsWhatIsThereAndFillsInTheRest(t *testing.T) {
+func TestParseAppliesDefaults(t *testing.T) {
 	config := parseSmall(t)
 	must.Eq(t, 5, config.Version)
 	must.Eq(t, defaultRetries, config.Routes[0].Retries)
@@ -36,13 +36,13 @@
 	must.Eq(t, 1000, config.Limits.MaxBodyBytes)
 }
 
-func TestMarshalGivesBackWhatWasSent(t *testing.T) {
+func TestMarshalReturnsTheOriginalBytes(t *testing.T) {
 	data, err := parseSmall(t).Marshal()
 	must.NoError(t, err)
 	must.Eq(t, small, string(data))
 }
 
-func TestParseRefusesAndNamesTheFault(t *testing.T) {
+func TestParseReportsTheFault(t *testing.T) {
 	cases := []struct{ name, old, new, item, key string }{
 		{"cut off", `"more":{}}`, `"more":{`, "configuration", ""},
 		{"more behind", `"more":{}}`, `"more":{}} {}`, "configuration", ""},
@@ -104,7 +104,7 @@
 	must.SliceLen(t, 2, config.Routes)
 }
 
-func TestApplyUpdateChecksTheWhole(t *testing.T) {
+func TestApplyUpdateValidatesTheResult(t *testing.T) {
 	for _, patch := range []string{
 		`{"version":6,"remove":{"services":["s1"]}}`,
 		`{"version":5}`,
@@ -123,13 +123,13 @@
 	}
 }
 
-func TestApplyUpdateToNothing(t *testing.T) {
+func TestApplyUpdateToEmptyConfiguration(t *testing.T) {
 	config, err := ApplyUpdate(nil, []byte(`{"version":1,"upsert":{"services":[{"name":"s"}]}}`))
 	must.NoError(t, err)
 	must.SliceLen(t, 1, config.Services)
 }
 
-func TestMatchTakesHostAndLongestPrefix(t *testing.T) {
+func TestMatchSelectsHostAndLongestPrefix(t *testing.T) {
 	table := NewTable(parseSmall(t))
 	cases := []struct{ host, path, route string }{
 		{"one.example", "/a/x", "r1"},
@@ -182,7 +182,7 @@
 	return parsed
 }
 
-func TestMatchAgreesWithASearchThroughAllRoutes(t *testing.T) {
+func TestMatchAgreesWithLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := reparse(t, drawConfig(t, 1))
 		table := NewTable(config)
@@ -202,7 +202,7 @@
 	})
 }
 
-func TestUpdateFromOneConfigurationToAnotherGivesTheOther(t *testing.T) {
+func TestApplyUpdateTransformsOneConfigurationIntoTheOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := reparse(t, drawConfig(t, 1)), reparse(t, drawConfig(t, 2))
 		change := patch{Version: 2}
--- a/internal/catalog/change_test.go
+++ b/internal/catalog/change_test.go
@@ -40,7 +40,7 @@
 	return string(data)
 }
 
-func TestDifferenceLeadsFromOneConfigurationToTheOther(t *testing.T) {
+func TestDifferenceTransformsOneConfigurationIntoTheOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawItems(t, 3), drawItems(t, 8)
 		before := sortedItems(t, from)
@@ -55,14 +55,14 @@
 	})
 }
 
-func TestDigestTellsConfigurationsApart(t *testing.T) {
+func TestDigestDistinguishesConfigurations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, other := drawItems(t, 3), drawItems(t, 3)
 		must.Eq(t, sortedItems(t, one) == sortedItems(t, other), one.Digest() == other.Digest())
 	})
 }
 
-func TestChangeThatCanNotBeReadIsRefused(t *testing.T) {
+func TestInvalidChangeIsRejected(t *testing.T) {
 	_, err := ParseChange([]byte(`{"version":`))
 	must.Error(t, err)
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestOnlyForItsOwner: nobody else may open the socket.
-func TestOnlyForItsOwner(t *testing.T) {
+// TestSocketIsForItsOwnerOnly: nobody else may open the socket.
+func TestSocketIsForItsOwnerOnly(t *testing.T) {
 	_, path := serve(t)
 	info, err := os.Stat(path)
 	if err != nil || info.Mode().Perm() != 0o600 {
@@ -87,8 +87,8 @@
 	again.Close()
 }
 
-// TestHostileQuestions: what is no question gets an error, and the server goes on.
-func TestHostileQuestions(t *testing.T) {
+// TestMalformedQuestions: what is no question gets an error, and the server goes on.
+func TestMalformedQuestions(t *testing.T) {
 	_, path := serve(t)
 	for text, want := range map[string]string{
 		"nonsense\n":    "not a question",
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestLeft: a server that has left ends questions without a word, so that they are asked again.
-func TestLeft(t *testing.T) {
+// TestServerThatHasLeftDoesNotAnswer: a server that has left ends questions without a word, so that they are asked again.
+func TestServerThatHasLeftDoesNotAnswer(t *testing.T) {
 	s, path := serve(t)
 	s.Leave()
 	if err := Ask(path, "count", 1, nil); err == nil || !strings.Contains(err.Error(), "without an answer") {
--- a/internal/core/conflict_test.go
+++ b/internal/core/conflict_test.go
@@ -9,15 +9,15 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// peerOn is another member that acts on a route set and a configuration.
-func peerOn(seq uint64, routes, config membership.Version) membership.Record {
-	m := other(membership.Serving, membership.Fine)
+// peerWithVersions returns the record of another member with the given route set and configuration.
+func peerWithVersions(seq uint64, routes, config membership.Version) membership.Record {
+	m := peerRecord(membership.Serving, membership.Fine)
 	m.Seq, m.Routes, m.Config = seq, routes, config
 	return m
 }
 
-// states is a list of workers in the states named: a active, l leaving.
-func states(all string) (list []Worker) {
+// workersInStates returns workers a, b, ... in the given states: 'a' for active, 'l' for leaving.
+func workersInStates(all string) (list []Worker) {
 	for i, s := range all {
 		h := workers(string(rune('a' + i)))[0]
 		if s == 'l' {
@@ -28,7 +28,7 @@
 	return list
 }
 
-func usable(r *Reducer) (ids string) {
+func usableWorkers(r *Reducer) (ids string) {
 	for id := 'a'; id <= 'z'; id++ {
 		if h, listed := r.workers[WorkerID(id)]; listed && r.usable(h) {
 			ids += string(id)
@@ -37,7 +37,7 @@
 	return ids
 }
 
-func logged(effects []Effect) (all string) {
+func logText(effects []Effect) (all string) {
 	for _, e := range effects {
 		if l, is := e.(Log); is {
 			all += l.Text + "\n"
@@ -46,7 +46,7 @@
 	return all
 }
 
-func fetched(effects []Effect) (n int) {
+func countFetches(effects []Effect) (n int) {
 	for _, e := range effects {
 		if _, is := e.(FetchRouteSet); is {
 			n++
@@ -55,50 +55,51 @@
 	return n
 }
 
-// TestContestedListOnlyTakesOut: of a number that a peer holds with another content only drains count, through a hand-over, until a number
-// comes that all agree on.
-func TestContestedListOnlyTakesOut(t *testing.T) {
-	r := member(t, "a", "b", "c", "d") // version 1
-	r.Step(2, FleetTold{Records: []membership.Record{peerOn(3, membership.Version{No: 5, Digest: 77, Source: "s"}, membership.Version{})}})
-	said := r.Step(3, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 5, Full: true, Workers: states("laaaa")}}) // a drains, e arrives
-	if usable(r) != "bcd" || r.routeSetVersion != 1 || !strings.Contains(logged(said), "two contents") {
-		t.Fatalf("acts on %q as of %d: %s", usable(r), r.routeSetVersion, logged(said))
-	}
-	if got := hintsOf(said); !reflect.DeepEqual(got, []Hint{{"a", 5, "s"}}) {
-		t.Errorf("passed on %v", got)
-	}
-	said = r.Step(3.1, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 6, Workers: states("aal")[2:]}}) // changes upon what is not held
-	if usable(r) != "bd" || r.routeSetVersion != 1 {
-		t.Fatalf("after changes: %q as of %d", usable(r), r.routeSetVersion)
-	}
-	if got := hintsOf(said); !reflect.DeepEqual(got, []Hint{{"c", 6, "s"}}) {
-		t.Errorf("passed on of the changes: %v", got)
-	}
-	r.Step(3.2, FleetHinted{Hints: []Hint{{"a", 7, "s"}}}) // a peer says the same of a, later; what discovery told here stays its own word
+// TestContestedListAppliesOnlyRemovals: if a peer holds a version with other contents, only the drains of the list received
+// here are applied, also after a handover, until a version arrives on which all members agree.
+func TestContestedListAppliesOnlyRemovals(t *testing.T) {
+	r := fleetMember(t, "a", "b", "c", "d") // version 1
+	r.Step(2, FleetTold{Records: []membership.Record{peerWithVersions(3, membership.Version{No: 5, Digest: 77, Source: "s"}, membership.Version{})}})
+	effects := r.Step(3, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 5, Full: true, Workers: workersInStates("laaaa")}}) // a drains, e is added
+	if usableWorkers(r) != "bcd" || r.routeSetVersion != 1 || !strings.Contains(logText(effects), "two contents") {
+		t.Fatalf("uses %q at version %d: %s", usableWorkers(r), r.routeSetVersion, logText(effects))
+	}
+	if got := hintsOf(effects); !reflect.DeepEqual(got, []Hint{{"a", 5, "s"}}) {
+		t.Errorf("announced %v", got)
+	}
+	effects = r.Step(3.1, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 6, Workers: workersInStates("aal")[2:]}}) // changes relative to a list that was not adopted
+	if usableWorkers(r) != "bd" || r.routeSetVersion != 1 {
+		t.Fatalf("after changes: %q at version %d", usableWorkers(r), r.routeSetVersion)
+	}
+	if got := hintsOf(effects); !reflect.DeepEqual(got, []Hint{{"c", 6, "s"}}) {
+		t.Errorf("announced of the changes: %v", got)
+	}
+	r.Step(3.2, FleetHinted{Hints: []Hint{{"a", 7, "s"}}}) // a peer reports a's drain too; the drain still counts as reported by discovery
 	st, err := r.Export()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err = Import(settings(choice.Idempotent), st); err != nil {
+	if r, err = Import(testSettings(choice.Idempotent), st); err != nil {
 		t.Fatal(err)
 	}
-	if n := fetched(r.Step(3+contestedFetchIntervalS+1, FleetLooked{})); n != 1 || usable(r) != "bd" {
-		t.Errorf("asked %d times for the whole list, %q in use", n, usable(r))
+	if n := countFetches(r.Step(3+contestedFetchIntervalS+1, FleetLooked{})); n != 1 || usableWorkers(r) != "bd" {
+		t.Errorf("%d requests for the full list, %q in use", n, usableWorkers(r))
 	}
 	r.Step(3+hintLifetimeS+5, FleetLooked{})
-	if usable(r) != "bd" {
-		t.Errorf("discovery's own drains end by time: %q", usable(r))
+	if usableWorkers(r) != "bd" {
+		t.Errorf("drains from discovery expire: %q", usableWorkers(r))
 	}
-	r.Step(3+hintLifetimeS+6, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 7, Full: true, Workers: states("lalaa")}})
-	if usable(r) != "bde" || r.routeSetVersion != 7 || r.contestedVersion != 0 {
-		t.Errorf("a number that all agree on: %q as of %d", usable(r), r.routeSetVersion)
+	r.Step(3+hintLifetimeS+6, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 7, Full: true, Workers: workersInStates("lalaa")}})
+	if usableWorkers(r) != "bde" || r.routeSetVersion != 7 || r.contestedVersion != 0 {
+		t.Errorf("after an agreed version: %q at version %d", usableWorkers(r), r.routeSetVersion)
 	}
 }
 
-// TestContestedListIsActedOn by one that does already, one that holds nothing else, and one that would lose over half; and where the
-// peer's is of another source or says the same.
-func TestContestedListIsActedOn(t *testing.T) {
-	list := RouteSet{Version: 5, Full: true, Workers: states("aaala")}
+// TestContestedListExceptions: a list is applied although a peer reports other contents if it is already in use, if no other
+// list is held, or if its removals would leave less than half of the workers; and if the peer's list is of another source
+// or has the same contents.
+func TestContestedListExceptions(t *testing.T) {
+	list := RouteSet{Version: 5, Full: true, Workers: workersInStates("aaala")}
 	for name, tc := range map[string]struct {
 		ids    string
 		list   RouteSet
@@ -106,11 +107,11 @@
 		digest uint64
 		want   string
 	}{
-		"acted on already":     {"aaaa", RouteSet{Version: 1, Workers: states("l")}, "s", 77, "bcd"},
-		"nothing else is held": {"", list, "s", 77, "abce"},
-		"over half would go":   {"aaaa", RouteSet{Version: 5, Full: true, Workers: states("llla")}, "s", 77, "d"},
-		"another source":       {"aaaa", list, "other", 77, "abce"},
-		"the same content": {"aaaa", list, "s", func() (d uint64) {
+		"already in use":     {"aaaa", RouteSet{Version: 1, Workers: workersInStates("l")}, "s", 77, "bcd"},
+		"no other list held": {"", list, "s", 77, "abce"},
+		"removes over half":  {"aaaa", RouteSet{Version: 5, Full: true, Workers: workersInStates("llla")}, "s", 77, "d"},
+		"another source":     {"aaaa", list, "other", 77, "abce"},
+		"same contents": {"aaaa", list, "s", func() (d uint64) {
 			for _, h := range list.Workers {
 				d += workerDigest(h)
 			}
@@ -121,45 +122,46 @@
 		for i := range tc.ids {
 			ids = append(ids, string(rune('a'+i)))
 		}
-		r := member(t, ids...)
-		r.Step(2, FleetTold{Records: []membership.Record{peerOn(3, membership.Version{No: tc.list.Version, Digest: tc.digest, Source: tc.source}, membership.Version{})}})
+		r := fleetMember(t, ids...)
+		r.Step(2, FleetTold{Records: []membership.Record{peerWithVersions(3, membership.Version{No: tc.list.Version, Digest: tc.digest, Source: tc.source}, membership.Version{})}})
 		r.Step(3, RouteSetTold{Source: r.source, RouteSet: tc.list})
-		if usable(r) != tc.want || r.routeSetVersion != tc.list.Version {
-			t.Errorf("%s: %q as of %d, want %q", name, usable(r), r.routeSetVersion, tc.want)
+		if usableWorkers(r) != tc.want || r.routeSetVersion != tc.list.Version {
+			t.Errorf("%s: %q at version %d, want %q", name, usableWorkers(r), r.routeSetVersion, tc.want)
 		}
 	}
 }
 
-// TestClashIsSaidOnce by a member that holds neither content, with both origins.
-func TestClashIsSaidOnce(t *testing.T) {
-	r := member(t, "a")
-	one, two := peerOn(3, membership.Version{}, membership.Version{No: 7, Digest: 1, Source: "f"}), peerOn(3, membership.Version{}, membership.Version{No: 7, Digest: 2, Source: "f"})
+// TestConflictIsLoggedOnce: a member that holds neither contents logs the conflict once, naming a holder of each.
+func TestConflictIsLoggedOnce(t *testing.T) {
+	r := fleetMember(t, "a")
+	one, two := peerWithVersions(3, membership.Version{}, membership.Version{No: 7, Digest: 1, Source: "f"}), peerWithVersions(3, membership.Version{}, membership.Version{No: 7, Digest: 2, Source: "f"})
 	two.Key, two.Process = membership.Key{Name: "n3", Addr: "127.0.0.3:1"}, 3
-	all := logged(r.Step(2, FleetTold{Records: []membership.Record{one, two}})) + logged(r.Step(3, FleetLooked{})) + logged(r.Step(4, FleetLooked{}))
+	all := logText(r.Step(2, FleetTold{Records: []membership.Record{one, two}})) + logText(r.Step(3, FleetLooked{})) + logText(r.Step(4, FleetLooked{}))
 	if strings.Count(all, "two contents") != 1 || !strings.Contains(all, "configuration 7 of f") || !strings.Contains(all, "n2") || !strings.Contains(all, "n3") {
-		t.Errorf("said: %q", all)
+		t.Errorf("logged: %q", all)
 	}
 }
 
-// TestPeersDrainOutlastsItsTime while it is told again, and is not passed on for ever by one that has it from a peer.
-func TestPeersDrainOutlastsItsTime(t *testing.T) {
+// TestRepeatedHintStaysValid: a hint that is received again does not expire, but a member that has it only from a peer does not
+// repeat it forever.
+func TestRepeatedHintStaysValid(t *testing.T) {
 	for again, want := range map[bool]string{true: "b", false: "ab"} {
-		r := member(t, "a", "b")
+		r := fleetMember(t, "a", "b")
 		drain := FleetHinted{Hints: []Hint{{"a", 5, "s"}}}
 		r.Step(2, drain)
-		told := 0
+		repeated := 0
 		for at := 2.5; at < 2+hintLifetimeS+10; at += 0.5 {
 			for _, e := range r.Step(at, FleetLooked{}) {
 				if p, is := e.(FleetPictured); is {
-					told = len(p.Hints)
+					repeated = len(p.Hints)
 				}
 			}
 			if again && hintsOf(r.Step(at, drain)) != nil {
-				t.Fatal("passed on again")
+				t.Fatal("announced again")
 			}
 		}
-		if usable(r) != want || told != 0 {
-			t.Errorf("told again %v: %q in use, want %q; tells %d on", again, usable(r), want, told)
+		if usableWorkers(r) != want || repeated != 0 {
+			t.Errorf("repeated %v: %q in use, want %q; %d hints to repeat", again, usableWorkers(r), want, repeated)
 		}
 	}
 }
--- a/internal/core/hints_test.go
+++ b/internal/core/hints_test.go
@@ -8,11 +8,11 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// member is a reducer in a fleet, with a source that the members call "s".
-func member(t *testing.T, ids ...string) *Reducer {
+// fleetMember returns a reducer in a fleet whose source is named "s" among the members.
+func fleetMember(t *testing.T, ids ...string) *Reducer {
 	t.Helper()
-	r := start(t, choice.Idempotent, ids...)
-	r.Step(1, FleetBegun{Self: self(), Routes: "s"})
+	r := newTestReducer(t, choice.Idempotent, ids...)
+	r.Step(1, FleetBegun{Self: selfRecord(), Routes: "s"})
 	return r
 }
 
@@ -25,24 +25,24 @@
 	return all
 }
 
-// TestPeersWordTakesOut a worker until discovery's own word reaches this dispatcher, and no longer.
-func TestPeersWordTakesOut(t *testing.T) {
-	r := member(t, "a", "b")
+// TestHintExcludesWorker: a hint excludes a worker until discovery's own list supersedes it.
+func TestHintExcludesWorker(t *testing.T) {
+	r := fleetMember(t, "a", "b")
 	drain := Hint{Worker: "a", Version: 5, Source: "s"}
 	if got := hintsOf(r.Step(2, FleetHinted{Hints: []Hint{drain}})); !reflect.DeepEqual(got, []Hint{drain}) {
-		t.Errorf("passed on: %v", got)
+		t.Errorf("announced %v", got)
 	}
-	for now, want := range map[float64]int{3: 1, 2 + hintLifetimeS + 1: 0} { // what one that joins is told
-		twin := member(t, "a", "b")
-		twin.Step(2, FleetHinted{Hints: []Hint{drain}})
-		for _, e := range twin.Step(now, FleetLooked{}) {
+	for now, want := range map[float64]int{3: 1, 2 + hintLifetimeS + 1: 0} { // number of hints sent to a member that joins then
+		joining := fleetMember(t, "a", "b")
+		joining.Step(2, FleetHinted{Hints: []Hint{drain}})
+		for _, e := range joining.Step(now, FleetLooked{}) {
 			if p, is := e.(FleetPictured); is && len(p.Hints) != want {
-				t.Errorf("at %v one that joins is told %v", now, p.Hints)
+				t.Errorf("at %v a joining member is sent %v", now, p.Hints)
 			}
 		}
 	}
 	if got := hintsOf(r.Step(2, FleetHinted{Hints: []Hint{drain}})); got != nil {
-		t.Errorf("passed on twice, which would never end: %v", got)
+		t.Errorf("announced twice, which would repeat forever: %v", got)
 	}
 	sends := func(now float64) (workers []WorkerID) {
 		t.Helper()
@@ -58,51 +58,52 @@
 	}
 	for _, h := range sends(2) {
 		if h == "a" {
-			t.Fatal("sent to one that a peer says is draining")
+			t.Fatal("sent to a worker excluded by a hint")
 		}
 	}
-	// Discovery's list here is older than the peer's word, and says active still.
+	// Discovery's list here is older than the hint and still shows the worker as active.
 	r.Step(3, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 4, Full: true, Workers: workers("a", "b")}})
 	for _, h := range sends(3) {
 		if h == "a" {
-			t.Fatal("an older word of discovery's beats the peer's")
+			t.Fatal("an older list from discovery supersedes the hint")
 		}
 	}
 	r.Step(4, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 5, Workers: workers("b")}})
-	back := false
+	returned := false
 	for _, h := range sends(5) {
-		back = back || h == "a"
+		returned = returned || h == "a"
 	}
-	if !back {
-		t.Error("discovery's own word does not count")
+	if !returned {
+		t.Error("discovery's list does not supersede the hint")
 	}
 }
 
-// TestPeersWordIsBounded: of another source, of a version that is known, of nobody, for ever, or for half of the fleet.
-func TestPeersWordIsBounded(t *testing.T) {
-	r := member(t, "a", "b", "c", "d")
+// TestHintsAreBounded: hints of another source, of a known version or for an unknown worker are ignored; the others expire, and
+// exclude at most half of the workers.
+func TestHintsAreBounded(t *testing.T) {
+	r := fleetMember(t, "a", "b", "c", "d")
 	for name, x := range map[string]Hint{
-		"another source": {"a", 5, "other"}, "a known version": {"a", 1, "s"}, "nobody": {"z", 5, "s"},
+		"another source": {"a", 5, "other"}, "known version": {"a", 1, "s"}, "unknown worker": {"z", 5, "s"},
 	} {
 		if got := hintsOf(r.Step(2, FleetHinted{Hints: []Hint{x}})); got != nil || len(r.hints) > 0 {
-			t.Errorf("%s: believed", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 	r.Step(2, FleetHinted{Hints: []Hint{{"a", 5, "s"}, {"b", 5, "s"}, {"c", 5, "s"}, {"d", 5, "s"}}})
 	if len(r.hints) != 2 {
-		t.Errorf("%d of 4 workers are out by a peer's word", len(r.hints))
+		t.Errorf("%d of 4 workers are excluded by hints", len(r.hints))
 	}
 	st, err := r.Export()
 	if err != nil {
 		t.Fatal(err)
 	}
-	twin, err := Import(settings(choice.Idempotent), st)
-	if err != nil || len(twin.hints) != 2 || twin.sourceName() != "s" {
-		t.Errorf("a successor holds %d hints: %v", len(twin.hints), err)
+	successor, err := Import(testSettings(choice.Idempotent), st)
+	if err != nil || len(successor.hints) != 2 || successor.sourceName() != "s" {
+		t.Errorf("a successor holds %d hints: %v", len(successor.hints), err)
 	}
 	r.Step(2+hintLifetimeS+1, FleetLooked{})
 	if len(r.hints) != 0 {
-		t.Error("a peer's word counts for ever")
+		t.Error("a hint does not expire")
 	}
 	r.Step(40, FleetHinted{Hints: []Hint{{"a", 9, "s"}}})
 	r.Step(41, Reloaded{Discovery: "elsewhere"})
@@ -111,88 +112,89 @@
 	}
 }
 
-// TestDrainsArePassedOn, as discovery tells them, and only those.
-func TestDrainsArePassedOn(t *testing.T) {
-	r := member(t, "a", "b", "c")
+// TestDrainsAreAnnounced: drains received from discovery are sent to other members once.
+func TestDrainsAreAnnounced(t *testing.T) {
+	r := fleetMember(t, "a", "b", "c")
 	list := workers("a", "b")
 	list[0].State = WorkerLeaving
 	got := hintsOf(r.Step(2, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 6, Full: true, Workers: list}}))
 	if want := []Hint{{"a", 6, "s"}, {"c", 6, "s"}}; !reflect.DeepEqual(got, want) {
-		t.Errorf("passed on %v, want %v", got, want)
+		t.Errorf("announced %v, want %v", got, want)
 	}
 	if got := hintsOf(r.Step(3, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 7, Workers: list}})); got != nil {
-		t.Errorf("passed on again: %v", got)
+		t.Errorf("announced again: %v", got)
 	}
-	alone := start(t, choice.Idempotent, "a")
+	alone := newTestReducer(t, choice.Idempotent, "a")
 	if got := hintsOf(alone.Step(2, RouteSetTold{Source: alone.source, RouteSet: RouteSet{Version: 6, Workers: list[:1]}})); got != nil {
 		t.Errorf("without a fleet: %v", got)
 	}
 }
 
-// TestOldBeginningsDrainsEnd: where discovery has begun anew, what it took out before, and what peers still tell under its old numbers, does
-// not count, through a hand-over too; its own word does, and later on peers' words do again.
-func TestOldBeginningsDrainsEnd(t *testing.T) {
-	r := member(t, "a", "b", "c")
-	r.Step(2, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 40, Full: true, Workers: states("aaa")}})
+// TestHintsAreIgnoredAfterSourceStartsOver: when discovery starts over, its earlier drains and hints under its earlier
+// versions no longer count, also after a handover. Its own updates do, and hints do again later.
+func TestHintsAreIgnoredAfterSourceStartsOver(t *testing.T) {
+	r := fleetMember(t, "a", "b", "c")
+	r.Step(2, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 40, Full: true, Workers: workersInStates("aaa")}})
 	r.Step(2, FleetHinted{Hints: []Hint{{"a", 41, "s"}}})
-	anew := RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 1, Full: true, Workers: states("aaa")}}
-	r.Step(3, anew) // odd, and asked for again
-	r.Step(4, anew)
+	restarted := RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 1, Full: true, Workers: workersInStates("aaa")}}
+	r.Step(3, restarted) // implausible, and requested again
+	r.Step(4, restarted)
 	st, err := r.Export()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err = Import(settings(choice.Idempotent), st); err != nil {
+	if r, err = Import(testSettings(choice.Idempotent), st); err != nil {
 		t.Fatal(err)
 	}
-	if got := hintsOf(r.Step(5, FleetHinted{Hints: []Hint{{"b", 42, "s"}}})); got != nil || usable(r) != "abc" || r.routeSetVersion != 1 {
-		t.Errorf("%q in use as of %d, passed on %v", usable(r), r.routeSetVersion, got)
+	if got := hintsOf(r.Step(5, FleetHinted{Hints: []Hint{{"b", 42, "s"}}})); got != nil || usableWorkers(r) != "abc" || r.routeSetVersion != 1 {
+		t.Errorf("%q in use at version %d, announced %v", usableWorkers(r), r.routeSetVersion, got)
 	}
-	r.Step(6, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 2, Workers: states("aal")[2:]}})
-	if usable(r) != "ab" {
-		t.Errorf("its own word: %q", usable(r))
+	r.Step(6, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 2, Workers: workersInStates("aal")[2:]}})
+	if usableWorkers(r) != "ab" {
+		t.Errorf("after its own update: %q", usableWorkers(r))
 	}
 	r.Step(4+hintLifetimeS+1, FleetHinted{Hints: []Hint{{"b", 3, "s"}}})
-	if usable(r) != "a" {
-		t.Errorf("a peer's word later on: %q", usable(r))
+	if usableWorkers(r) != "a" {
+		t.Errorf("after a later hint: %q", usableWorkers(r))
 	}
 }
 
-// TestStragglerAsksForDrains while its own discovery lags behind a member that is reached: once a second, and not for long after.
-func TestStragglerAsksForDrains(t *testing.T) {
-	r := member(t, "a", "b")
+// TestOutdatedMemberRequestsHints once a second while its own discovery is behind a reachable member, and not afterwards.
+func TestOutdatedMemberRequestsHints(t *testing.T) {
+	r := fleetMember(t, "a", "b")
 	asked := func(at float64) (n int) {
 		for _, e := range r.Step(at, FleetLooked{Sight: membership.Sight{Reached: []uint64{2}}}) {
 			if a, is := e.(AskHints); is {
 				if n++; a.Process != 2 {
-					t.Errorf("asks process %d", a.Process)
+					t.Errorf("sent to process %d", a.Process)
 				}
 			}
 		}
 		return n
 	}
 	if asked(1.5) != 0 {
-		t.Error("asks where nobody is ahead")
+		t.Error("requested hints though no member is ahead")
 	}
-	r.Step(2, FleetTold{Records: []membership.Record{peerOn(3, membership.Version{No: 5, Digest: 77, Source: "s"}, membership.Version{})}})
+	r.Step(2, FleetTold{Records: []membership.Record{peerWithVersions(3, membership.Version{No: 5, Digest: 77, Source: "s"}, membership.Version{})}})
 	n := 0
 	for at := 2.5; at < 6.4; at += 0.5 {
 		n += asked(at)
 	}
 	if n != 4 {
-		t.Errorf("asks %d times in 4 s", n)
+		t.Errorf("%d requests in 4 s", n)
 	}
-	r.Step(7, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 6, Full: true, Workers: states("al")}})
+	r.Step(7, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 6, Full: true, Workers: workersInStates("al")}})
 	if asked(9) != 0 {
-		t.Error("asks on though its own discovery has told")
+		t.Error("requested hints though its own list is newer")
 	}
 }
 
-// TestDrainsAreRememberedWhileTheyHold: one that lags for long is told them still, and not of those that came back.
-func TestDrainsAreRememberedWhileTheyHold(t *testing.T) {
-	r := member(t, "a", "b", "c")
-	r.Step(2, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 5, Full: true, Workers: states("lla")}})
-	told := func(at float64) (ids string) {
+// TestRecentDrainsAreRepeated: drains are sent to members that are late for as long as they apply, and not after the worker's
+// return.
+func TestRecentDrainsAreRepeated(t *testing.T) {
+	r := fleetMember(t, "a", "b", "c")
+	r.Step(2, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 5, Full: true, Workers: workersInStates("lla")}})
+	repeatedDrains := func(at float64) (ids string) {
 		for _, e := range r.Step(at, FleetLooked{}) {
 			if p, is := e.(FleetPictured); is {
 				for _, h := range p.Hints {
@@ -202,11 +204,11 @@
 		}
 		return ids
 	}
-	if got := told(2 + 10*hintLifetimeS); got != "ab" {
-		t.Errorf("told %q", got)
+	if got := repeatedDrains(2 + 10*hintLifetimeS); got != "ab" {
+		t.Errorf("repeated %q", got)
 	}
-	r.Step(3+10*hintLifetimeS, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 6, Workers: states("a")}})
-	if got := told(4 + 10*hintLifetimeS); got != "b" {
-		t.Errorf("after a has come back: %q", got)
+	r.Step(3+10*hintLifetimeS, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 6, Workers: workersInStates("a")}})
+	if got := repeatedDrains(4 + 10*hintLifetimeS); got != "b" {
+		t.Errorf("after the return of a: %q", got)
 	}
 }
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -9,13 +9,13 @@
 	"foldlb.example/foldlb/choice"
 )
 
-func told(full bool, workers ...Worker) Event {
+func routeSetUpdate(full bool, workers ...Worker) Event {
 	return RouteSetTold{RouteSet: RouteSet{Version: 9, Full: full, Workers: workers}}
 }
 
-// TestBans: each order's effects, and the fault of those that can't be followed.
+// TestBans checks the effects of each order, and the fault of orders that are refused.
 func TestBans(t *testing.T) {
-	r := start(t, choice.Idempotent, "a", "b")
+	r := newTestReducer(t, choice.Idempotent, "a", "b")
 	ordered := func(ev BanOrdered, drops int, want OrderFault) {
 		t.Helper()
 		ev.Order = 5
@@ -26,7 +26,7 @@
 	}
 	ordered(BanOrdered{Worker: "x"}, 0, UnknownWorker)
 	ordered(BanOrdered{Worker: "x", Lift: true}, 0, UnknownWorker)
-	ordered(BanOrdered{Worker: "a", Lift: true}, 0, "") // it is not out
+	ordered(BanOrdered{Worker: "a", Lift: true}, 0, "") // not banned
 	ordered(BanOrdered{Worker: "a"}, 1, "")
 	ordered(BanOrdered{Worker: "a"}, 0, "")
 	if v := r.View(r.now); v != (View{Known: 2, Excluded: 1}) {
@@ -35,7 +35,7 @@
 	for i := range 6 {
 		expect(t, r.Step(r.now+0.01, call(fmt.Sprint("r", i))), "send b")
 	}
-	r.Step(r.now, told(true, workers("b")...)) // a has left the list, and is out all the same
+	r.Step(r.now, routeSetUpdate(true, workers("b")...)) // a ban outlives its worker's entry in the list
 	ordered(BanOrdered{Worker: "a"}, 0, "")
 	if v := r.View(r.now); v != (View{Known: 1}) {
 		t.Errorf("%+v", v)
@@ -44,9 +44,9 @@
 	ordered(BanOrdered{Worker: "a", Lift: true}, 0, UnknownWorker)
 }
 
-// TestBansBindTheModule: whatever it still thinks of a worker that is out, nothing is sent there.
-func TestBansBindTheModule(t *testing.T) {
-	r := start(t, choice.Idempotent, "a", "b")
+// TestBansOverrideTheDecisionModule: nothing is sent to a banned worker even if the decision module selects it.
+func TestBansOverrideTheDecisionModule(t *testing.T) {
+	r := newTestReducer(t, choice.Idempotent, "a", "b")
 	r.Step(2, BanOrdered{Worker: "b"})
 	expect(t, r.Step(2, call("r")), "send a")
 	host{r}.Assign("r", "b", 0)
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestDrainByHand: the health check says no until the end, whatever order is given twice; jobs are taken on.
-func TestDrainByHand(t *testing.T) {
-	r := start(t, choice.Idempotent, "a")
+// TestDrainOrder: a draining dispatcher reports itself as not ready, also after a repeated order, and still takes requests.
+func TestDrainOrder(t *testing.T) {
+	r := newTestReducer(t, choice.Idempotent, "a")
 	yes, no := fmt.Sprint("answer ", Served, " ready\n"), fmt.Sprint("answer ", Busy, " ")
 	r.Step(2, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 1}})
 	expect(t, r.Step(2, DrainOrdered{End: true}), "core.Ordered")
@@ -70,17 +70,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err = Import(settings(choice.Idempotent), st); err != nil || !r.Draining() {
-		t.Fatalf("taken up as draining %v, %v", r.Draining(), err)
+	if r, err = Import(testSettings(choice.Idempotent), st); err != nil || !r.Draining() {
+		t.Fatalf("imported with draining %v, %v", r.Draining(), err)
 	}
 	expect(t, r.Step(2, DrainOrdered{End: true}), "core.SendAway", "core.Ordered")
 	expect(t, r.Step(2, HealthAsked{Exchange: 3}), yes)
 }
 
-// TestReturnIsCold: whoever was out is sent no more than a worker that has just started may bear, and is one again
-// after the time to warm up, whatever discovery says of its start.
-func TestReturnIsCold(t *testing.T) {
-	s := settings(choice.Idempotent)
+// TestReturnedWorkerIsCold: a returned worker counts as just started until its warm-up time has passed, whatever discovery
+// reports as its start.
+func TestReturnedWorkerIsCold(t *testing.T) {
+	s := testSettings(choice.Idempotent)
 	s.WarmWithin, s.ColdShare, s.TipAfter = 24, 0.13, 2
 	r, err := New(1, s, RouteSet{Version: 1, Workers: workers("a")}, "")
 	if err != nil {
@@ -102,24 +102,24 @@
 	if w := r.deciderWorker(h); w.Started != 70 {
 		t.Errorf("%+v", w)
 	}
-	r.Step(80, told(true))
-	r.Step(80, told(true)) // an empty list is believed the second time
+	r.Step(80, routeSetUpdate(true))
+	r.Step(80, routeSetUpdate(true)) // an empty list is applied when it is received again
 	if len(r.restoredAt) != 0 {
-		t.Error("a return is remembered of a worker that is not listed")
+		t.Error("the return of an unlisted worker is kept")
 	}
 }
 
-// TestReturnIsTried: a worker that was far slower than the others before it was taken out is offered work within 5 s of
-// its return, and no more than one that has just started may bear.
-func TestReturnIsTried(t *testing.T) {
-	s := settings(choice.Idempotent)
+// TestReturnedWorkerIsTried: a worker that was much slower than the others before its ban gets requests within 5 s of its
+// return, and no more than a worker that has just started.
+func TestReturnedWorkerIsTried(t *testing.T) {
+	s := testSettings(choice.Idempotent)
 	s.WarmWithin, s.ColdShare, s.TipAfter = 24, 0.13, 2
 	r, err := New(1, s, RouteSet{Version: 1, Workers: workers("a", "b", "c")}, "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	now, exchange := 1.0, ExchangeID(0)
-	// play asks for a job every 20 ms; a's take 2 s, the others' 50 ms. It counts a's.
+	// play sends a request every 20 ms; jobs take 2 s at worker a and 50 ms elsewhere. It returns the number of jobs at a.
 	type due struct {
 		at float64
 		ev JobReported
@@ -159,19 +159,19 @@
 	play(20)
 	r.Step(now, BanOrdered{Worker: "a"})
 	if n := play(now + 5); n != 0 {
-		t.Fatalf("%d jobs while it is out", n)
+		t.Fatalf("%d jobs during its ban", n)
 	}
 	r.Step(now, BanOrdered{Worker: "a", Lift: true})
-	if n := play(now + 5); n == 0 || n > 60 { // of 250; a third of them would be a warm one's share
+	if n := play(now + 5); n == 0 || n > 60 { // of 250; the share of a warm worker would be a third
 		t.Errorf("%d jobs in the 5 s after its return", n)
 	}
 }
 
-// TestNothingToBanned draws news, bans, returns, calls and hand-overs: nothing is ever sent to a worker that is out,
-// one return ends any number of bans, and no ban ends otherwise.
-func TestNothingToBanned(t *testing.T) {
+// TestNothingIsSentToBannedWorkers draws updates, bans, returns, calls and handovers: a banned worker gets nothing, one
+// return ends any number of bans, and nothing else ends a ban.
+func TestNothingIsSentToBannedWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := settings(choice.Idempotent)
+		s := testSettings(choice.Idempotent)
 		r, err := New(1, s, RouteSet{Version: 1, Workers: workers("a", "b", "c")}, "")
 		if err != nil {
 			t.Fatal(err)
@@ -204,7 +204,7 @@
 				if full {
 					clear(listed)
 				}
-				var news []Worker
+				var update []Worker
 				for _, h := range workers("a", "b", "c", "d") {
 					if rapid.Bool().Draw(t, "told") {
 						h.State = WorkerState(rapid.IntRange(0, 2).Draw(t, "state"))
@@ -213,12 +213,12 @@
 						if listed[h.ID] = true; h.State == WorkerLeft {
 							delete(listed, h.ID)
 						}
-						news = append(news, h)
+						update = append(update, h)
 					}
 				}
-				ev = told(full, news...)
-				if full && len(news) == 0 {
-					r.Step(now, ev) // an empty list is believed the second time
+				ev = routeSetUpdate(full, update...)
+				if full && len(update) == 0 {
+					r.Step(now, ev) // an empty list is applied when it is received again
 				}
 			case 3:
 				st, err := r.Export()
@@ -235,7 +235,7 @@
 			_, order := ev.(BanOrdered)
 			for _, e := range r.Step(now, ev) {
 				if b, ok := e.(SendBranch); ok && out[b.Worker] {
-					t.Fatalf("step %d: a branch to %s, which is out", i, b.Worker)
+					t.Fatalf("step %d: a branch to %s, which is banned", i, b.Worker)
 				}
 				if o, ok := e.(Ordered); ok && (!order || o != want) {
 					t.Fatalf("step %d: %+v, not %+v", i, o, want)
@@ -243,11 +243,11 @@
 			}
 			for worker := range out {
 				if !r.banned[worker] {
-					t.Fatalf("step %d: %s is no longer out", i, worker)
+					t.Fatalf("step %d: %s is no longer banned", i, worker)
 				}
 			}
 			if len(r.banned) != len(out) {
-				t.Fatalf("step %d: %v are out, not %v", i, r.banned, out)
+				t.Fatalf("step %d: %v are banned, want %v", i, r.banned, out)
 			}
 		}
 	})
