--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// drawConfig draws a valid configuration of few names, hosts and prefixes, so that they meet.
+// drawConfig draws a valid configuration with few names, hosts and prefixes, so that routes overlap.
 func drawConfig(t *rapid.T, version uint64) *Config {
 	config := &Config{Version: version, Routes: []Route{}, Services: []Service{{Name: "s0"}, {Name: "s1"}}}
 	taken := map[string]bool{}
@@ -173,7 +173,7 @@
 	return config
 }
 
-// reparse brings a configuration through its JSON.
+// reparse returns the configuration as parsed from its JSON.
 func reparse(t *rapid.T, config *Config) *Config {
 	data, err := json.Marshal(config)
 	must.NoError(t, err)
--- a/internal/catalog/change.go
+++ b/internal/catalog/change.go
@@ -5,80 +5,82 @@
 	"hash/fnv"
 )
 
-// Change is the difference between two configurations: what a process that holds the first needs to hold the second.
+// Change is the difference between two configurations, which turns the first into the second.
 type Change struct {
-	Version         uint64    `json:"version"`            // of the second
-	Routes          []Route   `json:"routes,omitempty"`   // added, or changed
-	Services        []Service `json:"services,omitempty"` // added, or changed
+	Version         uint64    `json:"version"`            // of the second configuration
+	Routes          []Route   `json:"routes,omitempty"`   // added or changed
+	Services        []Service `json:"services,omitempty"` // added or changed
 	RemovedRoutes   []string  `json:"removedRoutes,omitempty"`
 	RemovedServices []string  `json:"removedServices,omitempty"`
-	Limits          *Limits   `json:"limits,omitempty"` // nil where they are the same
+	Limits          *Limits   `json:"limits,omitempty"` // nil if unchanged
 }
 
-// ParseChange reads a change from JSON. Nothing is filled in: a change names all figures.
+// ParseChange reads a change from JSON. Defaults are not applied, since a change states every value. The error is a
+// *ValidationError.
 func ParseChange(data []byte) (*Change, error) {
 	change := &Change{}
 	if err := json.Unmarshal(data, change); err != nil {
-		return nil, unreadable("change", err)
+		return nil, invalidJSON("change", err)
 	}
 	return change, nil
 }
 
-// Difference returns the change that leads from one valid configuration to another.
+// Difference returns the change that turns one valid configuration into another.
 func Difference(from, to *Config) *Change {
 	change := &Change{Version: to.Version}
-	change.Routes, change.RemovedRoutes = differentItems(from.Routes, to.Routes, routeName, sameRoute)
-	change.Services, change.RemovedServices = differentItems(from.Services, to.Services, serviceName, sameService)
+	change.Routes, change.RemovedRoutes = diffItems(from.Routes, to.Routes, routeName, sameRoute)
+	change.Services, change.RemovedServices = diffItems(from.Services, to.Services, serviceName, sameService)
 	if from.Limits != to.Limits {
 		change.Limits = &to.Limits
 	}
 	return change
 }
 
-// With returns the configuration that a change leads to. It is not checked: compare its Digest. The receiver stays as it is.
+// With returns the configuration with a change applied. The result is not validated; callers compare its Digest with the
+// expected one. The receiver is not modified.
 func (c *Config) With(change *Change) *Config {
 	changed := &Config{
 		Version:  change.Version,
-		Routes:   changeItems(c.Routes, change.Routes, change.RemovedRoutes, routeName),
-		Services: changeItems(c.Services, change.Services, change.RemovedServices, serviceName),
+		Routes:   applyItems(c.Routes, change.Routes, change.RemovedRoutes, routeName),
+		Services: applyItems(c.Services, change.Services, change.RemovedServices, serviceName),
 		Limits:   c.Limits,
 	}
 	if change.Limits != nil {
 		changed.Limits = *change.Limits
 	}
-	changed.digest = c.Digest() + c.digestOfDifference(changed, change)
+	changed.digest = c.Digest() + c.digestDelta(changed, change)
 	return changed
 }
 
-// digestOfDifference is what a change adds to the digest, so that not every item is hashed again for each change.
-func (c *Config) digestOfDifference(changed *Config, change *Change) uint64 {
+// digestDelta returns what a change adds to the digest, so that unchanged items are not hashed again.
+func (c *Config) digestDelta(changed *Config, change *Change) uint64 {
 	sum := itemDigest("version", changed.Version) - itemDigest("version", c.Version)
 	sum += itemDigest("limits", changed.Limits) - itemDigest("limits", c.Limits)
-	sum += digestOfItems("route", c.Routes, change.Routes, change.RemovedRoutes, routeName)
-	sum += digestOfItems("service", c.Services, change.Services, change.RemovedServices, serviceName)
+	sum += itemsDigestDelta("route", c.Routes, change.Routes, change.RemovedRoutes, routeName)
+	sum += itemsDigestDelta("service", c.Services, change.Services, change.RemovedServices, serviceName)
 	return sum
 }
 
-// digestOfItems is the digest of the items added less that of the items that they replace and of those removed.
-func digestOfItems[Item any](kind string, items, upserts []Item, removed []string, name func(*Item) string) uint64 {
+// itemsDigestDelta returns the digest of the added items minus that of the items that they replace or that are removed.
+func itemsDigestDelta[Item any](kind string, items, upserts []Item, removed []string, name func(*Item) string) uint64 {
 	var sum uint64
-	leaving := make(map[string]bool, len(upserts)+len(removed))
+	replaced := make(map[string]bool, len(upserts)+len(removed))
 	for _, one := range removed {
-		leaving[one] = true
+		replaced[one] = true
 	}
 	for i := range upserts {
-		leaving[name(&upserts[i])] = true
+		replaced[name(&upserts[i])] = true
 		sum += itemDigest(kind, &upserts[i])
 	}
 	for i := range items {
-		if leaving[name(&items[i])] {
+		if replaced[name(&items[i])] {
 			sum -= itemDigest(kind, &items[i])
 		}
 	}
 	return sum
 }
 
-// Digest tells configurations apart by all that is known of them here. The order of items does not count.
+// Digest returns a hash over all fields known to this version. It does not depend on the order of routes and services.
 func (c *Config) Digest() uint64 {
 	if c.digest != 0 {
 		return c.digest
@@ -93,17 +95,17 @@
 	return sum
 }
 
-// itemDigest hashes one item with its kind.
+// itemDigest hashes one item together with its kind.
 func itemDigest(kind string, item any) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(kind))
 	encoder := json.NewEncoder(hash)
-	_ = encoder.Encode(item) // plain fields can always be encoded
+	_ = encoder.Encode(item) // encoding plain fields can't fail
 	return hash.Sum64()
 }
 
-// differentItems returns the items of to that from lacks or has otherwise, and the names that only from has.
-func differentItems[Item any](from, to []Item, name func(*Item) string, same func(one, other *Item) bool) (upserts []Item, removed []string) {
+// diffItems returns the items of to that are missing or different in from, and the names that are only in from.
+func diffItems[Item any](from, to []Item, name func(*Item) string, same func(one, other *Item) bool) (upserts []Item, removed []string) {
 	before := make(map[string]*Item, len(from))
 	for i := range from {
 		before[name(&from[i])] = &from[i]
@@ -124,31 +126,31 @@
 	return upserts, removed
 }
 
-// changeItems returns the items with some replaced, added and removed. The order of those that stay is kept.
-func changeItems[Item any](items, upserts []Item, removed []string, name func(*Item) string) []Item {
-	gone := make(map[string]bool, len(removed))
+// applyItems returns the items with some replaced, added and removed. The order of the remaining items is kept.
+func applyItems[Item any](items, upserts []Item, removed []string, name func(*Item) string) []Item {
+	removedNames := make(map[string]bool, len(removed))
 	for _, one := range removed {
-		gone[one] = true
+		removedNames[one] = true
 	}
-	fresh := make(map[string]*Item, len(upserts))
+	upsertsByName := make(map[string]*Item, len(upserts))
 	for i := range upserts {
-		fresh[name(&upserts[i])] = &upserts[i]
+		upsertsByName[name(&upserts[i])] = &upserts[i]
 	}
 	result := make([]Item, 0, len(items)+len(upserts))
 	for i := range items {
 		key := name(&items[i])
-		if gone[key] {
+		if removedNames[key] {
 			continue
 		}
-		if replacement := fresh[key]; replacement != nil {
+		if replacement := upsertsByName[key]; replacement != nil {
 			result = append(result, *replacement)
-			delete(fresh, key)
+			delete(upsertsByName, key)
 			continue
 		}
 		result = append(result, items[i])
 	}
 	for i := range upserts {
-		if fresh[name(&upserts[i])] != nil {
+		if upsertsByName[name(&upserts[i])] != nil {
 			result = append(result, upserts[i])
 		}
 	}
@@ -160,7 +162,7 @@
 
 func sameRoute(one, other *Route) bool { return *one == *other }
 
-// sameService compares what the pointers lead to.
+// sameService compares two services, including the addresses that the pointers refer to.
 func sameService(one, other *Service) bool {
 	first, second := *one, *other
 	first.StaticEndpoint, second.StaticEndpoint = nil, nil
--- a/internal/catalog/change_test.go
+++ b/internal/catalog/change_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawItems draws a configuration whose items are some of a few names, in any order.
+// drawItems draws a configuration whose items have some of a few names, in any order.
 func drawItems(t *rapid.T, version uint64) *Config {
 	config := &Config{Version: version, Routes: []Route{}, Services: []Service{}}
 	config.Limits.MaxBodyBytes = rapid.IntRange(0, 1).Draw(t, "limit")
@@ -30,8 +30,8 @@
 	return config
 }
 
-// sortedItems returns a configuration as JSON with its items in the order of their names.
-func sortedItems(t must.T, config *Config) string {
+// sortedJSON returns a configuration as JSON with its items sorted by name.
+func sortedJSON(t must.T, config *Config) string {
 	sorted := Config{Version: config.Version, Limits: config.Limits, Routes: slices.Clone(config.Routes), Services: slices.Clone(config.Services)}
 	slices.SortFunc(sorted.Routes, func(one, other Route) int { return strings.Compare(one.Name, other.Name) })
 	slices.SortFunc(sorted.Services, func(one, other Service) int { return strings.Compare(one.Name, other.Name) })
@@ -43,22 +43,22 @@
 func TestDifferenceTransformsOneConfigurationIntoTheOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawItems(t, 3), drawItems(t, 8)
-		before := sortedItems(t, from)
+		before := sortedJSON(t, from)
 		data, err := json.Marshal(Difference(from, to))
 		must.NoError(t, err)
 		change, err := ParseChange(data)
 		must.NoError(t, err)
 		reached := from.With(change)
-		must.Eq(t, sortedItems(t, to), sortedItems(t, reached))
+		must.Eq(t, sortedJSON(t, to), sortedJSON(t, reached))
 		must.Eq(t, to.Digest(), reached.Digest())
-		must.Eq(t, before, sortedItems(t, from))
+		must.Eq(t, before, sortedJSON(t, from))
 	})
 }
 
 func TestDigestDistinguishesConfigurations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, other := drawItems(t, 3), drawItems(t, 3)
-		must.Eq(t, sortedItems(t, one) == sortedItems(t, other), one.Digest() == other.Digest())
+		must.Eq(t, sortedJSON(t, one) == sortedJSON(t, other), one.Digest() == other.Digest())
 	})
 }
 
@@ -67,7 +67,7 @@
 	must.Error(t, err)
 }
 
-// manyRoutes returns a configuration as large as those of the grown deployments.
+// manyRoutes returns a configuration of the size that large deployments have.
 func manyRoutes(count int) *Config {
 	config := &Config{Version: 1, Services: []Service{{Name: "s", MaxConns: 40}}, Limits: Limits{MaxBodyBytes: 1000}}
 	for i := range count {
@@ -79,7 +79,7 @@
 
 const typeForTest = "async"
 
-// BenchmarkChange is what one change of a configuration with 900 routes costs a process that holds the one before.
+// BenchmarkChange measures applying one change to a configuration with 900 routes.
 func BenchmarkChange(b *testing.B) {
 	from := manyRoutes(900)
 	to := from.With(&Change{Version: 2, Routes: []Route{{Name: "new", Hostname: "h", PathPrefix: "/n/", Type: typeForTest, TimeoutMs: 1, Service: "s"}}})
@@ -93,7 +93,7 @@
 	}
 }
 
-// BenchmarkWhole is what a whole configuration costs in its place.
+// BenchmarkWhole measures parsing the full configuration instead.
 func BenchmarkWhole(b *testing.B) {
 	data, err := json.Marshal(manyRoutes(900))
 	must.NoError(b, err)
--- a/internal/catalog/errors.go
+++ b/internal/catalog/errors.go
@@ -4,10 +4,10 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a configuration.
+// Fault is one error in a configuration.
 type Fault struct {
 	Item    string // such as `route "r-1"`
-	Key     string // such as "timeoutMs"; empty where the whole item is at fault
+	Key     string // such as "timeoutMs"; empty if the item as a whole is invalid
 	Problem string // what is wrong and what the value must be
 }
 
@@ -19,15 +19,15 @@
 	return f.Item + ": " + f.Key + ": " + f.Problem
 }
 
-// ValidationError lists every fault of a configuration that must not come into force.
+// ValidationError lists every fault of a configuration that must not be put in force.
 type ValidationError struct {
 	Faults []Fault
 }
 
-// maxFaultsShown bounds the length of an error's text.
+// maxFaultsShown bounds the number of faults in an error's text.
 const maxFaultsShown = 20
 
-// Error lists the first faults by item and key.
+// Error returns the first faults with item and key.
 func (e *ValidationError) Error() string {
 	var text strings.Builder
 	text.WriteString("configuration is not valid: ")
@@ -44,8 +44,8 @@
 	return text.String()
 }
 
-// unreadable returns the error of an item that is not JSON of the expected shape.
-func unreadable(item string, cause error) *ValidationError {
+// invalidJSON returns the error for an item that is not JSON of the expected type.
+func invalidJSON(item string, cause error) *ValidationError {
 	problem := "can't be read whole, send complete JSON: " + cause.Error()
 	return &ValidationError{Faults: []Fault{{Item: item, Problem: problem}}}
 }
--- a/internal/catalog/parse.go
+++ b/internal/catalog/parse.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 )
 
-// Values of the keys that a configuration may leave out.
+// Defaults of the keys that a configuration may omit.
 const (
 	defaultRetries          = 6
 	defaultRetentionS       = 90
@@ -18,14 +18,14 @@
 	defaultIdleTimeoutMs    = 15000
 )
 
-// Parse reads one whole configuration from JSON, fills in what it leaves out and checks it. Unknown keys
-// are ignored, and kept by Marshal. The error is a *ValidationError.
+// Parse reads a complete configuration from JSON, validates it and applies defaults. Unknown keys are ignored, and
+// preserved by Marshal. The error is a *ValidationError.
 //
-// The configuration keeps data, which must not be changed afterwards.
+// The configuration retains data, which must not be modified afterwards.
 func Parse(data []byte) (*Config, error) {
 	config := &Config{}
 	if err := json.Unmarshal(data, config); err != nil {
-		return nil, unreadable("configuration", err)
+		return nil, invalidJSON("configuration", err)
 	}
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -35,7 +35,7 @@
 	return config, nil
 }
 
-// Marshal returns the configuration as JSON: the very bytes it was parsed from where there are such.
+// Marshal returns the configuration as JSON: the bytes that it was parsed from, if there are any.
 func (c *Config) Marshal() ([]byte, error) {
 	if c.source != nil {
 		return c.source, nil
@@ -43,7 +43,7 @@
 	return json.Marshal(c)
 }
 
-// applyDefaults fills in the figures that the configuration leaves out.
+// applyDefaults sets the values that the configuration omits.
 func (c *Config) applyDefaults() {
 	for i := range c.Routes {
 		c.Routes[i].applyDefaults()
@@ -69,7 +69,7 @@
 	setDefault(&s.HealthPath, defaultHealthPath)
 }
 
-// setDefault sets a field that is zero.
+// setDefault sets a field if it is zero.
 func setDefault[Value comparable](field *Value, value Value) {
 	var zero Value
 	if *field == zero {
--- a/internal/catalog/table.go
+++ b/internal/catalog/table.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Table finds routes and services of one configuration. It is immutable and safe for concurrent use.
+// Table looks up routes and services of one configuration. It is immutable and safe for concurrent use.
 type Table struct {
 	config   *Config
 	hosts    map[string]*hostRoutes
@@ -15,11 +15,11 @@
 
 // hostRoutes holds the routes of one host.
 type hostRoutes struct {
-	prefixes map[string]*Route
-	lengths  []int // the lengths of prefixes that occur, longest first
+	prefixes map[string]*Route // by path prefix
+	lengths  []int             // the distinct lengths of the prefixes, longest first
 }
 
-// NewTable indexes a configuration, which must not be changed afterwards.
+// NewTable indexes a configuration, which must not be modified afterwards.
 func NewTable(config *Config) *Table {
 	table := &Table{
 		config:   config,
@@ -62,11 +62,10 @@
 	sort.Sort(sort.Reverse(sort.IntSlice(h.lengths)))
 }
 
-// Match returns the route with the longest prefix that the path begins with, among those of the host,
-// and its service. The host is compared without its port and without regard to case. The path is the one
-// in the request line, without the query.
+// Match returns the route of the host with the longest prefix of the path, and its service. The host is compared
+// case-insensitively and without its port. The path is that of the request line, without the query.
 func (t *Table) Match(host, path string) (*Route, *Service, bool) {
-	routes := t.hosts[normalHost(host)]
+	routes := t.hosts[normalizeHost(host)]
 	if routes == nil {
 		return nil, nil, false
 	}
@@ -81,13 +80,13 @@
 	return nil, nil, false
 }
 
-// Route returns the route of a name.
+// Route returns the route with a name.
 func (t *Table) Route(name string) (*Route, bool) {
 	route, ok := t.routes[name]
 	return route, ok
 }
 
-// Service returns the service of a name.
+// Service returns the service with a name.
 func (t *Table) Service(name string) (*Service, bool) {
 	service, ok := t.services[name]
 	return service, ok
@@ -96,8 +95,8 @@
 // Config returns the configuration that the table indexes.
 func (t *Table) Config() *Config { return t.config }
 
-// normalHost cuts the port off and lowers the case.
-func normalHost(host string) string {
+// normalizeHost removes the port and converts the host to lower case.
+func normalizeHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
 	}
--- a/internal/catalog/update.go
+++ b/internal/catalog/update.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// document is a configuration whose items are left as they were sent, so that keys unknown here survive
-// a change of other items.
+// document is a configuration whose items are kept as they were sent, so that keys unknown to this version survive a change
+// of other items.
 type document struct {
 	Version  uint64            `json:"version"`
 	Routes   []json.RawMessage `json:"routes"`
@@ -14,7 +14,7 @@
 	Limits   json.RawMessage   `json:"limits,omitempty"`
 }
 
-// patch changes named items of a configuration.
+// patch adds, replaces and removes items of a configuration by name.
 type patch struct {
 	Version uint64   `json:"version"`
 	Upsert  document `json:"upsert"`
@@ -27,19 +27,19 @@
 	Services []string `json:"services"`
 }
 
-// ApplyUpdate returns base with a patch applied: the items named under "remove" are removed, then those
-// under "upsert" replace the items of their names or are added. Names to remove that are unknown are
-// ignored. A nil base is empty. The result is checked whole, and its version must be above that of base.
-// The error is a *ValidationError.
+// ApplyUpdate returns base with a patch applied: first the items named under "remove" are removed, then those under "upsert"
+// replace the items with the same name or are added. Unknown names under "remove" are ignored. A nil base is treated as
+// empty. The result is validated as a whole, and its version must be above that of base. The error is a
+// *ValidationError.
 func ApplyUpdate(base *Config, data []byte) (*Config, error) {
 	change := patch{}
 	if err := json.Unmarshal(data, &change); err != nil {
-		return nil, unreadable("update", err)
+		return nil, invalidJSON("update", err)
 	}
 	if base != nil && change.Version <= base.Version {
-		return nil, oldVersion(change.Version, base.Version)
+		return nil, staleVersion(change.Version, base.Version)
 	}
-	merged, err := documentOf(base)
+	merged, err := toDocument(base)
 	if err != nil {
 		return nil, err
 	}
@@ -48,28 +48,28 @@
 	}
 	whole, err := json.Marshal(merged)
 	if err != nil {
-		return nil, unreadable("update", err)
+		return nil, invalidJSON("update", err)
 	}
 	return Parse(whole)
 }
 
-// documentOf returns the items of a configuration.
-func documentOf(config *Config) (*document, error) {
+// toDocument returns a configuration as a document; an empty one for nil.
+func toDocument(config *Config) (*document, error) {
 	result := &document{}
 	if config == nil {
 		return result, nil
 	}
 	data, err := config.Marshal()
 	if err != nil {
-		return nil, unreadable("configuration", err)
+		return nil, invalidJSON("configuration", err)
 	}
 	if err := json.Unmarshal(data, result); err != nil {
-		return nil, unreadable("configuration", err)
+		return nil, invalidJSON("configuration", err)
 	}
 	return result, nil
 }
 
-// apply changes the document by a patch.
+// apply applies a patch to the document.
 func (d *document) apply(change *patch) error {
 	var err error
 	if d.Routes, err = mergeItems("route", d.Routes, change.Upsert.Routes, change.Remove.Routes); err != nil {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// mergeItems removes items by name, then replaces or adds others. The order of those that stay is kept.
+// mergeItems removes items by name, then replaces or adds others. The order of the remaining items is kept.
 func mergeItems(kind string, items, upserts []json.RawMessage, removals []string) ([]json.RawMessage, error) {
 	removed := make(map[string]bool, len(removals))
 	for _, name := range removals {
@@ -94,7 +94,7 @@
 	result := make([]json.RawMessage, 0, len(items)+len(upserts))
 	positions := make(map[string]int, len(items)+len(upserts))
 	for _, item := range items {
-		name, err := nameOf(kind, item)
+		name, err := itemNameFromJSON(kind, item)
 		if err != nil {
 			return nil, err
 		}
@@ -107,12 +107,12 @@
 	return upsertItems(kind, result, positions, upserts)
 }
 
-// upsertItems puts each item in the place of the one of its name, or at the end. An update that names an
-// item twice has both added, so that the check of the whole refuses it.
+// upsertItems replaces the item with the same name, or appends. If an update names an item twice both are kept, so that
+// validation rejects the result.
 func upsertItems(kind string, items []json.RawMessage, positions map[string]int, upserts []json.RawMessage) ([]json.RawMessage, error) {
 	seen := make(map[string]bool, len(upserts))
 	for _, item := range upserts {
-		name, err := nameOf(kind, item)
+		name, err := itemNameFromJSON(kind, item)
 		if err != nil {
 			return nil, err
 		}
@@ -127,18 +127,18 @@
 	return items, nil
 }
 
-// nameOf reads the name of a route or service.
-func nameOf(kind string, item json.RawMessage) (string, error) {
+// itemNameFromJSON returns the name of a route or service.
+func itemNameFromJSON(kind string, item json.RawMessage) (string, error) {
 	named := struct {
 		Name string `json:"name"`
 	}{}
 	if err := json.Unmarshal(item, &named); err != nil {
-		return "", unreadable(kind, err)
+		return "", invalidJSON(kind, err)
 	}
 	return named.Name, nil
 }
 
-func oldVersion(version, current uint64) *ValidationError {
+func staleVersion(version, current uint64) *ValidationError {
 	problem := fmt.Sprintf("%d must be above the current version %d", version, current)
 	return &ValidationError{Faults: []Fault{{Item: "update", Key: "version", Problem: problem}}}
 }
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -9,16 +9,16 @@
 )
 
 var (
-	required    = validation.Required.Error("is missing: set it")
-	above0      = validation.Min(0.0).Exclusive().Error("must be above 0")
-	notNegative = validation.Min(0.0).Error("must be 0 or more")
-	count       = validation.Min(0).Error("must be 0 or more")
+	required       = validation.Required.Error("is missing: set it")
+	positive       = validation.Min(0.0).Exclusive().Error("must be above 0")
+	nonNegative    = validation.Min(0.0).Error("must be 0 or more")
+	nonNegativeInt = validation.Min(0).Error("must be 0 or more")
 )
 
-// Validate checks the configuration whole. The error is a *ValidationError that lists every fault.
+// Validate checks the complete configuration. The error is a *ValidationError that lists every fault.
 func (c *Config) Validate() error {
 	checker := &checker{}
-	checker.checkHead(c)
+	checker.checkTopLevel(c)
 	checker.checkServices(c.Services)
 	checker.checkRoutes(c.Routes)
 	if len(checker.faults) == 0 {
@@ -27,19 +27,19 @@
 	return &ValidationError{Faults: checker.faults}
 }
 
-// prefix is what may belong to one route only.
+// prefix identifies what only one route may have.
 type prefix struct {
 	host string
 	path string
 }
 
-// checker gathers the faults of one configuration.
+// checker collects the faults of one configuration.
 type checker struct {
 	faults   []Fault
 	services map[string]bool
 }
 
-// check adds a fault if the value breaks one of the rules.
+// check adds a fault if the value violates one of the rules.
 func (c *checker) check(item func() string, key string, value any, rules ...validation.Rule) {
 	if err := validation.Validate(value, rules...); err != nil {
 		c.add(item(), key, err.Error())
@@ -50,16 +50,16 @@
 	c.faults = append(c.faults, Fault{Item: item, Key: key, Problem: problem})
 }
 
-// checkHead checks what stands beside the items.
-func (c *checker) checkHead(config *Config) {
+// checkTopLevel checks the keys outside of routes and services.
+func (c *checker) checkTopLevel(config *Config) {
 	item := func() string { return "configuration" }
 	c.check(item, "version", config.Version, validation.Required.Error("must be above 0"))
 	c.check(item, "routes", config.Routes, validation.NotNil.Error("is missing: send the list, empty for none"))
 	c.check(item, "services", config.Services, validation.NotNil.Error("is missing: send the list, empty for none"))
-	c.check(item, "limits.maxHeaderBytes", config.Limits.MaxHeaderBytes, count)
-	c.check(item, "limits.maxBodyBytes", config.Limits.MaxBodyBytes, count)
-	c.check(item, "limits.headerTimeoutMs", config.Limits.HeaderTimeoutMs, count)
-	c.check(item, "limits.idleTimeoutMs", config.Limits.IdleTimeoutMs, count)
+	c.check(item, "limits.maxHeaderBytes", config.Limits.MaxHeaderBytes, nonNegativeInt)
+	c.check(item, "limits.maxBodyBytes", config.Limits.MaxBodyBytes, nonNegativeInt)
+	c.check(item, "limits.headerTimeoutMs", config.Limits.HeaderTimeoutMs, nonNegativeInt)
+	c.check(item, "limits.idleTimeoutMs", config.Limits.IdleTimeoutMs, nonNegativeInt)
 }
 
 func (c *checker) checkServices(services []Service) {
@@ -68,8 +68,8 @@
 		service := &services[i]
 		item := func() string { return itemName("service", service.Name, i) }
 		c.check(item, "name", service.Name, required)
-		c.check(item, "ratePerS", service.RatePerS, notNegative)
-		c.check(item, "maxConns", service.MaxConns, count)
+		c.check(item, "ratePerS", service.RatePerS, nonNegative)
+		c.check(item, "maxConns", service.MaxConns, nonNegativeInt)
 		if c.services[service.Name] {
 			c.add(item(), "name", "is used twice: give each service its own")
 		}
@@ -84,9 +84,9 @@
 		route := &routes[i]
 		item := func() string { return itemName("route", route.Name, i) }
 		c.check(item, "name", route.Name, required)
-		c.check(item, "timeoutMs", route.TimeoutMs, required, above0)
-		c.check(item, "retries", route.Retries, count)
-		c.check(item, "retentionS", route.RetentionS, notNegative)
+		c.check(item, "timeoutMs", route.TimeoutMs, required, positive)
+		c.check(item, "retries", route.Retries, nonNegativeInt)
+		c.check(item, "retentionS", route.RetentionS, nonNegative)
 		if !c.services[route.Service] {
 			c.add(item(), "service", fmt.Sprintf("%q is unknown: add the service or name another", route.Service))
 		}
@@ -102,7 +102,7 @@
 	}
 }
 
-// itemName names an item in a fault, by its position where it has no name.
+// itemName returns an item's name for faults, or its index if it has no name.
 func itemName(kind, name string, position int) string {
 	if name == "" {
 		return kind + " " + strconv.Itoa(position)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,5 @@
-// Package control is the control socket: a Unix socket, for its owner only, over which operators ask a running
-// dispatcher for its state and give it orders. A question is one line of JSON, an answer one or more of them.
+// Package control implements the control socket: a Unix socket, accessible to its owner only, through which operators query
+// a running dispatcher and give it orders. A question is one line of JSON; an answer is one or more such lines.
 package control
 
 import (
@@ -23,33 +23,34 @@
 var codec = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	maxQuestionBytes = 64 << 10
-	maxConns         = 16 // at once; descriptors are needed elsewhere
-	readTimeout      = 5 * time.Second
-	writeTimeout     = 5 * time.Second
+	maxQuestionBytes = 64 << 10        // longest question
+	maxConns         = 16              // served at once, to keep descriptors available for other uses
+	readTimeout      = 5 * time.Second // for the question to arrive
+	writeTimeout     = 5 * time.Second // for each line of an answer
 )
 
-// Question is what an operator asks.
+// Question is an operator's question.
 type Question struct {
-	Ask  string          `json:"ask"`
-	Args json.RawMessage `json:"args,omitempty"`
+	Ask  string          `json:"ask"`            // name of the handler
+	Args json.RawMessage `json:"args,omitempty"` // passed to the handler
 }
 
-// Fault is the answer to a question that could not be answered.
+// ErrorReply is the answer to a question that could not be answered.
 type ErrorReply struct {
 	Error string `json:"error"`
 }
 
-// Refused is the error of a question that was heard and could not be answered, in the words of whoever was asked.
+// RemoteError is the error that a server returned for a question it received, with the server's text.
 type RemoteError string
 
 func (r RemoteError) Error() string { return string(r) }
 
-// Handler answers a question by any number of values, each of which becomes a line. An error becomes the last one.
+// Handler answers a question by calling say with any number of values, each of which becomes a line. A returned error is
+// sent as the last line.
 type Handler func(args json.RawMessage, say func(v any) error) error
 
-// Server answers questions. The connections that it serves do not pass on in an upgrade: who asked is told by the
-// process that was asked.
+// Server answers questions on a listener. Its open connections are not handed over in an upgrade: the process that
+// received a question also answers it.
 type Server struct {
 	ln         *net.UnixListener
 	handlers   map[string]Handler
@@ -58,8 +59,8 @@
 	handedOver atomic.Bool
 }
 
-// Listen opens the socket at a path, for this user only. A socket that no process answers at is replaced; one that a
-// process answers at is an error.
+// Listen opens the socket at a path, accessible to this user only. It replaces a socket that no process listens on, and
+// returns an error if a process does.
 func Listen(path string) (*net.UnixListener, error) {
 	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 		c.Close()
@@ -69,7 +70,7 @@
 			return nil, fmt.Errorf("control socket: %w", err)
 		}
 	}
-	// Danger: made first and closed to others afterwards, it would be open to them in between.
+	// The mode must be set at creation: changed afterwards, the socket would be accessible to others in between.
 	old := syscall.Umask(0o177)
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	syscall.Umask(old)
@@ -79,7 +80,7 @@
 	return ln, nil
 }
 
-// Taken makes a listener of the one that another process handed over. It removes the socket's file when closed.
+// Taken returns the listener that another process handed over at the given place. Closing it removes the socket's file.
 func Taken(place int, files *hold.Received) (*net.UnixListener, error) {
 	ln, err := files.Listener(place)
 	if err != nil {
@@ -94,12 +95,12 @@
 	return u, nil
 }
 
-// NewServer makes a server of a listener.
+// NewServer returns a server that answers the questions that have a handler.
 func NewServer(ln *net.UnixListener, handlers map[string]Handler, log logrus.FieldLogger) *Server {
 	return &Server{ln: ln, handlers: handlers, log: log, slots: make(chan struct{}, maxConns)}
 }
 
-// FD calls f with the listener's descriptor.
+// FD calls f with the listener's file descriptor, which is valid only during the call.
 func (s *Server) FD(f func(fd int)) error { return hold.FD(s.ln, f) }
 
 // Run serves until the listener is closed.
@@ -112,7 +113,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			s.log.WithError(err).Warn("control socket")
+			s.log.WithError(err).Warn("control socket: accept failed, retrying")
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
@@ -123,8 +124,8 @@
 	}
 }
 
-// Leave says that another process answers from now on: new questions that still come here end without a word, and
-// are asked again.
+// Leave is called when another process answers from now on: questions that still arrive here are closed without an answer,
+// so that Ask repeats them.
 func (s *Server) Leave() { s.handedOver.Store(true) }
 
 // Close closes the socket and removes its file.
@@ -164,13 +165,12 @@
 	}
 }
 
-// retry is for how long a question is asked again whose connection ended without a word: an upgrade may have come
-// between.
+// askRetryPeriod is how long Ask repeats a question whose connection closed without an answer, as during an upgrade.
 const askRetryPeriod = 2 * time.Second
 
-// Ask asks a question at a socket and passes each line of the answer to hear, until the end. An answer that is a
-// Fault is an error.
-func Ask(path, what string, args any, hear func(line []byte) error) error {
+// Ask sends a question to the socket at a path and calls receive with each line of the answer, which is valid only during
+// the call. If the answer is an ErrorReply, it returns a RemoteError.
+func Ask(path, what string, args any, receive func(line []byte) error) error {
 	q := Question{Ask: what}
 	if args != nil {
 		text, err := codec.Marshal(args)
@@ -181,7 +181,7 @@
 	}
 	until := time.Now().Add(askRetryPeriod)
 	for {
-		lines, err := askOnce(path, q, hear)
+		lines, err := askOnce(path, q, receive)
 		if err != nil || lines > 0 {
 			return err
 		}
@@ -192,7 +192,7 @@
 	}
 }
 
-func askOnce(path string, q Question, hear func([]byte) error) (lines int, err error) {
+func askOnce(path string, q Question, receive func([]byte) error) (lines int, err error) {
 	c, err := net.Dial("unix", path)
 	if err != nil {
 		return 0, fmt.Errorf("no dispatcher answers at its control socket: %w", err)
@@ -213,7 +213,7 @@
 		if codec.Unmarshal(in.Bytes(), &f) == nil && f.Error != "" {
 			return lines, RemoteError(f.Error)
 		}
-		if err := hear(in.Bytes()); err != nil {
+		if err := receive(in.Bytes()); err != nil {
 			return lines, err
 		}
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestSocketIsForItsOwnerOnly: nobody else may open the socket.
+// TestSocketIsForItsOwnerOnly checks that other users may not open the socket.
 func TestSocketIsForItsOwnerOnly(t *testing.T) {
 	_, path := serve(t)
 	info, err := os.Stat(path)
@@ -67,7 +67,7 @@
 	}
 }
 
-// TestSocketInUse: a socket that somebody answers at is left alone; one that was left behind is replaced.
+// TestSocketInUse: a socket that a process listens on is an error; one left behind by a process that ended is replaced.
 func TestSocketInUse(t *testing.T) {
 	_, path := serve(t)
 	if _, err := Listen(path); err == nil || !strings.Contains(err.Error(), "a running process answers") {
@@ -87,7 +87,7 @@
 	again.Close()
 }
 
-// TestMalformedQuestions: what is no question gets an error, and the server goes on.
+// TestMalformedQuestions: a malformed question gets an error, and the server continues to serve.
 func TestMalformedQuestions(t *testing.T) {
 	_, path := serve(t)
 	for text, want := range map[string]string{
@@ -113,7 +113,7 @@
 	}
 }
 
-// TestServerThatHasLeftDoesNotAnswer: a server that has left ends questions without a word, so that they are asked again.
+// TestServerThatHasLeftDoesNotAnswer: after Leave, questions are closed without an answer, so that Ask repeats them.
 func TestServerThatHasLeftDoesNotAnswer(t *testing.T) {
 	s, path := serve(t)
 	s.Leave()
--- a/internal/core/branches.go
+++ b/internal/core/branches.go
@@ -8,16 +8,16 @@
 // Branches are the attempts of a request, from the send to their outcome.
 
 // branch is one attempt of a request.
-type branch struct { // index among the request's branches
+type branch struct {
 	id      BranchID
-	no      int
-	req     *request // when it was opened
+	no      int // index among the request's branches
+	req     *request
 	worker  WorkerID
 	addr    string
-	sent    float64
-	zone    string // of the worker when the branch was opened
-	cell    int    // of the worker when the branch was opened
-	started bool   // the worker reported that the job started
+	sent    float64 // when the branch was opened
+	zone    string  // of the worker when the branch was opened
+	cell    int     // of the worker when the branch was opened
+	started bool    // the worker reported that the job started
 
 	// A branch is open, given up (its worker is being told, and code is the outcome it will have) or ended. released is set
 	// when, as far as its worker or this machine can know, nothing of the branch runs or will run.
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -26,11 +26,11 @@
 	ID        RequestID
 	Class     string
 	Tenant    string
-	Key       uint64 // hash of the entity the request is about
+	Key       uint64 // id of the entity the request is about, or a hash of its name
 	HasKey    bool
 	Remaining float64 // seconds that the caller will wait
-	Slots     float64 // of a worker, that the request needs
-	Memory    float64 // of a worker, that the request needs
+	Slots     float64 // slots that the request occupies at a worker; less than 1 counts as 1
+	Memory    float64 // memory that the request needs at a worker
 	Hint      float64 // expected work in core seconds
 	HasHint   bool
 	Repeat    bool // the caller says that this is a repeat
@@ -50,12 +50,12 @@
 // Worker is one entry of a route set.
 type Worker struct {
 	ID      WorkerID
-	Addr    string
+	Addr    string // host:port
 	Zone    string
-	Kind    string
-	Cell    int
+	Kind    string // machine kind
+	Cell    int    // group of workers that drop each other's repeats
 	State   WorkerState
-	Weight  float64
+	Weight  float64 // weight that discovery states
 	Started float64 // Unix seconds; 0 for long ago
 }
 
@@ -68,9 +68,9 @@
 
 // Limits bounds the resources that a dispatcher may use on its machine.
 type Limits struct {
-	Cores    float64
+	Cores    float64 // CPU cores
 	MemoryMB int
-	Sockets  int
+	Sockets  int // open sockets
 }
 
 // Source is one discovery address in use. A reload that changes the address creates a new source, so that late messages
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -20,9 +20,9 @@
 
 // timer is an action to take at a given time. It is a record rather than a function, so that it can be encoded and
 // handed over to another process.
-type timer struct { // seconds on the dispatcher's clock
-	at       float64 // order of creation, which breaks ties
-	seq      uint64
+type timer struct {
+	at       float64 // seconds on the dispatcher's clock
+	seq      uint64  // order of creation, which breaks ties
 	kind     timerKind
 	request  RequestID  // timerExpire
 	exchange ExchangeID // timerExpire: a request id may be reused after its deadline, an exchange id is not
