--- a/internal/core/audit.go
+++ b/internal/core/audit.go
@@ -86,6 +86,7 @@
 	}
 }
 
+// beginAudit starts the recorder, or updates the versions of one that was handed over.
 func (r *Reducer) beginAudit(ev AuditBegun) {
 	r.heldVersions.Program, r.routeSourceName, r.fetchesConfigs = ev.Program, ev.Routes, ev.BringUp
 	// The predecessor may have adopted a newer configuration just before the handover than the one this process read.
@@ -100,8 +101,8 @@
 	r.auditProcess = ev.Process
 	r.heldVersions.Begun = ev.Last.Begun
 	if last := ev.Last.Routes; last.Source == r.sourceName() {
-		r.newestHeldVersion = max(r.newestHeldVersion, last.No) // after a restart the process must not go back behind a version that it acted on before
-	} else if last.Source != "" {
+		r.newestHeldVersion = max(r.newestHeldVersion, last.No) // a restart must not fall back to an older version
+	} else if last.Source != "" { // versions of another source can't be compared
 		r.heldVersions.Begun++
 	}
 	r.heldVersions.Routes = r.heldRouteSet()
--- a/internal/core/branches.go
+++ b/internal/core/branches.go
@@ -29,6 +29,7 @@
 	inDoubt bool // the connection broke, and a report of the job's start is awaited
 }
 
+// faultCodes maps a branch's fault to its outcome for the decision module.
 var faultCodes = map[Fault]choice.Code{NoConnect: choice.NoConnect, BrokenBeforeSend: choice.BrokenBeforeSend, WorkerBusy: choice.Busy,
 	BrokenAfterSend: choice.Reset, StaleConnection: choice.StaleConnection, Errored: choice.Errored, RequestUnusable: choice.Skipped, NotSent: choice.Skipped}
 
@@ -61,8 +62,8 @@
 }
 
 // giveUpWithCode gives a branch up and returns the function that ends it. Where second copies are not allowed and the
-// class permits repeats, that function does nothing: the branch counts as open until BranchReleased, because an earlier
-// repeat elsewhere could run as a second copy.
+// class permits repeats, that function does nothing: the branch counts as open until BranchReleased, because a repeat
+// elsewhere before that would be a second copy.
 func (r *Reducer) giveUpWithCode(b *branch, code choice.Code) (end func()) {
 	r.giveUp(b)
 	if b.code = code; !r.settings.SecondCopies && r.effectOf(b.req) != choice.AtMostOnce && !b.req.closed {
--- a/internal/core/configfetch.go
+++ b/internal/core/configfetch.go
@@ -11,7 +11,7 @@
 // A member with an outdated configuration sees in the fleet view that others have a newer one in force, and requests its
 // shared part from one of them. docs/audit-design.md lists what is passed on and what is not.
 
-// MaxSharedBytes bounds the length of a configuration's shared part as text.
+// MaxSharedBytes bounds the text of a configuration's shared part, in bytes.
 const MaxSharedBytes = 64 << 10
 
 // configFetchIntervalS is the time between two requests for a configuration.
@@ -36,9 +36,9 @@
 
 // FetchConfig requests from a member the configuration that it has in force.
 type FetchConfig struct {
-	Process uint64
-	Member  string
-	Config  membership.Version
+	Process uint64             // of the member to ask
+	Member  string             // its name
+	Config  membership.Version // the version it reports
 }
 
 func (AuditConfigured) event() {}
@@ -140,8 +140,8 @@
 		return
 	}
 	type candidate struct {
-		of      []membership.Record
-		twofold bool
+		holders     []membership.Record
+		conflicting bool
 	}
 	newer := map[int64]*candidate{}
 	best := int64(-1)
@@ -154,11 +154,11 @@
 			c = &candidate{}
 			newer[m.Config.No] = c
 		}
-		c.twofold = c.twofold || len(c.of) > 0 && c.of[0].Config.Digest != m.Config.Digest
-		c.of = append(c.of, m)
+		c.conflicting = c.conflicting || len(c.holders) > 0 && c.holders[0].Config.Digest != m.Config.Digest
+		c.holders = append(c.holders, m)
 	}
 	for no, c := range newer {
-		if !c.twofold && no > best {
+		if !c.conflicting && no > best {
 			best = no
 		}
 	}
@@ -166,7 +166,7 @@
 		return
 	}
 	var reached []membership.Record
-	for _, m := range newer[best].of {
+	for _, m := range newer[best].holders {
 		if m.Live() {
 			reached = append(reached, m)
 		}
@@ -176,9 +176,9 @@
 	}
 	r.peerRequests++
 	r.nextConfigFetchAt = r.now + configFetchIntervalS
-	// Starting at a different member for each process keeps all outdated members from asking the same one.
-	ask := reached[(r.peerRequests+r.auditProcess)%uint64(len(reached))]
-	r.emit(FetchConfig{Process: ask.Process, Member: ask.Name, Config: ask.Config})
+	// Each process starts at a different member, so that outdated members do not all ask the same one.
+	chosen := reached[(r.peerRequests+r.auditProcess)%uint64(len(reached))]
+	r.emit(FetchConfig{Process: chosen.Process, Member: chosen.Name, Config: chosen.Config})
 }
 
 // Shared returns the shared part of the configuration in force as text, with its version; false if it is unknown.
--- a/internal/core/conflict.go
+++ b/internal/core/conflict.go
@@ -31,8 +31,8 @@
 func (r *Reducer) currentDigest() uint64 {
 	if !r.digestValid {
 		r.digestValid, r.routeSetDigest = true, 0
-		for _, h := range r.workers {
-			r.routeSetDigest += workerDigest(h)
+		for _, worker := range r.workers {
+			r.routeSetDigest += workerDigest(worker)
 		}
 	}
 	return r.routeSetDigest
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -109,6 +109,7 @@
 	r.fleetUpdated(looked)
 }
 
+// beginFleet starts the view, unless one was handed over, and enters what this process acts on.
 func (r *Reducer) beginFleet(self membership.Record) {
 	if r.fleet == nil {
 		v, err := membership.New(r.now, self)
@@ -118,7 +119,7 @@
 		}
 		r.fleet = v
 	}
-	if r.recorder != nil { // a member that is only now joining does not have it yet
+	if r.recorder != nil { // the fleet transport that starts just now has not received it
 		r.emit(r.Config())
 		self.Config = r.heldVersions.Config
 	}
--- a/internal/core/floors.go
+++ b/internal/core/floors.go
@@ -10,7 +10,7 @@
 // FleetFloored delivers floors, the minimum versions for acting, from another member.
 type FleetFloored struct{ Floors []membership.Floor }
 
-// FleetContacted delivers a member's answer to a probe.
+// FleetContacted delivers a member's answer to a question of this process, which proves contact with it.
 type FleetContacted struct{ Contact membership.Contact }
 
 // FloorOrdered announces a floor to the fleet, or withdraws one. The answer is FloorTold.
--- a/internal/core/hints.go
+++ b/internal/core/hints.go
@@ -45,7 +45,7 @@
 type hint struct {
 	routeSetVersion int64
 	receivedAt      float64
-	fromDiscovery   bool // discovery's own list, one with conflicting contents
+	fromDiscovery   bool // taken from a list of discovery that was not applied as a whole, not from a peer
 }
 
 // sourceName returns the name of the route set's source within the fleet.
@@ -104,14 +104,14 @@
 	}
 }
 
-// recentHints returns the hints to repeat: those of workers that the own list has drained or removed, and for a limited time those received
-// from peers. Without the limit, two dispatchers with outdated lists would keep a peer's mistake alive between them. Only
-// discovery reports that a worker is back.
+// recentHints returns the hints to repeat: those of workers that the own list has drained or removed, and for a limited
+// time those received from peers. Without the limit, two dispatchers with outdated lists would keep a peer's mistake
+// alive between them. Only discovery reports that a worker is back.
 func (r *Reducer) recentHints() (all []Hint) {
 	r.recentDrains = slices.DeleteFunc(r.recentDrains, func(x HintState) bool {
-		h, listed := r.workers[x.Worker]
+		worker, listed := r.workers[x.Worker]
 		_, hinted := r.hints[x.Worker]
-		return listed && h.State == WorkerActive && (!hinted || r.now-x.At >= hintLifetimeS)
+		return listed && worker.State == WorkerActive && (!hinted || r.now-x.At >= hintLifetimeS)
 	})
 	for _, x := range r.recentDrains {
 		all = append(all, Hint{Worker: x.Worker, Version: x.Version, Source: r.sourceName()})
@@ -119,9 +119,9 @@
 	return all
 }
 
-// requestHints sends AskHints to one of the members that hold a newer list, until this dispatcher's own discovery has sent it.
-// Hints are sent when a drain starts and are lost for members that are unreachable then, and a full exchange takes place
-// only where views differ.
+// requestHints sends AskHints to one of the members that hold a newer list, until this dispatcher's own discovery has
+// sent it. Hints are sent when a drain starts and are lost for members that are unreachable then, and a full exchange
+// takes place only where views differ.
 func (r *Reducer) requestHints() {
 	if r.now < r.nextHintRequestAt || r.routeSetVersion == VersionUnknown {
 		return
@@ -157,7 +157,8 @@
 	return restored
 }
 
-// hintValid reports whether a hint that discovery has not superseded is still valid.
+// hintValid reports whether a hint that discovery has not superseded is still valid. One from discovery's own contested
+// list does not expire while the conflict lasts.
 func (r *Reducer) hintValid(h hint) bool {
 	return h.fromDiscovery && r.contestedVersion > 0 || r.now-h.receivedAt < hintLifetimeS
 }
@@ -195,7 +196,7 @@
 	Worker  WorkerID `cbor:"Hop"`
 	Version int64
 	At      float64
-	Own     bool `cbor:",omitempty"` // from discovery's own list, one with conflicting contents
+	Own     bool `cbor:",omitempty"` // taken from a list of discovery that was not applied as a whole, not from a peer
 }
 
 func (r *Reducer) exportHints() (all []HintState) {
--- a/internal/core/reducer.go
+++ b/internal/core/reducer.go
@@ -206,7 +206,7 @@
 // a repeat is harmless, so it is given only to requests that never ran or are idempotent.
 func (r *Reducer) stop() {
 	r.stopping = true
-	for _, exchange := range slices.Sorted(maps.Keys(r.exchanges)) { // sorted, so that two versions given the same events return the same effects
+	for _, exchange := range slices.Sorted(maps.Keys(r.exchanges)) { // sorted, as effects must be reproducible
 		q := r.exchanges[exchange]
 		a := Answer{Verdict: Busy, Reason: "stopping"}
 		if len(q.branches) > 0 && r.effectOf(q) != choice.Idempotent {
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -15,6 +15,7 @@
 	closed   bool // the final answer was given, or is no longer owed
 }
 
+// callArrived accepts a request, or answers it at once if it can't be accepted.
 func (r *Reducer) callArrived(c Call) {
 	class, known := r.classes[c.Class]
 	tenant, hasTenant := r.tenants[c.Tenant]
@@ -54,6 +55,7 @@
 		HasHint: c.HasHint, Repeat: c.Repeat})
 }
 
+// callerLeft ends a request whose caller closed its exchange.
 func (r *Reducer) callerLeft(exchange ExchangeID) {
 	if q := r.exchanges[exchange]; q != nil {
 		r.finish(q)
@@ -108,7 +110,7 @@
 	for _, b := range q.branches {
 		if !b.ended {
 			r.giveUp(b)
-			r.deferred = append(r.deferred, func() { r.endBranch(b, choice.TimedOut, nil) }) // counts neither for nor against the worker
+			r.deferred = append(r.deferred, func() { r.endBranch(b, choice.TimedOut, nil) }) // the outcome says nothing about the worker
 		}
 	}
 	r.removeIfDone(q)
--- a/internal/core/routeset.go
+++ b/internal/core/routeset.go
@@ -9,6 +9,7 @@
 
 // Updates from discovery, and reloads of the settings.
 
+// workerStates maps discovery's states to those of the decision module.
 var workerStates = map[WorkerState]choice.State{WorkerActive: choice.InService, WorkerLeaving: choice.Terminating,
 	WorkerLeft: choice.Terminated}
 
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -105,8 +105,8 @@
 	for id, at := range r.restoredAt {
 		s.Returned = append(s.Returned, ReturnState{Worker: id, At: at})
 	}
-	for _, h := range r.workers {
-		s.Workers = append(s.Workers, h)
+	for _, worker := range r.workers {
+		s.Workers = append(s.Workers, worker)
 	}
 	for _, t := range r.timers {
 		s.Timers = append(s.Timers, TimerState{At: t.at, Seq: t.seq, Kind: uint8(t.kind), Request: t.request, Exchange: t.exchange,
@@ -151,11 +151,11 @@
 	}
 	r := newReducer(st.Now, s)
 	r.source, r.routeSetVersion, r.watching, r.lastID, r.timerSeq = st.Source, st.Version, st.Watching, st.LastID, st.TimerSeq
-	for i, h := range st.Workers {
-		if _, duplicate := r.workers[h.ID]; duplicate || h.State < WorkerActive || h.State > WorkerLeft {
-			return nil, fmt.Errorf("%w: worker %d (%q) is there twice or in no state", ErrState, i, h.ID)
+	for i, worker := range st.Workers {
+		if _, duplicate := r.workers[worker.ID]; duplicate || worker.State < WorkerActive || worker.State > WorkerLeft {
+			return nil, fmt.Errorf("%w: worker %d (%q) is there twice or in no state", ErrState, i, worker.ID)
 		}
-		r.workers[h.ID] = h
+		r.workers[worker.ID] = worker
 	}
 	if len(st.Banned) > maxBans {
 		return nil, fmt.Errorf("%w: %d workers are out by hand, %d at most", ErrState, len(st.Banned), maxBans)
