--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -13,7 +13,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-func serve(t *testing.T) (*Server, string) {
+func startServer(t *testing.T) (*Server, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "c.sock")
 	ln, err := Listen(path)
@@ -43,7 +43,7 @@
 }
 
 func TestAsk(t *testing.T) {
-	_, path := serve(t)
+	_, path := startServer(t)
 	lines := 0
 	if err := Ask(path, "count", 3, func([]byte) error { lines++; return nil }); err != nil || lines != 3 {
 		t.Errorf("%d lines, %v", lines, err)
@@ -54,13 +54,13 @@
 		}
 	}
 	if err := Ask(path+"x", "count", 1, nil); err == nil || !strings.Contains(err.Error(), "no dispatcher answers") {
-		t.Errorf("nobody there: %v", err)
+		t.Errorf("no socket: %v", err)
 	}
 }
 
 // TestSocketIsForItsOwnerOnly checks that other users may not open the socket.
 func TestSocketIsForItsOwnerOnly(t *testing.T) {
-	_, path := serve(t)
+	_, path := startServer(t)
 	info, err := os.Stat(path)
 	if err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("%v, %v", info.Mode(), err)
@@ -69,18 +69,18 @@
 
 // TestSocketInUse: a socket that a process listens on is an error; one left behind by a process that ended is replaced.
 func TestSocketInUse(t *testing.T) {
-	_, path := serve(t)
+	_, path := startServer(t)
 	if _, err := Listen(path); err == nil || !strings.Contains(err.Error(), "a running process answers") {
 		t.Errorf("a second listener: %v", err)
 	}
-	left := filepath.Join(t.TempDir(), "left.sock")
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: left, Net: "unix"})
+	abandoned := filepath.Join(t.TempDir(), "left.sock")
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: abandoned, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln.SetUnlinkOnClose(false)
 	ln.Close()
-	again, err := Listen(left)
+	again, err := Listen(abandoned)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 
 // TestMalformedQuestions: a malformed question gets an error, and the server continues to serve.
 func TestMalformedQuestions(t *testing.T) {
-	_, path := serve(t)
+	_, path := startServer(t)
 	for text, want := range map[string]string{
 		"nonsense\n":    "not a question",
 		"{\"ask\":7}\n": "not a question",
@@ -105,7 +105,7 @@
 		got, _ := io.ReadAll(c)
 		c.Close()
 		if !strings.Contains(string(got), want) {
-			t.Errorf("%.30q: answered %q, want %q", text, got, want)
+			t.Errorf("%.30q: answer %q, want %q", text, got, want)
 		}
 	}
 	if err := Ask(path, "count", 1, func([]byte) error { return nil }); err != nil {
@@ -115,9 +115,9 @@
 
 // TestServerThatHasLeftDoesNotAnswer: after Leave, questions are closed without an answer, so that Ask repeats them.
 func TestServerThatHasLeftDoesNotAnswer(t *testing.T) {
-	s, path := serve(t)
+	s, path := startServer(t)
 	s.Leave()
 	if err := Ask(path, "count", 1, nil); err == nil || !strings.Contains(err.Error(), "without an answer") {
-		t.Errorf("after it has left: %v", err)
+		t.Errorf("after Leave: %v", err)
 	}
 }
--- a/internal/core/attempts_test.go
+++ b/internal/core/branches_test.go
@@ -10,13 +10,13 @@
 
 // TestMayRepeat checks which further branches a class allows after earlier ones, whatever the decision module selects.
 func TestMayRepeat(t *testing.T) {
-	at := func(id, zone string, cell int) Worker {
+	workerAt := func(id, zone string, cell int) Worker {
 		return Worker{ID: WorkerID(id), Addr: id + ":1", Zone: zone, Cell: cell, Weight: 1}
 	}
 	keyed := func(g choice.Group) choice.Class {
 		return choice.Class{Effect: choice.Deduplicated, Group: g, Window: 2}
 	}
-	free, once := choice.Class{}, choice.Class{Effect: choice.AtMostOnce}
+	idempotent, atMostOnce := choice.Class{}, choice.Class{Effect: choice.AtMostOnce}
 	ended := func(code choice.Code) branch {
 		return branch{worker: "a", zone: "x", cell: 1, sent: 3, ended: true, code: code, released: code.NeverRan()}
 	}
@@ -31,30 +31,30 @@
 		before float64
 		ok     bool
 	}{
-		{"once, nothing ran", once, true, ended(choice.NoConnect), at("b", "x", 1), 0, true},
-		{"once, the same worker was not reached", once, true, ended(choice.NoConnect), at("a", "x", 1), 0, true},
-		{"once, the same worker was busy", once, true, ended(choice.Busy), at("a", "x", 1), 0, true},
-		{"once, returned by a callback", once, true, ended(choice.Returned), at("b", "x", 1), 0, true},
-		{"once, the same worker returned it, and may repeat the callback", once, true, ended(choice.Returned), at("a", "x", 1), 0, false},
-		{"once, may have run", once, true, ended(choice.Reset), at("b", "x", 1), 0, false},
-		{"once, still open", once, true, branch{worker: "a"}, at("b", "x", 1), 0, false},
-		{"free, may have run", free, true, ended(choice.Reset), at("b", "y", 2), 0, true},
-		{"free, may have run at the same worker", free, true, ended(choice.Errored), at("a", "x", 1), 0, false},
-		{"free, cancelled at the same worker and confirmed", free, true, confirmed, at("a", "x", 1), 0, true},
-		{"free, cancelled at the same worker, not confirmed", free, true, ended(choice.Cancelled), at("a", "x", 1), 0, false},
-		{"free, still open at the same worker", free, true, branch{worker: "a"}, at("a", "x", 1), 0, false},
-		{"free, still open", free, true, branch{worker: "a"}, at("b", "x", 1), 0, true},
-		{"free, still open, without copies", free, false, branch{worker: "a"}, at("b", "x", 1), 0, false},
-		{"free, ended unconfirmed, without copies", free, false, ended(choice.Cancelled), at("b", "x", 1), 0, false},
-		{"free, ended and confirmed, without copies", free, false, confirmed, at("b", "x", 1), 0, true},
-		{"free, never ran, without copies", free, false, ended(choice.Busy), at("b", "x", 1), 0, true},
-		{"keyed, in its zone", keyed(choice.GroupZone), true, ended(choice.Reset), at("b", "x", 2), 5, true},
-		{"keyed, in another zone", keyed(choice.GroupZone), true, ended(choice.Reset), at("b", "y", 1), 0, false},
-		{"keyed, nothing ran, in another zone", keyed(choice.GroupZone), true, ended(choice.BrokenBeforeSend), at("b", "y", 1), 0, true},
-		{"keyed, in its cell", keyed(choice.GroupCell), true, ended(choice.Reset), at("b", "y", 1), 5, true},
-		{"keyed, in another cell", keyed(choice.GroupCell), true, ended(choice.Reset), at("b", "x", 2), 0, false},
-		{"keyed, anywhere", keyed(choice.GroupAll), true, ended(choice.Reset), at("b", "y", 2), 5, true},
-		{"keyed, too late", choice.Class{Effect: choice.Deduplicated, Window: 0.5}, true, ended(choice.Reset), at("b", "x", 1), 3.5, false},
+		{"at most once, nothing ran", atMostOnce, true, ended(choice.NoConnect), workerAt("b", "x", 1), 0, true},
+		{"at most once, the same worker was not reached", atMostOnce, true, ended(choice.NoConnect), workerAt("a", "x", 1), 0, true},
+		{"at most once, the same worker was busy", atMostOnce, true, ended(choice.Busy), workerAt("a", "x", 1), 0, true},
+		{"at most once, returned by a callback", atMostOnce, true, ended(choice.Returned), workerAt("b", "x", 1), 0, true},
+		{"at most once, the same worker returned it, and may repeat the callback", atMostOnce, true, ended(choice.Returned), workerAt("a", "x", 1), 0, false},
+		{"at most once, may have run", atMostOnce, true, ended(choice.Reset), workerAt("b", "x", 1), 0, false},
+		{"at most once, still open", atMostOnce, true, branch{worker: "a"}, workerAt("b", "x", 1), 0, false},
+		{"idempotent, may have run", idempotent, true, ended(choice.Reset), workerAt("b", "y", 2), 0, true},
+		{"idempotent, may have run at the same worker", idempotent, true, ended(choice.Errored), workerAt("a", "x", 1), 0, false},
+		{"idempotent, cancelled at the same worker and confirmed", idempotent, true, confirmed, workerAt("a", "x", 1), 0, true},
+		{"idempotent, cancelled at the same worker, not confirmed", idempotent, true, ended(choice.Cancelled), workerAt("a", "x", 1), 0, false},
+		{"idempotent, still open at the same worker", idempotent, true, branch{worker: "a"}, workerAt("a", "x", 1), 0, false},
+		{"idempotent, still open", idempotent, true, branch{worker: "a"}, workerAt("b", "x", 1), 0, true},
+		{"idempotent, still open, without copies", idempotent, false, branch{worker: "a"}, workerAt("b", "x", 1), 0, false},
+		{"idempotent, ended unconfirmed, without copies", idempotent, false, ended(choice.Cancelled), workerAt("b", "x", 1), 0, false},
+		{"idempotent, ended and confirmed, without copies", idempotent, false, confirmed, workerAt("b", "x", 1), 0, true},
+		{"idempotent, never ran, without copies", idempotent, false, ended(choice.Busy), workerAt("b", "x", 1), 0, true},
+		{"keyed, in its zone", keyed(choice.GroupZone), true, ended(choice.Reset), workerAt("b", "x", 2), 5, true},
+		{"keyed, in another zone", keyed(choice.GroupZone), true, ended(choice.Reset), workerAt("b", "y", 1), 0, false},
+		{"keyed, nothing ran, in another zone", keyed(choice.GroupZone), true, ended(choice.BrokenBeforeSend), workerAt("b", "y", 1), 0, true},
+		{"keyed, in its cell", keyed(choice.GroupCell), true, ended(choice.Reset), workerAt("b", "y", 1), 5, true},
+		{"keyed, in another cell", keyed(choice.GroupCell), true, ended(choice.Reset), workerAt("b", "x", 2), 0, false},
+		{"keyed, anywhere", keyed(choice.GroupAll), true, ended(choice.Reset), workerAt("b", "y", 2), 5, true},
+		{"keyed, too late", choice.Class{Effect: choice.Deduplicated, Window: 0.5}, true, ended(choice.Reset), workerAt("b", "x", 1), 3.5, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := testSettings(tc.class.Effect)
--- a/internal/core/conflict_test.go
+++ b/internal/core/conflict_test.go
@@ -19,11 +19,11 @@
 // workersInStates returns workers a, b, ... in the given states: 'a' for active, 'l' for leaving.
 func workersInStates(all string) (list []Worker) {
 	for i, s := range all {
-		h := workers(string(rune('a' + i)))[0]
+		worker := workers(string(rune('a' + i)))[0]
 		if s == 'l' {
-			h.State = WorkerLeaving
+			worker.State = WorkerLeaving
 		}
-		list = append(list, h)
+		list = append(list, worker)
 	}
 	return list
 }
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -14,8 +14,8 @@
 
 // Message is the request as the caller sent it; it is passed to workers without being interpreted.
 type Message struct {
-	Verb   string
-	Target string
+	Verb   string // HTTP method
+	Target string // request target, passed on unparsed
 	Token  string // the caller's idempotency key
 	Body   []byte
 }
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -86,20 +86,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := workers("a")[0]
-	if w := r.deciderWorker(h); w.Started != 0 || w.State != choice.InService {
+	worker := workers("a")[0]
+	if w := r.deciderWorker(worker); w.Started != 0 || w.State != choice.InService {
 		t.Errorf("%+v", w)
 	}
 	r.Step(50, BanOrdered{Worker: "a"})
-	if w := r.deciderWorker(h); w.State != choice.Terminating {
+	if w := r.deciderWorker(worker); w.State != choice.Terminating {
 		t.Errorf("%+v", w)
 	}
 	r.Step(60, BanOrdered{Worker: "a", Lift: true})
-	if w := r.deciderWorker(h); w.Started != 60 || w.State != choice.InService {
+	if w := r.deciderWorker(worker); w.Started != 60 || w.State != choice.InService {
 		t.Errorf("%+v", w)
 	}
-	h.Started = 70 // restarted since
-	if w := r.deciderWorker(h); w.Started != 70 {
+	worker.Started = 70 // restarted since
+	if w := r.deciderWorker(worker); w.Started != 70 {
 		t.Errorf("%+v", w)
 	}
 	r.Step(80, routeSetUpdate(true))
