--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -104,7 +104,7 @@
 		Retirements:      make(map[string]string),
 		FaultTolerance:   s.copies() - 1,
 		VotersWanted:     s.wantedVoters(),
-		VotersExchanging: known.Exchanging,
+		VotersExchanging: known.MembershipChanging,
 	}
 	for _, member := range known.Members {
 		status.Voters = append(status.Voters, member.Address)
