--- a/internal/core/audit.go
+++ b/internal/core/audit.go
@@ -6,28 +6,28 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// AuditBegun begins an account of what is acted on, or says what a successor's program and configuration are.
+// AuditBegun starts the audit of what this process acts on. In a successor it states the program and configuration in use.
 type AuditBegun struct {
 	Process uint64
-	Program membership.Version
-	Config  membership.Version
-	Routes  string         // the name of the source of route sets among members; empty for its address
-	Last    audit.Versions // that the process before acted on last, where its record is known
-	Shared  []byte         `cbor:",omitempty"` // the configuration's shared part, as text
-	By      string         `cbor:",omitempty"` // the member that told it; empty for the own file
-	BringUp bool           `cbor:",omitempty"` // newer configurations are asked for at members that act on them
+	Program membership.Version // that is running
+	Config  membership.Version // in force
+	Routes  string             // name of the source of route sets within the fleet; empty for its address
+	Last    audit.Versions     // last acted on by the previous process, if its record is known
+	Shared  []byte             `cbor:",omitempty"` // the configuration's shared part as text
+	By      string             `cbor:",omitempty"` // the member the configuration came from; empty for the local file
+	BringUp bool               `cbor:",omitempty"` // request newer configurations from members that have them in force
 }
 
-// AuditLooked says that a second has passed: spans that have lasted long enough end.
+// AuditLooked comes every second and closes spans that have lasted long enough.
 type AuditLooked struct{}
 
-// AuditAsked asks for what is remembered of a request, which comes as AuditTold.
+// AuditAsked requests the recorded acts of a request; the answer is AuditTold.
 type AuditAsked struct {
 	Order   OrderID
 	Request RequestID
 }
 
-// AuditEnded ends the account: the last span, and the sums.
+// AuditEnded ends the audit: the last span and the sums are emitted.
 type AuditEnded struct{}
 
 func (AuditBegun) event()  {}
@@ -35,21 +35,21 @@
 func (AuditAsked) event()  {}
 func (AuditEnded) event()  {}
 
-// AuditSpans are spans that have ended.
+// AuditSpans carries the spans that have ended.
 type AuditSpans struct{ Spans []audit.Span }
 
-// AuditHeld says which versions are held from now on. It comes before what is done on them. Danger: a span is told as it ends, and a
-// process that is killed would leave no word of what it acted on last.
+// AuditHeld reports the versions in use from now on. It precedes all effects that are based on them: spans are recorded
+// only when they end, so without it a process that is killed would leave no record of the versions it acted on last.
 type AuditHeld struct{ Versions audit.Versions }
 
-// AuditTold is what is remembered of a request, and the span that is under way.
+// AuditTold carries the recorded acts of a request and the current span.
 type AuditTold struct {
 	Order OrderID
 	Acts  []audit.Act
 	Now   audit.Span
 }
 
-// AuditSummed is the account's end.
+// AuditSummed closes the audit with the number of acts of each kind and the number of spans.
 type AuditSummed struct {
 	Sums  [audit.Kinds]uint64
 	Spans uint64
@@ -60,10 +60,10 @@
 func (AuditTold) effect()   {}
 func (AuditSummed) effect() {}
 
-// auditOf applies an event of the audit.
-func (r *Reducer) auditOf(ev Event) {
-	if begun, is := ev.(AuditBegun); is {
-		r.auditBegun(begun)
+// applyAuditEvent applies an event of the audit. Without a recorder all but AuditBegun are ignored.
+func (r *Reducer) applyAuditEvent(ev Event) {
+	if started, is := ev.(AuditBegun); is {
+		r.beginAudit(started)
 	}
 	if r.recorder == nil {
 		return
@@ -72,7 +72,7 @@
 	case AuditLooked:
 		r.recorder.Pass(r.now)
 	case AuditConfigured:
-		r.configured(ev)
+		r.applyConfig(ev)
 	case AuditAsked:
 		r.emit(AuditTold{Order: ev.Order, Acts: r.recorder.Of(string(ev.Request)), Now: r.recorder.Now()})
 	case AuditEnded:
@@ -86,93 +86,94 @@
 	}
 }
 
-func (r *Reducer) auditBegun(ev AuditBegun) {
-	r.audited.Program, r.routesName, r.bringsUp = ev.Program, ev.Routes, ev.BringUp
-	// Danger: what its predecessor took up in its last moments may be newer than what a successor read.
-	if held := r.audited.Config; r.recorder == nil || held.Source != ev.Config.Source || held.No <= ev.Config.No {
-		r.audited.Config, r.shared, r.sharedBy = ev.Config, ev.Shared, ev.By
+// beginAudit starts the recorder, or updates the versions of one that was handed over.
+func (r *Reducer) beginAudit(ev AuditBegun) {
+	r.heldVersions.Program, r.routeSourceName, r.fetchesConfigs = ev.Program, ev.Routes, ev.BringUp
+	// The predecessor may have adopted a newer configuration just before the handover than the one this process read.
+	if held := r.heldVersions.Config; r.recorder == nil || held.Source != ev.Config.Source || held.No <= ev.Config.No {
+		r.heldVersions.Config, r.sharedConfig, r.sharedConfigFrom = ev.Config, ev.Shared, ev.By
 	}
 	r.emit(r.Config())
 	if r.recorder != nil {
-		r.holds()
+		r.recordHeldVersions()
 		return
 	}
-	r.auditNo = ev.Process
-	r.audited.Begun = ev.Last.Begun
+	r.auditProcess = ev.Process
+	r.heldVersions.Begun = ev.Last.Begun
 	if last := ev.Last.Routes; last.Source == r.sourceName() {
-		r.acted = max(r.acted, last.No) // danger: what was acted on before a restart must not be gone behind after it
-	} else if last.Source != "" {
-		r.audited.Begun++
+		r.newestHeldVersion = max(r.newestHeldVersion, last.No) // a restart must not fall back to an older version
+	} else if last.Source != "" { // versions of another source can't be compared
+		r.heldVersions.Begun++
 	}
-	r.audited.Routes = r.routes()
-	r.recorder = audit.New(r.now, 1, r.audited)
-	r.tellHeld()
+	r.heldVersions.Routes = r.heldRouteSet()
+	r.recorder = audit.New(r.now, 1, r.heldVersions)
+	r.emitHeldVersions()
 }
 
-// routes is the version of the route set that is held.
-func (r *Reducer) routes() membership.Version {
-	return membership.Version{No: r.version, Digest: r.routesDigest(), Source: r.sourceName()}
+// heldRouteSet returns the version of the route set in use.
+func (r *Reducer) heldRouteSet() membership.Version {
+	return membership.Version{No: r.routeSetVersion, Digest: r.currentDigest(), Source: r.sourceName()}
 }
 
-// holds says to the account which versions are held from now on.
-func (r *Reducer) holds() {
+// recordHeldVersions tells the recorder which versions are in use from now on.
+func (r *Reducer) recordHeldVersions() {
 	if r.recorder == nil {
 		return
 	}
-	was, told := r.audited.Routes, r.routes()
-	r.audited.Routes = told
-	held := r.audited
-	if altered.Is("records the version before") && was != told {
-		held.Routes = was
+	previous, current := r.heldVersions.Routes, r.heldRouteSet()
+	r.heldVersions.Routes = current
+	held := r.heldVersions
+	if altered.Is("records the version before") && previous != current {
+		held.Routes = previous
 	}
 	if r.recorder.Hold(r.now, held) {
-		r.tellHeld()
+		r.emitHeldVersions()
 	}
 }
 
-// tellHeld tells which spans have ended, and what is held.
-func (r *Reducer) tellHeld() {
+// emitHeldVersions emits the spans that have ended and the versions in use.
+func (r *Reducer) emitHeldVersions() {
 	if done := r.recorder.Take(); len(done) > 0 {
 		r.emit(AuditSpans{Spans: done})
 	}
 	r.emit(AuditHeld{Versions: r.recorder.Now().Versions})
 }
 
-// act counts an act, on the versions held now.
-func (r *Reducer) act(kind audit.Kind, q *request, worker WorkerID) {
+// recordAct counts an act under the versions in use.
+func (r *Reducer) recordAct(kind audit.Kind, q *request, worker WorkerID) {
 	if r.recorder != nil {
 		r.recorder.Act(r.now, kind, string(q.call.ID), string(worker))
 	}
 }
 
-// AuditState is the account's part of a reducer's state.
+// AuditState is the audit's part of a reducer's state.
 type AuditState struct {
 	Process  uint64
-	Recorder audit.State `cbor:"Book"`
-	Held     audit.Versions
-	Acted    int64
-	Shared   []byte `cbor:",omitempty"` // the configuration's shared part, as text
-	By       string `cbor:",omitempty"` // the member that told it
-	BringUp  bool   `cbor:",omitempty"`
+	Recorder audit.State    `cbor:"Book"`
+	Held     audit.Versions // versions in use
+	Acted    int64          // newest version of the route set that was in use
+	Shared   []byte         `cbor:",omitempty"` // the configuration's shared part as text
+	By       string         `cbor:",omitempty"` // the member the configuration came from; empty for the local file
+	BringUp  bool           `cbor:",omitempty"`
 }
 
 func (r *Reducer) exportAudit() *AuditState {
 	if r.recorder == nil {
 		return nil
 	}
-	return &AuditState{Process: r.auditNo, Recorder: r.recorder.Export(), Held: r.audited, Acted: r.acted,
-		Shared: r.shared, By: r.sharedBy, BringUp: r.bringsUp}
+	return &AuditState{Process: r.auditProcess, Recorder: r.recorder.Export(), Held: r.heldVersions, Acted: r.newestHeldVersion,
+		Shared: r.sharedConfig, By: r.sharedConfigFrom, BringUp: r.fetchesConfigs}
 }
 
 func (r *Reducer) importAudit(st *AuditState) {
-	r.acted = r.version
+	r.newestHeldVersion = r.routeSetVersion
 	if st != nil {
-		r.auditNo, r.recorder, r.audited, r.acted = st.Process, audit.Import(st.Recorder), st.Held, st.Acted
-		r.shared, r.sharedBy, r.bringsUp = st.Shared, st.By, st.BringUp
+		r.auditProcess, r.recorder, r.heldVersions, r.newestHeldVersion = st.Process, audit.Import(st.Recorder), st.Held, st.Acted
+		r.sharedConfig, r.sharedConfigFrom, r.fetchesConfigs = st.Shared, st.By, st.BringUp
 	}
 }
 
-// Audited is what was acted on last, by which process; false where there is no account.
-func (r *Reducer) Audited() (v audit.Versions, process uint64, kept bool) {
-	return r.audited, r.auditNo, r.recorder != nil
+// HeldVersions returns the versions last acted on and the process's number; false without an audit.
+func (r *Reducer) HeldVersions() (v audit.Versions, process uint64, audited bool) {
+	return r.heldVersions, r.auditProcess, r.recorder != nil
 }
--- a/internal/core/branches.go
+++ b/internal/core/branches.go
@@ -5,73 +5,75 @@
 	"foldlb.example/foldlb/internal/audit"
 )
 
-// Branches: attempts of a request, from the send to their end.
+// Branches are the attempts of a request, from the send to their outcome.
 
 // branch is one attempt of a request.
 type branch struct {
-	id     BranchID
-	no     int
-	req    *request
-	worker WorkerID
-	addr   string
-	sent   float64
-	zone   string // of the worker, as it was told then
-	cell   int
-	begun  bool // its start has been passed on
+	id      BranchID
+	no      int // index among the request's branches
+	req     *request
+	worker  WorkerID
+	addr    string
+	sent    float64 // when the branch was opened
+	zone    string  // of the worker when the branch was opened
+	cell    int     // of the worker when the branch was opened
+	started bool    // the worker reported that the job started
 
-	// An attempt is open, given up (its worker is being told, and code is what it will end as), or ended. released says that nothing of it
-	// runs, or may yet, as far as its worker or this machine can know.
+	// A branch is open, given up (its worker is being told, and code is the outcome it will have) or ended. released is set
+	// when, as far as its worker or this machine can know, nothing of the branch runs or will run.
 	givenUp  bool
 	ended    bool
 	code     choice.Code
 	released bool
 
-	inDoubt bool // its connection broke, and a report of its start is still waited for
+	inDoubt bool // the connection broke, and a report of the job's start is awaited
 }
 
-var faultCodes = map[Fault]choice.Code{NoConnect: choice.NoConnect, Cut: choice.BrokenBeforeSend, TurnedAway: choice.Busy,
-	Broken: choice.Reset, Stale: choice.StaleConnection, Errored: choice.Errored, Unfit: choice.Skipped, NotSent: choice.Skipped}
+// faultCodes maps a branch's fault to its outcome for the decision module.
+var faultCodes = map[Fault]choice.Code{NoConnect: choice.NoConnect, BrokenBeforeSend: choice.BrokenBeforeSend, WorkerBusy: choice.Busy,
+	BrokenAfterSend: choice.Reset, StaleConnection: choice.StaleConnection, Errored: choice.Errored, RequestUnusable: choice.Skipped, NotSent: choice.Skipped}
 
-// branchFailed ends a branch whose job was not taken. Danger: a worker that turns away what it can't use is
-// well; taken for an error of its own, a few bad requests would bar it from all others.
+// branchFailed handles a branch whose worker did not accept the job. A worker that rejects an invalid request is
+// healthy: if that counted as its error, a few bad requests would bar it for all other requests.
 func (r *Reducer) branchFailed(b *branch, f Fault) {
 	switch {
-	case f == Unfit:
+	case f == RequestUnusable:
 		r.endBranch(b, faultCodes[f], &Answer{Verdict: Rejected, Reason: "no worker can use the request"})
 		return
-	case f == Broken && b.begun:
-		return // the job runs: its end will be reported, or it ends at the deadline
-	case f == Broken && r.effect(b.req) == choice.AtMostOnce && !b.inDoubt:
-		// Danger: a job that was taken before the break runs, and may never be sent again. Its start, if there
-		// is one, is reported at once.
+	case f == BrokenAfterSend && b.started:
+		return // the job is running: its end will be reported, or the branch times out
+	case f == BrokenAfterSend && r.effectOf(b.req) == choice.AtMostOnce && !b.inDoubt:
+		// A job that was accepted before the connection broke is running and must not be sent again. A worker reports
+		// the start of a job at once, so a short wait settles whether it started.
 		b.inDoubt = true
-		r.after(r.now+doubtTime, timer{kind: timerDoubt, branch: b.id, fault: f})
+		r.setTimer(r.now+startReportWaitS, timer{kind: timerStartReport, branch: b.id, fault: f})
 		return
-	case b.begun && faultCodes[f].NeverRan():
-		f = Errored // danger: the worker has told that it began, so what says that it never ran is another one's word, or a mistake
-	case b.givenUp && (f == Broken || f == Stale):
-		return // this machine closed the connection, and the worker is being told
-	case f == Broken || f == Stale:
-		// Danger: the worker may have taken the job and said so just as the connection broke.
-		r.release(b, faultCodes[f])()
+	case b.started && faultCodes[f].NeverRan():
+		f = Errored // the job has started, so a fault that says it never ran belongs to another branch or is wrong
+	case b.givenUp && (f == BrokenAfterSend || f == StaleConnection):
+		return // this machine closed the connection itself; the worker is being told
+	case f == BrokenAfterSend || f == StaleConnection:
+		// The worker may have accepted the job, and its answer may have been lost with the connection.
+		r.giveUpWithCode(b, faultCodes[f])()
 		return
 	}
-	b.released = f == Errored && !b.begun // where it has begun, whoever says that it ended may mean another one
+	b.released = f == Errored && !b.started // for a job that has started, the error may refer to another branch
 	r.endBranch(b, faultCodes[f], nil)
 }
 
-// release gives a branch up, and returns what ends it. Where copies are not allowed and its class may be repeated, that is to wait for the word
-// of its worker: until then it counts as out. Danger: a repeat elsewhere would be a second copy.
-func (r *Reducer) release(b *branch, code choice.Code) (end func()) {
+// giveUpWithCode gives a branch up and returns the function that ends it. Where second copies are not allowed and the
+// class permits repeats, that function does nothing: the branch counts as open until BranchReleased, because a repeat
+// elsewhere before that would be a second copy.
+func (r *Reducer) giveUpWithCode(b *branch, code choice.Code) (end func()) {
 	r.giveUp(b)
-	if b.code = code; !r.settings.SecondCopies && r.effect(b.req) != choice.AtMostOnce && !b.req.over {
+	if b.code = code; !r.settings.SecondCopies && r.effectOf(b.req) != choice.AtMostOnce && !b.req.closed {
 		return func() {}
 	}
 	return func() { r.endBranch(b, code, nil) }
 }
 
-// released enters that the giving up of a branch is over, and ends the branch where that was waited for.
-func (r *Reducer) released(ev BranchReleased) {
+// branchReleased records that giving up a branch has finished, and ends the branch if it was kept open for that.
+func (r *Reducer) branchReleased(ev BranchReleased) {
 	q := r.requests[ev.Request]
 	if q == nil {
 		return
@@ -84,7 +86,8 @@
 	}
 }
 
-// endBranch passes the one outcome of a branch on. Where that decides the request it brings the final answer; the first one counts.
+// endBranch delivers a branch's outcome to the decision module, once. If the outcome decides the request, final is its
+// answer; only the first final answer counts.
 func (r *Reducer) endBranch(b *branch, code choice.Code, final *Answer) {
 	if b.ended {
 		return
@@ -94,29 +97,29 @@
 	delete(r.branches, b.id)
 	q := b.req
 	q.open--
-	if final != nil && !q.over {
+	if final != nil && !q.closed {
 		r.answer(q, *final)
 	}
-	r.forget(q)
+	r.removeIfDone(q)
 	r.decider.Outcome(r.now, choice.Outcome{Request: string(q.call.ID), Attempt: b.no, Worker: string(b.worker),
-		Code: code, Latency: r.now - b.sent, Final: q.over})
+		Code: code, Latency: r.now - b.sent, Final: q.closed})
 }
 
-// actOf is how the account counts an answer.
-var actOf = map[Verdict]audit.Kind{Served: audit.Answered, Busy: audit.Refused, Failed: audit.Failed, Rejected: audit.Failed, Unowned: audit.Failed}
+// auditKinds maps an answer's verdict to the kind of act that the audit counts.
+var auditKinds = map[Verdict]audit.Kind{Served: audit.Answered, Busy: audit.Refused, Failed: audit.Failed, Rejected: audit.Failed, UnknownRequest: audit.Failed}
 
-// giveUp has a branch's worker told that nobody waits for it any more, once.
+// giveUp tells a branch's worker, once, that nobody waits for the branch any more.
 func (r *Reducer) giveUp(b *branch) {
 	if b.givenUp {
 		return
 	}
 	b.givenUp = true
-	r.act(audit.GivenUp, b.req, b.worker)
+	r.recordAct(audit.GivenUp, b.req, b.worker)
 	r.emit(GiveUpBranch{Branch: b.id, Request: b.req.call.ID, Worker: b.worker, Addr: b.addr})
 }
 
-// jobReported applies a call-back. Calls are repeated until answered and may come late, so whatever names
-// no open branch changes nothing. A request may have branches at several workers: the sender tells which.
+// jobReported applies a callback. Callbacks are repeated until answered and may arrive late, so one that matches no open
+// branch changes nothing. A request may have branches at several workers; the sender identifies the branch.
 func (r *Reducer) jobReported(ev JobReported) {
 	q := r.requests[ev.Request]
 	if q == nil {
@@ -133,17 +136,17 @@
 		}
 	}
 	if b == nil {
-		if known && ev.State == JobDone && !q.over {
-			r.doneAfterAll(q, ev.Result)
+		if known && ev.State == JobDone && !q.closed {
+			r.serveLateResult(q, ev.Result)
 		}
 		return
 	}
 	switch ev.State {
 	case JobStarted, JobRunning:
-		if ev.State == JobStarted && b.begun {
+		if ev.State == JobStarted && b.started {
 			return
 		}
-		b.begun = true
+		b.started = true
 		r.decider.AttemptUpdate(r.now, choice.AttemptUpdate{Request: string(q.call.ID), Worker: string(b.worker), Attempt: b.no,
 			Started: ev.State == JobStarted, Share: ev.Share})
 	case JobDone:
@@ -153,8 +156,8 @@
 		r.endBranch(b, choice.Errored, nil)
 	case JobReturned:
 		code := choice.Returned
-		if b.begun {
-			code = choice.Errored // danger: what has begun was not handed back unstarted, whoever says so
+		if b.started {
+			code = choice.Errored // a job that has started can't have been returned unstarted
 		}
 		r.endBranch(b, code, nil)
 	case JobLost:
@@ -163,9 +166,9 @@
 	}
 }
 
-// doneAfterAll serves a request with the result of a branch that was taken for lost, and ends the others.
-func (r *Reducer) doneAfterAll(q *request, result []byte) {
-	r.answer(q, Answer{Verdict: Served, Body: result})
-	r.settle()
-	r.decider.Withdrawn(r.now, string(q.call.ID))
+// serveLateResult answers a request with the result of a branch that was believed lost, and ends the other branches.
+func (r *Reducer) serveLateResult(req *request, result []byte) {
+	r.answer(req, Answer{Verdict: Served, Body: result})
+	r.runDeferred()
+	r.decider.Withdrawn(r.now, string(req.call.ID))
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -6,30 +6,30 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// FleetBegun begins a view of the fleet with this process's own record. Where there is a view already, as after a hand-over,
-// only what the process acts on is taken from it.
+// FleetBegun starts the view of the fleet with this process's own record. If there is a view already, as after a handover,
+// only the versions this process acts on are taken from the record.
 type FleetBegun struct {
 	Self   membership.Record
-	Routes string  // the name of the source of route sets among members; empty for its address
-	Lease  float64 // seconds that this dispatcher may act without touch with the fleet; 0 for any time
+	Routes string  // name of the source of route sets within the fleet; empty for its address
+	Lease  float64 // seconds that this dispatcher may act without contact to the fleet; 0 for no limit
 }
 
-// FleetTold brings what other members tell.
+// FleetTold delivers records from other members.
 type FleetTold struct{ Records []membership.Record }
 
-// FleetLooked brings whom the transport reaches. It comes twice a second.
+// FleetLooked delivers the transport's list of reachable members, twice a second.
 type FleetLooked struct{ Sight membership.Sight }
 
-// FleetRefused says that a member's machine told that nobody listens there.
+// FleetRefused reports that a member's host refuses connections, so that its process has ended.
 type FleetRefused struct{ Process uint64 }
 
-// FleetEntered says that this process is stopping, or has left.
+// FleetEntered reports that this process is stopping or has left the fleet.
 type FleetEntered struct{ State membership.State }
 
-// FleetEnded says that this dispatcher is a member no longer: its operator file has no fleet any more.
+// FleetEnded reports that this dispatcher is no longer a member, because its operator file no longer configures a fleet.
 type FleetEnded struct{}
 
-// RemoveOrdered takes a member that is gone for good out of the fleet.
+// RemoveOrdered removes a member from the fleet that has gone for good.
 type RemoveOrdered struct {
 	Order OrderID
 	Name  string
@@ -43,28 +43,28 @@
 func (FleetEnded) event()    {}
 func (RemoveOrdered) event() {}
 
-// NoFleet is the fault of an order that needs a view of the fleet.
+// NoFleet is the fault of an order that needs a fleet.
 const NoFleet OrderFault = "this dispatcher keeps no view of a fleet"
 
-// FleetNews is to be told to other members.
+// FleetNews carries records to send to other members.
 type FleetNews struct{ Records []membership.Record }
 
-// FleetPictured is the view as of now, for those outside, with what has changed since the last.
+// FleetPictured publishes the current view, with the changes since the previous one.
 type FleetPictured struct {
 	Picture membership.Picture
 	Fresh   []membership.Change
-	Hints   []Hint // that still count
+	Hints   []Hint // that are still valid
 }
 
 func (FleetNews) effect()     {}
 func (FleetPictured) effect() {}
 
-// fleetOf applies an event of the fleet.
-func (r *Reducer) fleetOf(ev Event) {
-	if begun, is := ev.(FleetBegun); is {
-		r.routesName, r.lease = begun.Routes, 0
-		r.Lease(begun.Lease)
-		r.fleetBegun(begun.Self)
+// applyFleetEvent applies an event of the fleet.
+func (r *Reducer) applyFleetEvent(ev Event) {
+	if started, is := ev.(FleetBegun); is {
+		r.routeSourceName, r.leaseS = started.Routes, 0
+		r.Lease(started.Lease)
+		r.beginFleet(started.Self)
 		return
 	}
 	if r.fleet == nil {
@@ -81,35 +81,36 @@
 		r.fleet.Merge(r.now, ev.Records)
 	case FleetLooked:
 		r.fleet.Look(r.now, ev.Sight)
-		r.saysOfItself()
-		r.hintsPass()
-		r.contestPass()
-		r.askHints()
+		r.updateOwnRecord()
+		r.expireHints()
+		r.refetchContested()
+		r.requestHints()
 	case FleetHinted:
-		r.hinted(ev.Hints)
+		r.applyHints(ev.Hints)
 		return
 	case FleetFloored, FleetContacted, FloorOrdered:
-		r.floorsOf(ev)
+		r.applyFloorEvent(ev)
 	case FleetRefused:
 		r.fleet.Refused(r.now, ev.Process)
 	case FleetEntered:
 		r.fleet.Enter(r.now, ev.State)
 	case FleetEnded:
-		r.fleet, r.acting, r.says, r.routesName = nil, 0, membership.Says{}, ""
-		r.lease, r.fenceUntil = 0, 0 // as there is no fleet to be in touch with
+		r.fleet, r.actingMembers, r.ownVersions, r.routeSourceName = nil, 0, membership.Says{}, ""
+		r.leaseS, r.mayActUntil = 0, 0 // without a fleet there is no contact to lose
 		r.emit(Fenced{Until: r.Fence()})
 		clear(r.hints)
-		r.contested = 0
+		r.contestedVersion = 0
 		r.decider.SetDispatchers(r.settings.Dispatchers)
 		return
 	case RemoveOrdered:
 		r.emit(Ordered{Order: ev.Order, Fault: OrderFault(r.fleet.Remove(r.now, ev.Name))})
 	}
 	_, looked := ev.(FleetLooked)
-	r.fleetMoved(looked)
+	r.fleetUpdated(looked)
 }
 
-func (r *Reducer) fleetBegun(self membership.Record) {
+// beginFleet starts the view, unless one was handed over, and enters what this process acts on.
+func (r *Reducer) beginFleet(self membership.Record) {
 	if r.fleet == nil {
 		v, err := membership.New(r.now, self)
 		if err != nil {
@@ -118,80 +119,81 @@
 		}
 		r.fleet = v
 	}
-	if r.recorder != nil { // the member that begins just now has not heard it
+	if r.recorder != nil { // the fleet transport that starts just now has not received it
 		r.emit(r.Config())
-		self.Config = r.audited.Config
+		self.Config = r.heldVersions.Config
 	}
-	r.says = membership.Says{Generation: self.Generation, Program: self.Program, Config: self.Config, Zone: self.Zone}
-	r.saysOfItself()
-	r.fleetMoved(true)
+	r.ownVersions = membership.Says{Generation: self.Generation, Program: self.Program, Config: self.Config, Zone: self.Zone}
+	r.updateOwnRecord()
+	r.fleetUpdated(true)
 }
 
-// saysOfItself has the view say what this process acts on.
-func (r *Reducer) saysOfItself() {
-	if r.says.Generation == 0 {
-		return // an upgrade's follower has not begun itself
+// updateOwnRecord enters the versions that this process acts on in its own record.
+func (r *Reducer) updateOwnRecord() {
+	if r.ownVersions.Generation == 0 {
+		return // a successor that still follows its predecessor has not joined yet
 	}
-	r.says.Routes = r.routes()
-	r.fleet.Say(r.now, r.says, r.draining)
+	r.ownVersions.Routes = r.heldRouteSet()
+	r.fleet.Say(r.now, r.ownVersions, r.draining)
 }
 
-// fleetMoved tells others and the decision module of what has changed. After a look, or anything else that a picture is due for, all is told.
-func (r *Reducer) fleetMoved(looked bool) {
-	// One that has met nobody yet knows no number, and the settings' stands.
-	if n := r.fleet.Acting(); n != r.acting && r.fleet.Self().State != membership.Joining {
-		r.acting = n
+// fleetUpdated passes changes on to other members and to the decision module. After FleetLooked, and after other changes to
+// the view, it also publishes a picture.
+func (r *Reducer) fleetUpdated(fullUpdate bool) {
+	// Before it has met another member the process does not know their number; the settings' number applies.
+	if n := r.fleet.Acting(); n != r.actingMembers && r.fleet.Self().State != membership.Joining {
+		r.actingMembers = n
 		r.decider.SetDispatchers(n)
 	}
-	r.fence()
-	r.bringUp()
-	moved := r.fleet.Moved()
-	news, fresh := r.fleet.News(), r.fleet.Fresh()
-	if len(news) > 0 {
-		r.emit(FleetNews{Records: news})
+	r.updateFence()
+	r.fetchNewerConfig()
+	viewChanged := r.fleet.Moved()
+	records, fresh := r.fleet.News(), r.fleet.Fresh()
+	if len(records) > 0 {
+		r.emit(FleetNews{Records: records})
 	}
-	if !looked && !moved {
-		return // danger: a picture of hundreds for each word that brings nothing new would cost more than all else
+	if !fullUpdate && !viewChanged {
+		return // building a picture of hundreds of members for every message without changes would dominate the cost
 	}
 	p := r.fleet.Picture()
-	r.sayClashes(p.Clashes)
+	r.logClashes(p.Clashes)
 	p.FloorsTold = r.fleet.FloorsTold(r.settings.Dispatchers)
 	if r.fenced() {
-		p.Fenced = r.fenceWhy
+		p.Fenced = r.fenceReason
 	}
 	r.emit(FleetPictured{Picture: p, Fresh: fresh, Hints: r.recentHints()})
 }
 
-// FleetState is the view's part of a reducer's state.
+// FleetState is the fleet's part of a reducer's state. Times are seconds on the dispatcher's clock.
 type FleetState struct {
 	View   membership.ViewState
-	Says   membership.Says
-	Acting int
-	Routes string      `cbor:",omitempty"`
-	Hints  []HintState `cbor:",omitempty"`
-	Lease  float64     `cbor:",omitempty"`
-	Until  float64     `cbor:",omitempty"` // when it may act no longer
-
-	Contested int64   `cbor:",omitempty"` // number of the list with two contents of which only what it takes out counts
-	AskAt     float64 `cbor:",omitempty"`
-	DeafUntil float64 `cbor:",omitempty"` // for hints, since the source has begun anew
+	Says   membership.Says // versions reported in the own record
+	Acting int             // members that may be acting; 0 for the number in the settings
+	Routes string          `cbor:",omitempty"` // name of the source of route sets within the fleet
+	Hints  []HintState     `cbor:",omitempty"`
+	Lease  float64         `cbor:",omitempty"` // seconds; 0 for no lease
+	Until  float64         `cbor:",omitempty"` // nothing new may be sent from then on
+
+	Contested int64   `cbor:",omitempty"` // version with conflicting contents whose removals alone are applied; 0 for none
+	AskAt     float64 `cbor:",omitempty"` // earliest time of the next request for the full list
+	DeafUntil float64 `cbor:",omitempty"` // hints are ignored until then, because the source has started over
 }
 
 func (r *Reducer) exportFleet() *FleetState {
 	if r.fleet == nil {
 		return nil
 	}
-	return &FleetState{View: r.fleet.Export(), Says: r.says, Acting: r.acting, Routes: r.routesName, Hints: r.exportHints(),
-		Lease: r.lease, Until: r.fenceUntil, Contested: r.contested, AskAt: r.askAt, DeafUntil: r.deafUntil}
+	return &FleetState{View: r.fleet.Export(), Says: r.ownVersions, Acting: r.actingMembers, Routes: r.routeSourceName, Hints: r.exportHints(),
+		Lease: r.leaseS, Until: r.mayActUntil, Contested: r.contestedVersion, AskAt: r.nextFullFetchAt, DeafUntil: r.hintsIgnoredUntil}
 }
 
 func (r *Reducer) importFleet(st *FleetState) (err error) {
 	if st == nil {
 		return nil
 	}
-	r.says, r.acting, r.routesName = st.Says, st.Acting, st.Routes
-	r.lease, r.fenceUntil = st.Lease, st.Until
-	r.contested, r.askAt, r.deafUntil = max(0, st.Contested), st.AskAt, st.DeafUntil
+	r.ownVersions, r.actingMembers, r.routeSourceName = st.Says, st.Acting, st.Routes
+	r.leaseS, r.mayActUntil = st.Lease, st.Until
+	r.contestedVersion, r.nextFullFetchAt, r.hintsIgnoredUntil = max(0, st.Contested), st.AskAt, st.DeafUntil
 	for i, x := range st.Hints {
 		if _, listed := r.workers[x.Worker]; !listed || !isTime(x.At) {
 			return fmt.Errorf("hint %d (%q) is of no worker or at no time", i, x.Worker)
@@ -202,7 +204,7 @@
 	return err
 }
 
-// Fleet is the view of the fleet as of now; false where there is none.
+// Fleet returns the current view of the fleet; false if there is none.
 func (r *Reducer) Fleet() (membership.Picture, bool) {
 	if r.fleet == nil {
 		return membership.Picture{}, false
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// queueLength bounds the events that wait for the reducer. Posting to a full queue waits.
+// queueLength is the capacity of the event queue. Post blocks while the queue is full.
 const queueLength = 4096
 
-// Loop runs a reducer on one goroutine and hands its effects to the outside.
+// Loop runs a reducer on one goroutine and passes its effects to the host process.
 type Loop struct {
-	reducer *Reducer
-	clock   func() float64
-	perform func(Effect)
-	events  chan Event
-	news    chan Event // discovery's, which must not wait behind the rest
-	done    chan struct{}
-	holds   chan chan struct{} // each closed when the loop may go on
-	backlog []Event            // to be applied before anything that is posted; touched by the loop, or while held
-	watch   func(now float64, ev Event, effects []Effect)
-	publish func(View)
-	viewAt  float64 // when the next view is due
+	reducer      *Reducer
+	clock        func() float64
+	perform      func(Effect)
+	events       chan Event
+	urgent       chan Event // route sets, drains and orders, which must not wait behind requests
+	done         chan struct{}
+	holdRequests chan chan struct{} // the loop resumes when the received channel is closed
+	backlog      []Event            // applied before all posted events; accessed by the loop's goroutine, or by others while it is held
+	observe      func(now float64, ev Event, effects []Effect)
+	publish      func(View)
+	nextViewAt   float64 // in seconds on the loop's clock
 }
 
-// viewEvery is the time between two views, in seconds: half the age that operators' figures may have.
-const viewEvery = 0.25
+// viewIntervalS is the time between two views in seconds: half the maximum age that the operators' figures may have.
+const viewIntervalS = 0.25
 
-// NewLoop makes a loop. perform is called from the loop's goroutine and must not block or post.
+// NewLoop returns a loop for a reducer. clock returns the dispatcher's time in seconds. perform is called on the loop's
+// goroutine and must neither block nor post events.
 func NewLoop(r *Reducer, clock func() float64, perform func(Effect)) *Loop {
 	return &Loop{reducer: r, clock: clock, perform: perform, events: make(chan Event, queueLength),
-		news: make(chan Event, 16), done: make(chan struct{}), holds: make(chan chan struct{})}
+		urgent: make(chan Event, 16), done: make(chan struct{}), holdRequests: make(chan chan struct{})}
 }
 
-// Post hands an event to the reducer; after the loop's end it is dropped.
+// Post queues an event for the reducer. It blocks while the queue is full; after the loop has ended it drops the event.
 func (l *Loop) Post(ev Event) {
 	queue := l.events
-	if isNews(ev) {
-		queue = l.news
+	if isUrgent(ev) {
+		queue = l.urgent
 	}
 	select {
 	case queue <- ev:
@@ -44,8 +45,8 @@
 	}
 }
 
-// isNews tells what must not wait behind the rest.
-func isNews(ev Event) bool {
+// isUrgent reports whether an event must be applied before queued requests.
+func isUrgent(ev Event) bool {
 	switch ev.(type) {
 	case RouteSetTold, RouteSetRefused, Reloaded, BanOrdered, DrainOrdered, RemoveOrdered, FleetHinted, FleetFloored, FleetContacted, FloorOrdered:
 		return true
@@ -53,10 +54,10 @@
 	return false
 }
 
-// Publish has f told of the route set every viewEvery seconds, from the loop's goroutine. The loop must not run yet.
-func (l *Loop) Publish(f func(View)) { l.publish = f }
+// PublishViews has f called with the view every viewIntervalS seconds, on the loop's goroutine. It must be called before Run.
+func (l *Loop) PublishViews(f func(View)) { l.publish = f }
 
-// Run steps the reducer until the context ends.
+// Run steps the reducer until the context is cancelled.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
 	wake := time.NewTimer(0)
@@ -68,20 +69,20 @@
 		}
 		now := l.clock()
 		effects := l.reducer.Step(now, ev)
-		if l.watch != nil {
-			l.watch(now, ev, effects)
+		if l.observe != nil {
+			l.observe(now, ev, effects)
 		}
 		for _, e := range effects {
 			l.perform(e)
 		}
-		due, ok := l.reducer.Due()
+		due, ok := l.reducer.NextTimer()
 		if l.publish != nil {
-			if now >= l.viewAt {
+			if now >= l.nextViewAt {
 				l.publish(l.reducer.View(now))
-				l.viewAt = now + viewEvery
+				l.nextViewAt = now + viewIntervalS
 			}
-			if !ok || due > l.viewAt {
-				due, ok = l.viewAt, true
+			if !ok || due > l.nextViewAt {
+				due, ok = l.nextViewAt, true
 			}
 		}
 		if ok {
@@ -92,7 +93,7 @@
 	}
 }
 
-// next waits for the next event. It tells false where the context has ended.
+// next waits for the next event. It returns false if the context is cancelled.
 func (l *Loop) next(ctx context.Context, wake <-chan time.Time) (Event, bool) {
 	for {
 		if len(l.backlog) > 0 {
@@ -100,46 +101,46 @@
 			l.backlog = l.backlog[1:]
 			return ev, true
 		}
-		select { // a drain that was told comes before whatever else waits
-		case ev := <-l.news:
+		select { // a drain must be applied before any other waiting event
+		case ev := <-l.urgent:
 			return ev, true
 		default:
 		}
 		select {
 		case <-ctx.Done():
 			return nil, false
-		case ev := <-l.news:
+		case ev := <-l.urgent:
 			return ev, true
 		case ev := <-l.events:
 			return ev, true
 		case <-wake:
 			return Tick{}, true
-		case goOn := <-l.holds:
-			<-goOn
+		case resume := <-l.holdRequests:
+			<-resume
 		}
 	}
 }
 
-// Hold stops the loop between two steps and returns the word that lets it go on. It tells false where the loop has
-// ended. While it is held the caller may use the reducer, Drain and Backlog.
-func (l *Loop) Hold() (goOn func(), ok bool) {
-	word := make(chan struct{})
+// Hold stops the loop between two steps and returns the function that resumes it, or false if the loop has ended. While
+// the loop is held, the caller may use the reducer, DrainQueues and Backlog.
+func (l *Loop) Hold() (resume func(), ok bool) {
+	held := make(chan struct{})
 	select {
-	case l.holds <- word:
-		return func() { close(word) }, true
+	case l.holdRequests <- held:
+		return func() { close(held) }, true
 	case <-l.done:
 		return nil, false
 	}
 }
 
-// Drain takes all posted events out of the queues into the backlog, news first, so that nobody waits to post. The
-// loop must be held, or not run yet.
-func (l *Loop) Drain() {
+// DrainQueues moves all posted events from the queues to the backlog, urgent ones first, so that no call of Post stays
+// blocked. The loop must be held, or not running yet.
+func (l *Loop) DrainQueues() {
 	for {
 		select {
-		case ev := <-l.news:
+		case ev := <-l.urgent:
 			at := 0
-			for at < len(l.backlog) && isNews(l.backlog[at]) {
+			for at < len(l.backlog) && isUrgent(l.backlog[at]) {
 				at++
 			}
 			l.backlog = append(l.backlog[:at], append([]Event{ev}, l.backlog[at:]...)...)
@@ -155,12 +156,12 @@
 	}
 }
 
-// Backlog returns the events that were taken out of the queues and not applied yet. The loop must be held.
+// Backlog returns the events that were taken from the queues and not applied yet. The loop must be held.
 func (l *Loop) Backlog() []Event { return l.backlog }
 
-// Precede puts events before all that are posted. The loop must be held, or not run yet.
-func (l *Loop) Precede(events []Event) { l.backlog = append(events, l.backlog...) }
+// Prepend puts events before all that were posted. The loop must be held, or not running yet.
+func (l *Loop) Prepend(events []Event) { l.backlog = append(events, l.backlog...) }
 
-// Watch has f told of every step, before its effects are performed. f is called from the loop's goroutine and must
-// not block; nil ends it. The loop must be held, or not run yet.
-func (l *Loop) Watch(f func(now float64, ev Event, effects []Effect)) { l.watch = f }
+// Observe has f called for every step before its effects are performed, on the loop's goroutine. f must not block; nil
+// removes it. The loop must be held, or not running yet.
+func (l *Loop) Observe(f func(now float64, ev Event, effects []Effect)) { l.observe = f }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -4,17 +4,18 @@
 	"foldlb.example/foldlb/choice"
 )
 
-// Requests: from a call to its only answer.
+// Requests, from the call to their final answer.
 
-// request is a caller's request until it is answered and its last branch has ended.
+// request is a caller's request, kept until it is answered and its last branch has ended.
 type request struct {
 	call     Call
-	deadline float64
+	deadline float64 // on the dispatcher's clock, seconds
 	branches []*branch
-	open     int  // branches that have not ended
-	over     bool // the final answer was given, or is no longer owed
+	open     int  // number of branches that have not ended
+	closed   bool // the final answer was given, or is no longer owed
 }
 
+// callArrived accepts a request, or answers it at once if it can't be accepted.
 func (r *Reducer) callArrived(c Call) {
 	class, known := r.classes[c.Class]
 	tenant, hasTenant := r.tenants[c.Tenant]
@@ -25,45 +26,46 @@
 	case !known:
 		r.emit(Answer{Exchange: c.Exchange, Verdict: Rejected, Reason: "unknown class"})
 		return
-	case r.requests[c.ID] != nil || r.spent[c.ID]:
-		// An id used twice would mix up the two requests' call-backs, and a worker may still know the first.
+	case r.requests[c.ID] != nil || r.endedIDs[c.ID]:
+		// Callbacks of two requests with the same id could not be told apart, and a worker may still know the first one.
 		r.emit(Answer{Exchange: c.Exchange, Verdict: Rejected, Reason: "request id in use"})
 		return
 	case c.Remaining <= 0:
 		r.emit(Answer{Exchange: c.Exchange, Verdict: Failed, Reason: "no time remains"})
 		return
 	case r.fenced():
-		r.emit(Answer{Exchange: c.Exchange, Verdict: Busy, Reason: "shut out"}) // asking elsewhere is harmless
+		r.emit(Answer{Exchange: c.Exchange, Verdict: Busy, Reason: "shut out"}) // never sent, so the caller may try another dispatcher
 		return
 	case r.stopping:
-		r.emit(Answer{Exchange: c.Exchange, Verdict: Busy, Reason: "stopping"}) // danger: the process ends before an attempt could
+		r.emit(Answer{Exchange: c.Exchange, Verdict: Busy, Reason: "stopping"}) // the process ends before an attempt could finish
 		return
 	case r.settings.OpenCap > 0 && len(r.exchanges) >= r.settings.OpenCap:
 		r.emit(Answer{Exchange: c.Exchange, Verdict: Busy, Reason: "too many open requests"})
 		return
 	}
-	if most := r.settings.Classes[class].Deadline; most > 0 {
-		c.Remaining = min(c.Remaining, most) // danger: a caller that says it waits for an hour is remembered for one
+	if maxRemaining := r.settings.Classes[class].Deadline; maxRemaining > 0 {
+		c.Remaining = min(c.Remaining, maxRemaining) // otherwise a caller that states an hour would keep its request in memory for an hour
 	}
 	q := &request{call: c, deadline: r.now + c.Remaining}
 	r.tally.Calls++
 	r.requests[c.ID], r.exchanges[c.Exchange] = q, q
-	r.after(q.deadline, timer{kind: timerExpire, request: c.ID, exchange: c.Exchange})
+	r.setTimer(q.deadline, timer{kind: timerExpire, request: c.ID, exchange: c.Exchange})
 	r.decider.Request(r.now, choice.Request{ID: string(c.ID), Deadline: q.deadline, Class: class,
 		Tenant: tenant, Key: c.Key, HasKey: c.HasKey, Memory: c.Memory, Slots: c.Slots, Hint: c.Hint,
 		HasHint: c.HasHint, Repeat: c.Repeat})
 }
 
+// callerLeft ends a request whose caller closed its exchange.
 func (r *Reducer) callerLeft(exchange ExchangeID) {
 	if q := r.exchanges[exchange]; q != nil {
 		r.finish(q)
-		r.settle()
+		r.runDeferred()
 		r.decider.Withdrawn(r.now, string(q.call.ID))
 	}
 }
 
-// expire ends a request at its caller's deadline. Open branches time out first, which lets the decider
-// word the answer; where it says nothing the request fails, since no request may go unanswered.
+// expire ends a request at its caller's deadline. Open branches time out first, so that the decision module can choose
+// the answer; if it gives none, the request fails, since every request must be answered.
 func (r *Reducer) expire(q *request) {
 	for _, b := range q.branches {
 		if !b.ended {
@@ -71,22 +73,22 @@
 			r.endBranch(b, choice.TimedOut, nil)
 		}
 	}
-	r.settle()
-	if !q.over {
+	r.runDeferred()
+	if !q.closed {
 		r.answer(q, Answer{Verdict: Failed, Reason: "out of time"})
 		r.decider.Withdrawn(r.now, string(q.call.ID))
 	}
 }
 
-// effect tells what a repeat of the request would do.
-func (r *Reducer) effect(q *request) choice.Effect {
+// effectOf returns the effect of repeating the request, according to its class.
+func (r *Reducer) effectOf(q *request) choice.Effect {
 	return r.settings.Classes[r.classes[q.call.Class]].Effect
 }
 
-// answer gives the one final answer of a request.
+// answer gives a request its final answer.
 func (r *Reducer) answer(q *request, a Answer) {
 	a.Exchange = q.call.Exchange
-	r.act(actOf[a.Verdict], q, "")
+	r.recordAct(auditKinds[a.Verdict], q, "")
 	switch {
 	case a.Verdict == Busy && len(q.branches) == 0:
 		r.tally.RefusedAtOnce++
@@ -99,27 +101,27 @@
 	r.finish(q)
 }
 
-// finish marks that nothing more is owed to the caller, and gives up what is still out for it. Danger: an attempt whose connection is
-// still being opened would be sent when that comes up, long after its caller has gone or was answered.
+// finish records that the caller is owed nothing more, and gives up the request's open branches. Otherwise a branch whose
+// connection is still being opened would be sent once it is up, long after the caller was answered or has left.
 func (r *Reducer) finish(q *request) {
-	q.over = true
+	q.closed = true
 	q.call.Message = Message{}
 	delete(r.exchanges, q.call.Exchange)
 	for _, b := range q.branches {
 		if !b.ended {
 			r.giveUp(b)
-			r.later = append(r.later, func() { r.endBranch(b, choice.TimedOut, nil) }) // it tells nothing of its worker
+			r.deferred = append(r.deferred, func() { r.endBranch(b, choice.TimedOut, nil) }) // the outcome says nothing about the worker
 		}
 	}
-	r.forget(q)
+	r.removeIfDone(q)
 }
 
-// forget drops a request that is answered and has no open branch.
-func (r *Reducer) forget(q *request) {
-	if q.over && q.open == 0 {
+// removeIfDone removes a request that is answered and has no open branch.
+func (r *Reducer) removeIfDone(q *request) {
+	if q.closed && q.open == 0 {
 		delete(r.requests, q.call.ID)
 		if r.now < q.deadline {
-			r.spent[q.call.ID] = true
+			r.endedIDs[q.call.ID] = true
 		}
 	}
 }
