--- a/coord/applog/errors.go
+++ b/coord/applog/errors.go
@@ -22,7 +22,7 @@
 	ErrWriteFailed = errors.New("write to the log failed: restart the process to replay the records on disk")
 
 	// ErrClosed is returned by calls on a closed log.
-	ErrClosed = errors.New("log closed")
+	ErrClosed = errors.New("log closed: open it again")
 )
 
 // writeFailedError is an ErrWriteFailed with the failed operation and the error of the operating system.
--- a/coord/placement/types.go
+++ b/coord/placement/types.go
@@ -12,7 +12,7 @@
 	// ErrInvalidMembers is returned if more than one incarnation of a node is listed as alive.
 	ErrInvalidMembers = errors.New("invalid member list: list at most one live incarnation per node")
 	// ErrUnknownPartition is returned for the release of a partition that is not in the table.
-	ErrUnknownPartition = errors.New("unknown partition")
+	ErrUnknownPartition = errors.New("unknown partition: release a partition of the table")
 	// ErrStaleEpoch is returned for a release under an epoch other than the current one of the partition, or of a
 	// partition without an owner.
 	ErrStaleEpoch = errors.New("stale epoch: fetch the newest table; the partition may have been handed over already")
--- a/coord/watch/client.go
+++ b/coord/watch/client.go
@@ -149,7 +149,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "invalid address of the stream")
+		return nil, errors.Wrap(err, "invalid address of the stream: correct the address")
 	}
 	response, err := client.Do(request)
 	if err != nil {
--- a/internal/delivery/engine.go
+++ b/internal/delivery/engine.go
@@ -194,7 +194,7 @@
 	}
 	r, err := newRoute(e, config, s)
 	if err != nil {
-		e.options.Log.Error(err, "decision module rejected the settings of the route", "route", name)
+		e.options.Log.Error(err, "decision module rejected the settings of the route: check and correct them", "route", name)
 		return nil
 	}
 	e.routes[name] = r
--- a/internal/delivery/response.go
+++ b/internal/delivery/response.go
@@ -31,11 +31,11 @@
 
 // Errors of a response. After any of them the outcome is unknown and the connection is closed.
 var (
-	errNoFraming      = errors.New("worker response has neither a Content-Length nor chunked encoding, so its end is unknown")
-	errTooLong        = errors.New("worker response body exceeds 1 MiB")
-	errOtherRequest   = errors.New("worker response has the id of another request")
-	errNoRequestID    = errors.New("success on a reused worker connection has no request id and may belong to an earlier request")
-	errTooManySkipped = errors.New("too many informational or duplicate responses from worker")
+	errNoFraming      = errors.New("worker response has neither a Content-Length nor chunked encoding, so its end is unknown: have the worker send one of them")
+	errTooLong        = errors.New("worker response body exceeds 1 MiB: have the worker send less")
+	errOtherRequest   = errors.New("worker response has the id of another request: check the worker for a fault")
+	errNoRequestID    = errors.New("success on a reused worker connection has no request id and may belong to an earlier request: check the worker for a fault")
+	errTooManySkipped = errors.New("too many informational or duplicate responses from worker: check the worker for a fault")
 )
 
 // response is a worker's complete response.
