--- a/internal/clientconn/away.go
+++ b/internal/clientconn/away.go
@@ -6,9 +6,9 @@
 // and deals out new connections for 0.2 s after a no. Danger: what was closed before that would only be opened again.
 const awayFront = 350 * time.Millisecond
 
-// SendAway has callers leave, or stay again. From the word on /healthz says no; a little later callers' connections are
+// DrainCallers has callers leave, or stay again. From the word on /healthz says no; a little later callers' connections are
 // closed as they fall idle, and with each answer. Call-backs' connections are never touched. It does not block.
-func (s *Server) SendAway(on bool) {
+func (s *Server) DrainCallers(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if on == (s.awayEnd != nil) {
--- a/internal/clientconn/away_test.go
+++ b/internal/clientconn/away_test.go
@@ -48,9 +48,9 @@
 	}
 	f.event()
 	waits := job(busy)
-	f.s.SendAway(true)
-	f.s.SendAway(true) // a second word changes nothing
-	idle.ends(t)       // once this is closed, all answers close
+	f.s.DrainCallers(true)
+	f.s.DrainCallers(true) // a second word changes nothing
+	idle.ends(t)           // once this is closed, all answers close
 	if worker.callBack(t) {
 		t.Error("a call-back's connection is closed")
 	}
@@ -63,7 +63,7 @@
 	if !answer(late, job(late)) {
 		t.Error("a new caller's connection is kept")
 	}
-	f.s.SendAway(false)
+	f.s.DrainCallers(false)
 	again := f.dial()
 	for i := range 2 {
 		if answer(again, job(again)) {
@@ -79,7 +79,7 @@
 // TestCounts: how jobs ended, by class, against a count kept here; call-backs, health checks and bad requests are none.
 func TestCounts(t *testing.T) {
 	f := serve(t, 16)
-	f.s.Count([]string{"c", "d"})
+	f.s.CountClasses([]string{"c", "d"})
 	c := f.dial()
 	want := map[string]Tally{"d": {}}
 	tally := Tally{}
--- a/internal/workerconn/fence.go
+++ b/internal/workerconn/fence.go
@@ -28,7 +28,7 @@
 
 // Fenced counts the branches that were decided on and not written, since this dispatcher was shut out in between, and tells the longest time in
 // seconds that passed from the last look at the clock until a write had returned: what may be written late at the most.
-func (s *Sender) Fenced() (branches uint64, longest float64) {
+func (s *Sender) FenceStats() (branches uint64, longest float64) {
 	return s.fence.stopped.Load(), math.Float64frombits(s.fence.longest.Load())
 }
 
--- a/internal/workerconn/fence_test.go
+++ b/internal/workerconn/fence_test.go
@@ -27,7 +27,7 @@
 	on <- struct{}{}
 	s.pool.dial = dial
 	wantFault(t, events, 2, core.NotSent)
-	if n, _ := s.Fenced(); n != 1 {
+	if n, _ := s.FenceStats(); n != 1 {
 		t.Errorf("%d branches stopped by the fence, want 1", n)
 	}
 	s.Fence(20)
@@ -41,7 +41,7 @@
 	now.Store(25)
 	s.Send(branch(4, p.addr()))
 	l.request()
-	if n, longest := s.Fenced(); n != 1 || longest < 0 {
+	if n, longest := s.FenceStats(); n != 1 || longest < 0 {
 		t.Errorf("%d branches stopped by the fence, want 1; longest write %v", n, longest)
 	}
 }
