--- a/internal/clientconn/close_test.go
+++ b/internal/clientconn/close_test.go
@@ -14,7 +14,7 @@
 	"foldlb.example/foldlb/internal/core"
 )
 
-// only returns the server's one connection.
+// onlyConn returns the server's only connection.
 func (f *fixture) onlyConn() *conn {
 	f.t.Helper()
 	for limit := time.Now().Add(testTimeout); ; runtime.Gosched() {
@@ -33,7 +33,7 @@
 func (f *fixture) expectNoEvent() {
 	f.t.Helper()
 	if len(f.events) > 0 {
-		f.t.Errorf("taken: %+v", <-f.events)
+		f.t.Errorf("unexpected event %+v", <-f.events)
 	}
 }
 
@@ -48,12 +48,12 @@
 			return
 		}
 		if time.Now().After(limit) {
-			f.t.Fatalf("%d connections are kept", n)
+			f.t.Fatalf("%d connections are still open", n)
 		}
 	}
 }
 
-// received tells how many bytes have come on a connection since it was opened, whether or not they were read.
+// bytesReceived returns the number of bytes received on a connection since it was opened, read or not.
 func bytesReceived(t *testing.T, c *conn) uint64 {
 	t.Helper()
 	var info *unix.TCPInfo
@@ -64,8 +64,8 @@
 	return info.Bytes_received
 }
 
-// TestRequestArrivingDuringClose: a resting connection is chosen for its end, and its client's next request comes just then. It is not taken, by
-// no part of the server, and its client sees an orderly end, upon which it sends it again elsewhere.
+// TestRequestArrivingDuringClose guards against processing a request that arrives between the claim of an idle
+// connection and its close. The client sees a regular close and can send the request elsewhere, so it would run twice.
 func TestRequestArrivingDuringClose(t *testing.T) {
 	f := serve(t, 16)
 	c := f.dial()
@@ -73,28 +73,29 @@
 	f.s.Answer(core.Answer{Exchange: f.event().(core.CallArrived).Call.Exchange, Body: []byte("ok")})
 	c.answer()
 	conn := f.onlyConn()
-	for limit := time.Now().Add(testTimeout); !conn.claim(); runtime.Gosched() { // once it rests
+	for limit := time.Now().Add(testTimeout); !conn.claim(); runtime.Gosched() { // as soon as it is idle
 		if time.Now().After(limit) {
-			t.Fatal("a resting connection is not claimed")
+			t.Fatal("idle connection not claimed")
 		}
 	}
 	before := bytesReceived(t, conn)
-	c.send(callRequest, "hi") // its reader gets this, after the claim and before the end is said
+	c.send(callRequest, "hi") // after the claim and before the write side is shut down
 	for limit := time.Now().Add(testTimeout / 2); bytesReceived(t, conn) == before || !conn.Silent(); runtime.Gosched() {
 		if time.Now().After(limit) {
-			t.Fatal("the reader does not get the request")
+			t.Fatal("the request was not read")
 		}
 	}
 	conn.shutdownWrite()
 	if _, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the client sees %v, want the end", err)
+		t.Errorf("the client's read returned %v, want io.EOF", err)
 	}
 	c.Close()
 	f.waitForNoConns()
 	f.expectNoEvent()
 }
 
-// TestClaimOnlyIdleConnections: a connection on which something has come, whoever holds it by then, is not closed under its request.
+// TestClaimOnlyIdleConnections checks that a connection is not claimed while its request is served, or with an unread
+// request in the socket, also while the gate is held.
 func TestClaimOnlyIdleConnections(t *testing.T) {
 	f := serve(t, 16)
 	c := f.dial()
@@ -102,30 +103,30 @@
 	exchange := f.event().(core.CallArrived).Call.Exchange
 	conn := f.onlyConn()
 	if conn.claim() {
-		t.Fatal("claimed while its request is served")
+		t.Fatal("claimed while its request was served")
 	}
 	f.s.Answer(core.Answer{Exchange: exchange, Body: []byte("ok")})
 	c.answer()
-	if err := f.s.gate.Hold(testTimeout, nil); err != nil { // nobody reads
+	if err := f.s.gate.Hold(testTimeout, nil); err != nil { // stops all readers
 		t.Fatal(err)
 	}
 	c.send(callRequest, "ho")
 	for limit := time.Now().Add(testTimeout); conn.Silent(); runtime.Gosched() {
 		if time.Now().After(limit) {
-			t.Fatal("nothing comes")
+			t.Fatal("no input arrived")
 		}
 	}
 	if conn.claim() {
-		t.Error("claimed with a request in the kernel")
+		t.Error("claimed with an unread request in the socket")
 	}
 	f.s.gate.Release()
 	if body := string(f.event().(core.CallArrived).Call.Message.Body); body != "ho" {
-		t.Errorf("taken: %q", body)
+		t.Errorf("request body %q, want \"ho\"", body)
 	}
 }
 
-// TestAnswerSurvivesUnreadInput: more has come behind a request whose answer is the last. A close over those bytes would reset the
-// connection, and the answer would go with it.
+// TestAnswerSurvivesUnreadInput guards against losing the last response on a connection: closing with unread input would
+// reset the connection and discard the response.
 func TestAnswerSurvivesUnreadInput(t *testing.T) {
 	f := serve(t, 16)
 	c := f.dial()
@@ -136,31 +137,32 @@
 	conn := f.onlyConn()
 	for limit := time.Now().Add(testTimeout); !conn.isClosing(); runtime.Gosched() {
 		if time.Now().After(limit) {
-			t.Fatal("the connection goes on")
+			t.Fatal("the connection does not linger")
 		}
 	}
-	for range 2 { // what comes now is read as well
+	for range 2 { // later input is read, too
 		if _, err := c.Write([]byte("more")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if body := string(c.answer().Body()); body != "ok" {
-		t.Errorf("answered %q", body)
+		t.Errorf("response body %q, want \"ok\"", body)
 	}
 	if _, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("then %v, want the end", err)
+		t.Errorf("the next read returned %v, want io.EOF", err)
 	}
 	c.Close()
 	f.waitForNoConns()
 	f.expectNoEvent()
 }
 
-// TestLingeringIsBounded: one that neither ends nor stops sending is closed all the same, by time or by bytes.
+// TestLingeringIsBounded checks that a lingering connection is closed after lingerTimeout or maxLingerBytes, if the
+// client neither closes nor stops sending.
 func TestLingeringIsBounded(t *testing.T) {
 	f := serve(t, 16)
 	silent, loud := f.dial(), f.dial()
 	for _, c := range []*caller{silent, loud} {
-		c.send(callRequest+"\r\nConnection: close", "hi") // no time limit is in force on it while it is served
+		c.send(callRequest+"\r\nConnection: close", "hi") // no deadline is set while a request is served
 		f.s.Answer(core.Answer{Exchange: f.event().(core.CallArrived).Call.Exchange})
 		c.answer()
 	}
@@ -168,71 +170,73 @@
 	for part := bytes.Repeat([]byte("x"), 64<<10); err == nil; _, err = loud.Write(part) {
 	}
 	if !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-		t.Errorf("who sends on for ever sees %v", err)
+		t.Errorf("the client that keeps sending got %v, want a reset", err)
 	}
 	f.waitForNoConns()
 }
 
-// TestLingeringConnectionIsEvicted: what is over, but for the other side's end, holds no place that somebody needs.
+// TestLingeringConnectionIsEvicted checks that a connection that only waits for the peer's close is evicted for a new
+// one.
 func TestLingeringConnectionIsEvicted(t *testing.T) {
 	f := serve(t, 1)
-	over := f.dial()
-	over.send("GET /api HTTP/1.1\r\nHost: h", "")
-	over.answer() // and stays
+	lingering := f.dial()
+	lingering.send("GET /api HTTP/1.1\r\nHost: h", "")
+	lingering.answer() // the client keeps it open
 	next := f.dial()
 	next.send(callRequest, "hi")
 	if _, ok := f.event().(core.CallArrived); !ok {
-		t.Error("not taken")
+		t.Error("the request was not processed")
 	}
 }
 
-// TestShortDrain: where the longest deadline is shorter than callers' connections stay open otherwise, they are ended in time all the same,
-// not cut off by the end of the process.
+// TestShortDrain checks that in a drain shorter than drainKeepOpen idle connections are closed in order, not reset by
+// the exit of the process.
 func TestShortDrain(t *testing.T) {
 	f := serve(t, 16)
 	c := f.dial()
 	c.send(callRequest, "hi")
 	f.s.Answer(core.Answer{Exchange: f.event().(core.CallArrived).Call.Exchange, Body: []byte("ok")})
 	c.answer()
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		f.s.Drain(drainKeepOpen/2, func() {}, func() {})
-		close(over)
+		close(done)
 	}()
 	if _, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("a resting connection ends with %v", err)
+		t.Errorf("an idle connection ended with %v, want io.EOF", err)
 	}
 	c.Close()
-	<-over
+	<-done
 	f.waitForNoConns()
 }
 
-// TestConnectionAcceptedAtListenerClose: what the listener has accepted by the moment of its close is served before the end.
+// TestConnectionAcceptedAtListenerClose checks that a connection accepted just before the listener closes is still
+// served.
 func TestConnectionAcceptedAtListenerClose(t *testing.T) {
 	f := serve(t, 16)
 	var last *caller
-	refused, over := make(chan struct{}), make(chan struct{})
+	refused, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		f.s.Drain(testTimeout, func() {
 			last = f.dial()
 			last.send(callRequest, "hi")
-			f.onlyConn() // the listener has handed it on
+			f.onlyConn() // the listener has accepted it
 			f.ln.Close()
 			close(refused)
-		}, func() { t.Error("given up") })
-		close(over)
+		}, func() { t.Error("the drain gave up waiting requests") })
+		close(done)
 	}()
 	<-refused
 	exchange := f.event().(core.CallArrived).Call.Exchange
 	select {
-	case <-over:
-		t.Fatal("over with a request taken")
+	case <-done:
+		t.Fatal("the drain ended with a request in progress")
 	default:
 	}
 	f.s.Answer(core.Answer{Exchange: exchange, Body: []byte("ok")})
 	if resp := last.answer(); string(resp.Body()) != "ok" || !resp.ConnectionClose() {
-		t.Errorf("answered %s", resp)
+		t.Errorf("response %s", resp)
 	}
 	last.Close()
-	<-over
+	<-done
 }
--- a/internal/clientconn/handover_test.go
+++ b/internal/clientconn/handover_test.go
@@ -17,7 +17,7 @@
 	"foldlb.example/foldlb/internal/hold"
 )
 
-// smallBuffers accepts connections that take little of an answer at once.
+// smallBuffers accepts connections with a small send buffer, so that large responses block.
 type smallBuffers struct{ net.Listener }
 
 func (l smallBuffers) Accept() (net.Conn, error) {
@@ -28,7 +28,7 @@
 	return c, err
 }
 
-// handover holds a server, and makes another one that takes its connections up.
+// handover holds the server, and returns another one that imported its connections.
 func (f *fixture) handover(gate *hold.Gate) *Server {
 	f.t.Helper()
 	if err := gate.Hold(testTimeout, nil); err != nil {
@@ -41,7 +41,7 @@
 	}
 	next := hold.NewGate()
 	received := next.Receive()
-	for _, fd := range files.FDs { // the twins that another process would get
+	for _, fd := range files.FDs { // duplicates, as another process would receive them
 		received.FDs = append(received.FDs, dupFD(f.t, fd))
 	}
 	log := logrus.New()
@@ -59,7 +59,7 @@
 
 func dupFD(t *testing.T, fd int) int {
 	t.Helper()
-	// A file of its own: the old server keeps its descriptors until it has ended.
+	// The old server closes its own descriptors later.
 	nfd, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -67,8 +67,8 @@
 	return nfd
 }
 
-// TestHandoverOfPartlyWrittenAnswer: an answer that its caller has read in part goes on from the same byte elsewhere, and so
-// does the connection.
+// TestHandoverOfPartlyWrittenAnswer checks that a response that was written in part continues at the same byte in the
+// new process, and that the connection then serves further requests.
 func TestHandoverOfPartlyWrittenAnswer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -95,10 +95,10 @@
 	}
 	next := f.handover(gate)
 	if countIn(next, phaseAnswering) != 1 {
-		t.Fatal("the answer was not half written")
+		t.Fatal("the response was not partly written")
 	}
 	if got := string(c.answer().Body()); got != body.String() {
-		t.Fatalf("%d bytes were read, %d wanted, or others", len(got), body.Len())
+		t.Fatalf("%d bytes read, want %d, or their content differs", len(got), body.Len())
 	}
 	c.send(callRequest, "ho")
 	call := f.event().(core.CallArrived).Call
@@ -107,11 +107,11 @@
 	}
 	next.Answer(core.Answer{Exchange: call.Exchange, Verdict: core.Served, Body: []byte("ok")})
 	if got := string(c.answer().Body()); got != "ok" {
-		t.Fatalf("answered %q", got)
+		t.Fatalf("response body %q, want \"ok\"", got)
 	}
 }
 
-// TestHandoverKeepsReadDeadline: a request that is read in part has no more time in the new process than in the old.
+// TestHandoverKeepsReadDeadline checks that the deadline of a partly read request is not extended by the handover.
 func TestHandoverKeepsReadDeadline(t *testing.T) {
 	f := serve(t, 16)
 	c := f.dial()
@@ -121,22 +121,22 @@
 	deadline := time.Now().Add(readTimeout)
 	for countIn(f.s, phaseReading) == 0 {
 		if time.Now().After(deadline) {
-			t.Fatal("the request's part was not read")
+			t.Fatal("the partial request was not read")
 		}
 	}
 	next := f.handover(f.s.gate)
 	if n := countIn(next, phaseReading); n != 1 {
-		t.Fatalf("%d connections are half read", n)
+		t.Fatalf("%d connections with a partly read request, want 1", n)
 	}
 	if resp := c.answer(); resp.StatusCode() != 408 {
-		t.Errorf("answered %s", resp)
+		t.Errorf("response %s, want 408", resp)
 	}
 	if late := time.Since(deadline); late > readTimeout/2 {
-		t.Errorf("%v after its time", late)
+		t.Errorf("answered %v after the deadline", late)
 	}
 }
 
-// countIn counts the connections in a phase.
+// countIn returns the number of connections in a phase.
 func countIn(s *Server, p phase) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,18 +150,18 @@
 	return n
 }
 
-// TestImportRejectsInvalidState: places without a descriptor, phases that are none.
+// TestImportRejectsInvalidState checks missing descriptors, unknown phases and exchange ids that were not assigned yet.
 func TestImportRejectsInvalidState(t *testing.T) {
 	for name, st := range map[string]State{
 		"no descriptor":       {Conns: []ConnState{{File: 3}}},
-		"ahead of none":       {Conns: []ConnState{{File: -1}}},
-		"no phase":            {Conns: []ConnState{{Phase: 9}}},
-		"an exchange to come": {Conns: []ConnState{{Exchange: 5}}},
+		"negative descriptor": {Conns: []ConnState{{File: -1}}},
+		"unknown phase":       {Conns: []ConnState{{Phase: 9}}},
+		"unassigned exchange": {Conns: []ConnState{{Exchange: 5}}},
 	} {
 		gate := hold.NewGate()
 		s := NewServer(16, gate, func(core.Event) {}, logrus.New())
 		if err := s.Import(st, gate.Receive()); err == nil || errors.Is(err, os.ErrNotExist) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: import returned %v", name, err)
 		}
 	}
 }
--- a/internal/clientconn/listen_test.go
+++ b/internal/clientconn/listen_test.go
@@ -14,7 +14,7 @@
 	"foldlb.example/foldlb/internal/loopback"
 )
 
-// TestListen: an address that somebody holds is waited for, not for ever; one that can't be had is an error at once.
+// TestListen checks that an address in use is retried until the limit, and that other errors are returned at once.
 func TestListen(t *testing.T) {
 	held, err := loopback.Listen()
 	if err != nil {
@@ -23,21 +23,21 @@
 	addr := held.Addr().String()
 	log, hook := test.NewNullLogger()
 	if _, err := Listen(context.Background(), addr, 3*listenRetryInterval, log); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Errorf("held for ever: %v", err)
+		t.Errorf("address in use: error %v, want EADDRINUSE", err)
 	}
 	if len(hook.Entries) != 1 {
-		t.Errorf("%d lines in the log, want one for the whole wait", len(hook.Entries))
+		t.Errorf("%d log lines, want one for the whole wait", len(hook.Entries))
 	}
 	hook.Reset()
-	log.AddHook(closeOnLog{held}) // the line says that it waits
+	log.AddHook(closeOnLog{held}) // the line is logged when the wait begins
 	ln, err := Listen(context.Background(), addr, testTimeout, log)
 	if err != nil {
-		t.Fatalf("freed: %v", err)
+		t.Fatalf("address that became free: %v", err)
 	}
 	ln.Close()
 	begin := time.Now()
 	if _, err := Listen(context.Background(), "192.0.2.1:1", testTimeout, log); err == nil || errors.Is(err, syscall.EADDRINUSE) || time.Since(begin) > testTimeout/2 {
-		t.Errorf("an address of another machine: %v", err)
+		t.Errorf("address of another machine: error %v, or returned too late", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
@@ -46,11 +46,11 @@
 	}
 	defer ln.Close()
 	if _, err := Listen(ctx, addr, time.Hour, logrus.New()); err == nil {
-		t.Error("SIGTERM does not end the wait")
+		t.Error("a cancelled context does not end the wait")
 	}
 }
 
-// freeing closes a listener at the first line of a log.
+// closeOnLog closes a listener at the first log entry.
 type closeOnLog struct{ net.Listener }
 
 func (f closeOnLog) Levels() []logrus.Level     { return logrus.AllLevels }
--- a/internal/clientconn/parse_test.go
+++ b/internal/clientconn/parse_test.go
@@ -30,7 +30,7 @@
 		{headers: full + "X-Labels: slots=2,memory=2.293,other=x\r\n", want: with(func(c *core.Call) { c.Slots, c.Memory = 2, 2.293 })},
 		{headers: full + "X-Resent: 1\r\nX-Org: t\r\n", want: with(func(c *core.Call) { c.Repeat, c.Tenant = true, "t" })},
 		{headers: full + "X-Estimate: 0.25\r\n", want: with(func(c *core.Call) { c.Hint, c.HasHint = 0.25, true })},
-		// A body may hold what looks like HTTP itself.
+		// A body may contain text that looks like HTTP.
 		{headers: full + "Idempotency-Key: 5c0f\r\n", body: "a\r\n\r\nHTTP/1.1 200 OK\r\n\r\n\x00", want: with(func(c *core.Call) {
 			c.Message.Token, c.Message.Body = "5c0f", []byte("a\r\n\r\nHTTP/1.1 200 OK\r\n\r\n\x00")
 		})},
@@ -59,10 +59,10 @@
 		}
 		if tc.err != "" {
 			if err == nil || !strings.Contains(err.Error(), tc.err) {
-				t.Errorf("%q: error %v does not name %q", tc.headers, err, tc.err)
+				t.Errorf("%q: error %v does not contain %q", tc.headers, err, tc.err)
 			}
 		} else if err != nil || !reflect.DeepEqual(got, tc.want) {
-			t.Errorf("%q: read as %+v, %v", tc.headers, got, err)
+			t.Errorf("%q: parsed as %+v, error %v", tc.headers, got, err)
 		}
 	}
 }
@@ -93,10 +93,10 @@
 		got, err := parseCallback([]byte(tc.body))
 		if tc.err != "" {
 			if err == nil || !strings.Contains(err.Error(), tc.err) {
-				t.Errorf("%s: error %v does not name %q", tc.body, err, tc.err)
+				t.Errorf("%s: error %v does not contain %q", tc.body, err, tc.err)
 			}
 		} else if err != nil || !reflect.DeepEqual(got, tc.want) {
-			t.Errorf("%s: read as %+v, %v", tc.body, got, err)
+			t.Errorf("%s: parsed as %+v, error %v", tc.body, got, err)
 		}
 	}
 }
--- a/internal/clientconn/server_test.go
+++ b/internal/clientconn/server_test.go
@@ -16,7 +16,7 @@
 	"foldlb.example/foldlb/internal/hold"
 )
 
-const testTimeout = 10 * time.Second // for what must come; nothing is timed
+const testTimeout = 10 * time.Second // limit for events that must happen; no duration is measured
 
 type fixture struct {
 	t      *testing.T
@@ -52,7 +52,7 @@
 	}
 }
 
-// caller is a connection of a caller's.
+// caller is a client connection to the server.
 type caller struct {
 	net.Conn
 	r *bufio.Reader
@@ -90,7 +90,7 @@
 
 func TestAnswers(t *testing.T) {
 	f := serve(t, 16)
-	c := f.dial() // one connection carries them all
+	c := f.dial() // all requests use one connection
 	for _, tc := range []struct {
 		answer core.Answer
 		status int
@@ -106,20 +106,20 @@
 		c.send(callRequest, "hi")
 		got := f.event().(core.CallArrived).Call
 		if got.ID != "9b1f" || string(got.Message.Body) != "hi" {
-			t.Fatalf("taken as %+v", got)
+			t.Fatalf("parsed as %+v", got)
 		}
 		tc.answer.Exchange = got.Exchange
 		f.s.Answer(tc.answer)
-		f.s.Answer(core.Answer{Exchange: got.Exchange, Verdict: core.Failed}) // a second one goes nowhere
+		f.s.Answer(core.Answer{Exchange: got.Exchange, Verdict: core.Failed}) // a second answer is ignored
 		resp := c.answer()
 		if resp.StatusCode() != tc.status || string(resp.Body()) != tc.body ||
 			string(resp.Header.Peek("Retry-After")) != tc.retry {
-			t.Errorf("%+v: answered %s", tc.answer, resp)
+			t.Errorf("%+v: response %s", tc.answer, resp)
 		}
 	}
 }
 
-// TestCallerLeaves: an exchange that closes while its request waits must reach the reducer.
+// TestCallerLeaves checks that the reducer is notified when a caller closes its connection while its request waits.
 func TestCallerLeaves(t *testing.T) {
 	f := serve(t, 16)
 	c := f.dial()
@@ -127,12 +127,12 @@
 	exchange := f.event().(core.CallArrived).Call.Exchange
 	c.Close()
 	if e := f.event(); e != (core.CallerLeft{Exchange: exchange}) {
-		t.Errorf("event %+v, want that the caller left", e)
+		t.Errorf("event %+v, want CallerLeft", e)
 	}
 }
 
-// TestCallerLeavesAfterExtraBytes: a caller that has sent more behind its request has gone all the same when it closes or resets its connection,
-// and bytes beyond what is read ahead do not hide that.
+// TestCallerLeavesAfterExtraBytes checks that a close or reset is noticed although unread bytes precede it, also more
+// than are read ahead.
 func TestCallerLeavesAfterExtraBytes(t *testing.T) {
 	for _, more := range []int{0, 1, 300, 20 << 10, 200 << 10} {
 		for _, reset := range []bool{false, true} {
@@ -141,58 +141,58 @@
 			c.send(callRequest, "hi")
 			exchange := f.event().(core.CallArrived).Call.Exchange
 			if !f.s.CallerPresent(exchange) {
-				t.Fatalf("%d bytes: gone before it left", more)
+				t.Fatalf("%d bytes: not present before the caller left", more)
 			}
 			if _, err := io.WriteString(c, strings.Repeat("x", more)); err != nil {
 				t.Fatal(err)
 			}
 			if more > 100<<10 && !reset {
-				continue // its end stands behind bytes that the kernel has no room for, and can't arrive
+				continue // the close can't arrive: the socket buffer before it is full
 			}
 			if reset {
 				c.Conn.(*net.TCPConn).SetLinger(0)
 			}
 			c.Close()
 			if e := f.event(); e != (core.CallerLeft{Exchange: exchange}) {
-				t.Errorf("%d bytes, reset %v: event %+v, want that the caller left", more, reset, e)
+				t.Errorf("%d bytes, reset %v: event %+v, want CallerLeft", more, reset, e)
 			}
 			if f.s.CallerPresent(exchange) {
-				t.Errorf("%d bytes, reset %v: present after it left", more, reset)
+				t.Errorf("%d bytes, reset %v: present after the caller left", more, reset)
 			}
 		}
 	}
 }
 
-// TestCallerPresentChecksSocket: a close counts from when the machine knows, not from when somebody has read it.
+// TestCallerPresentChecksSocket checks that a close counts as soon as the kernel knows it, before anything has read it.
 func TestCallerPresentChecksSocket(t *testing.T) {
 	f := serve(t, 16)
 	for _, more := range []string{"", "POST"} {
 		c := f.dial()
 		c.send(callRequest, "hi")
 		exchange := f.event().(core.CallArrived).Call.Exchange
-		if err := f.s.gate.Hold(testTimeout, nil); err != nil { // nobody reads
+		if err := f.s.gate.Hold(testTimeout, nil); err != nil { // stops all readers
 			t.Fatal(err)
 		}
 		io.WriteString(c, more)
 		c.Close()
 		for limit := time.Now().Add(testTimeout); f.s.CallerPresent(exchange); runtime.Gosched() {
 			if time.Now().After(limit) {
-				t.Fatalf("behind %q: still present", more)
+				t.Fatalf("after %q: still present", more)
 			}
 		}
 		if len(f.events) > 0 {
-			t.Fatalf("event %+v while held", <-f.events)
+			t.Fatalf("event %+v while the gate was held", <-f.events)
 		}
 		f.s.gate.Release()
 		f.event()
 	}
 }
 
-// TestNextRequestReadAhead: what a caller sends behind a request that waits belongs to the next one.
+// TestNextRequestReadAhead checks that bytes sent while a request waits are read as part of the next request.
 func TestNextRequestReadAhead(t *testing.T) {
 	f := serve(t, 16)
 	c := f.dial()
-	for _, at := range []int{1, 30, len(callRequest) + 5} { // so much of the next request comes early
+	for _, at := range []int{1, 30, len(callRequest) + 5} { // bytes of the next request that arrive early
 		c.send(callRequest, "hi")
 		exchange := f.event().(core.CallArrived).Call.Exchange
 		next := callRequest + "\r\n\r\nho"
@@ -201,18 +201,18 @@
 		}
 		f.s.Answer(core.Answer{Exchange: exchange, Verdict: core.Served, Body: []byte("one")})
 		if resp := c.answer(); string(resp.Body()) != "one" {
-			t.Fatalf("answered %s", resp)
+			t.Fatalf("response %s", resp)
 		}
 		if _, err := io.WriteString(c, next[at:]); err != nil {
 			t.Fatal(err)
 		}
 		call := f.event().(core.CallArrived).Call
 		if string(call.Message.Body) != "ho" {
-			t.Fatalf("read as %+v", call)
+			t.Fatalf("parsed as %+v", call)
 		}
 		f.s.Answer(core.Answer{Exchange: call.Exchange, Verdict: core.Served, Body: []byte("two")})
 		if resp := c.answer(); string(resp.Body()) != "two" {
-			t.Fatalf("answered %s", resp)
+			t.Fatalf("response %s", resp)
 		}
 	}
 }
@@ -251,7 +251,7 @@
 		c := f.dial()
 		c.send(tc.head, tc.body)
 		if resp := c.answer(); resp.StatusCode() != tc.status || !resp.ConnectionClose() {
-			t.Errorf("%.200q: status %d, want %d and a close", tc.head, resp.StatusCode(), tc.status)
+			t.Errorf("%.200q: status %d, want %d and Connection: close", tc.head, resp.StatusCode(), tc.status)
 		}
 	}
 	if len(f.events) > 0 {
@@ -259,85 +259,86 @@
 	}
 }
 
-// TestSilentConnectionsDoNotDelayDrain: they keep coming, and the drain ends long before it must.
+// TestSilentConnectionsDoNotDelayDrain checks that new connections without any input don't keep a drain from ending
+// early.
 func TestSilentConnectionsDoNotDelayDrain(t *testing.T) {
 	f := serve(t, 16)
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		f.s.Drain(testTimeout, func() {}, func() { t.Error("given up") })
-		close(over)
+		f.s.Drain(testTimeout, func() {}, func() { t.Error("the drain gave up waiting requests") })
+		close(done)
 	}()
-	pace := time.NewTicker(drainPollInterval)
-	defer pace.Stop()
+	ticker := time.NewTicker(drainPollInterval)
+	defer ticker.Stop()
 	for limit := time.After(testTimeout / 2); ; {
 		select {
-		case <-over:
+		case <-done:
 			return
 		case <-limit:
-			t.Fatal("the drain goes on")
-		case <-pace.C:
+			t.Fatal("the drain did not end")
+		case <-ticker.C:
 			f.dial()
 		}
 	}
 }
 
-// TestSlowRequestTimesOut: a connection owes its first request within a time that no trickle of bytes extends, and one
-// with a caller that waits for its answer does not.
+// TestSlowRequestTimesOut checks that the deadline for the first request is not extended by single bytes, and that it
+// does not apply to a connection whose caller waits for its answer.
 func TestSlowRequestTimesOut(t *testing.T) {
 	f := serve(t, 16)
 	waits := f.dial()
 	waits.send(callRequest, "hi")
 	exchange := f.event().(core.CallArrived).Call.Exchange
 	silent, trickle := f.dial(), f.dial()
-	pace := time.NewTicker(readTimeout / 20)
-	defer pace.Stop()
+	ticker := time.NewTicker(readTimeout / 20)
+	defer ticker.Stop()
 	go func() {
-		for range pace.C {
+		for range ticker.C {
 			if _, err := trickle.Write([]byte("P")); err != nil {
 				return
 			}
 		}
 	}()
 	if _, err := silent.r.ReadByte(); err != io.EOF {
-		t.Errorf("who says nothing gets %v, want a close and no word that a request could cross", err)
+		t.Errorf("the silent client got %v, want a close without a response", err)
 	}
 	if status := trickle.answer().StatusCode(); status != 408 {
-		t.Errorf("answered %d", status)
+		t.Errorf("status %d", status)
 	}
-	waits.Close() // long after its request's time limit: that must be noticed all the same
+	waits.Close() // long after its read deadline; must be noticed nevertheless
 	if e := f.event(); e != (core.CallerLeft{Exchange: exchange}) {
-		t.Errorf("event %+v, want that the caller left", e)
+		t.Errorf("event %+v, want CallerLeft", e)
 	}
 }
 
-// TestSilentConnectionsAreEvictedFirst fills the table: what never brought a request goes first, a usual caller's kept
-// connection stays, and what has arrived on a connection is not thrown away.
+// TestSilentConnectionsAreEvictedFirst fills the server with silent connections. They must be evicted before the idle
+// connection of a regular caller, and connections with an unread request must not be evicted at all.
 func TestSilentConnectionsAreEvictedFirst(t *testing.T) {
 	f := serve(t, 4)
-	usual := f.dial()
+	regular := f.dial()
 	serveOne := func(c *caller) {
 		t.Helper()
 		c.send(callRequest, "hi")
 		f.s.Answer(core.Answer{Exchange: f.event().(core.CallArrived).Call.Exchange})
 		if status := c.answer().StatusCode(); status != 200 {
-			t.Fatalf("answered %d", status)
+			t.Fatalf("status %d", status)
 		}
 	}
-	serveOne(usual)
+	serveOne(regular)
 	for range 20 {
-		f.dial() // and says nothing
+		f.dial() // sends nothing
 	}
 	serveOne(f.dial())
-	serveOne(usual)
+	serveOne(regular)
 	for range 3 {
 		c := f.dial()
 		c.send("GET /healthz HTTP/1.1\r\nHost: h", "")
 		f.s.Answer(core.Answer{Exchange: f.event().(core.HealthAsked).Exchange})
 		if !c.answer().ConnectionClose() {
-			t.Error("who asks for health may stay")
+			t.Error("a health check left its connection open")
 		}
 	}
-	serveOne(usual)
+	serveOne(regular)
 }
 
 func TestCallbackAndHealth(t *testing.T) {
@@ -348,27 +349,27 @@
 		t.Errorf("event %+v", e)
 	}
 	if status := c.answer().StatusCode(); status != 200 {
-		t.Errorf("call-back answered %d", status)
+		t.Errorf("callback status %d", status)
 	}
 	c.send("GET /healthz HTTP/1.1\r\nHost: h", "")
 	f.s.Answer(core.Answer{Exchange: f.event().(core.HealthAsked).Exchange})
 	if status := c.answer().StatusCode(); status != 200 {
-		t.Errorf("health answered %d", status)
+		t.Errorf("health check status %d", status)
 	}
 }
 
-// TestCallersAtLimit fills all places: callers beyond their part get a busy answer, idle connections give way, and
-// a call-back still gets in.
+// TestCallersAtLimit checks that with all caller slots in use, further callers get a 503 with Retry-After, idle
+// connections are evicted, and a callback is still accepted.
 func TestCallersAtLimit(t *testing.T) {
 	f := serve(t, 5)
 	for range 4 {
 		f.dial().send(callRequest, "hi")
 		f.event()
 	}
-	over := f.dial()
-	over.send(callRequest, "hi")
-	if resp := over.answer(); resp.StatusCode() != 503 || len(resp.Header.Peek("Retry-After")) == 0 || !resp.ConnectionClose() {
-		t.Errorf("answered %s", resp)
+	rejected := f.dial()
+	rejected.send(callRequest, "hi")
+	if resp := rejected.answer(); resp.StatusCode() != 503 || len(resp.Header.Peek("Retry-After")) == 0 || !resp.ConnectionClose() {
+		t.Errorf("response %s", resp)
 	}
 	idle := f.dial()
 	idle.send("POST /callback HTTP/1.1\r\nHost: h\r\nContent-Length: 2", "{}")
@@ -376,24 +377,24 @@
 	last := f.dial()
 	last.send("POST /callback HTTP/1.1\r\nHost: h\r\nContent-Length: 39", `{"id":"r","from":"s","state":"started"}`)
 	if status := last.answer().StatusCode(); status != 200 {
-		t.Errorf("call-back answered %d", status)
+		t.Errorf("callback status %d", status)
 	}
 	if _, err := idle.r.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection ends with %v, want its close", err)
+		t.Errorf("the idle connection ended with %v, want io.EOF", err)
 	}
 }
 
-// TestDrain: what is taken is answered, connections stay open for a while and serve what comes, health says to
-// go elsewhere, and what still waits at the end is given up and answered.
+// TestDrain checks that accepted requests are answered, connections stay open for a while and serve new requests, the
+// health check fails, and requests still waiting at the limit are given up and answered.
 func TestDrain(t *testing.T) {
 	f := serve(t, 16)
 	waiting := f.dial()
 	waiting.send(callRequest, "hi")
 	exchange := f.event().(core.CallArrived).Call.Exchange
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		f.s.Drain(2*time.Second, func() {}, func() { f.s.Answer(core.Answer{Exchange: exchange, Verdict: core.Busy}) })
-		close(over)
+		close(done)
 	}()
 	for !f.s.draining.Load() {
 		runtime.Gosched()
@@ -401,30 +402,30 @@
 	health := f.dial()
 	health.send("GET /healthz HTTP/1.1\r\nHost: h", "")
 	if status := health.answer().StatusCode(); status != 503 {
-		t.Errorf("health answered %d", status)
+		t.Errorf("health check status %d", status)
 	}
 	late := f.dial()
-	for range 2 { // on one connection
+	for range 2 { // both on one connection
 		late.send(callRequest, "hi")
 		f.s.Answer(core.Answer{Exchange: f.event().(core.CallArrived).Call.Exchange, Body: []byte("late")})
 		if resp := late.answer(); resp.StatusCode() != 200 {
-			t.Errorf("answered %s", resp)
+			t.Errorf("response %s", resp)
 		}
 	}
 	if _, err := late.r.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection ends with %v, want its close", err)
+		t.Errorf("the idle connection ended with %v, want io.EOF", err)
 	}
 	select {
-	case <-over:
-		t.Fatal("over with a caller waiting")
+	case <-done:
+		t.Fatal("the drain ended with a caller waiting")
 	default:
 	}
 	if resp := waiting.answer(); resp.StatusCode() != 503 || !resp.ConnectionClose() {
-		t.Errorf("answered %s", resp)
+		t.Errorf("response %s", resp)
 	}
 	select {
-	case <-over:
+	case <-done:
 	case <-time.After(testTimeout):
-		t.Fatal("not over")
+		t.Fatal("the drain did not end")
 	}
 }
--- a/internal/holdup/holdup_test.go
+++ b/internal/holdup/holdup_test.go
@@ -26,7 +26,7 @@
 	must.StrContains(t, lines[1], `"ms"=900`)
 }
 
-// A process that runs is not held up, and a watch ends with its context.
+// A running process has no hold-up, and a watch ends with its context.
 func TestProcessThatRunsIsNotHeldUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -38,15 +38,15 @@
 	})
 }
 
-// The watch sees by the clock that its timer fired late.
-func TestWatchSeesThatItWasHeldUp(t *testing.T) {
+// A timer that fires late by the clock counts as a hold-up.
+func TestWatchDetectsHoldUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const held = 2 * time.Second
 		ctx, cancel := context.WithCancel(t.Context())
-		looks := 0
+		clockReads := 0
 		meter := &Meter{log: logr.Discard(), now: func() time.Time {
-			looks++
-			if looks < 4 { // after the first look and its timer, and before the second timer fires
+			clockReads++
+			if clockReads < 4 { // time jumps between the start of the second timer and its firing
 				return time.Now()
 			}
 			return time.Now().Add(held)
--- a/internal/workerconn/fence_test.go
+++ b/internal/workerconn/fence_test.go
@@ -9,8 +9,8 @@
 	"foldlb.example/foldlb/internal/core"
 )
 
-// TestFenceBetweenDecisionAndWrite: a branch that was decided on while this dispatcher might act, and whose connection is ready only when it
-// may not, is not written; the connection stays good for what is written once the fence is over.
+// TestFenceBetweenDecisionAndWrite checks that a branch decided on before the fence is not written if its connection is
+// ready only after it. The connection stays usable, and carries a branch once the fence has been moved.
 func TestFenceBetweenDecisionAndWrite(t *testing.T) {
 	p := listen(t)
 	s, events := newTestSender(Options{IdleClose: time.Minute})
@@ -19,21 +19,21 @@
 	s.clock = func() float64 { return float64(now.Load()) }
 	s.Fence(10)
 	dial := s.pool.dial
-	up, on := pauseDials(s)
+	connected, proceed := pauseDials(s)
 	s.Send(branch(2, p.addr()))
-	<-up
+	<-connected
 	l := p.accept()
-	now.Store(10) // as after a stop of the process
-	on <- struct{}{}
+	now.Store(10) // as after a pause of the process
+	proceed <- struct{}{}
 	s.pool.dial = dial
 	wantFault(t, events, 2, core.NotSent)
 	if n, _ := s.Fenced(); n != 1 {
-		t.Errorf("%d branches stopped by the fence, want 1", n)
+		t.Errorf("%d branches blocked by the fence, want 1", n)
 	}
 	s.Fence(20)
 	s.Send(branch(3, p.addr()))
 	if got := l.request(); got == "" {
-		t.Error("not written once the fence is over")
+		t.Error("branch not written after the fence was moved")
 	}
 	l.respond("202 Accepted")
 	waitUntilIdle(t, s)
@@ -42,6 +42,6 @@
 	s.Send(branch(4, p.addr()))
 	l.request()
 	if n, longest := s.Fenced(); n != 1 || longest < 0 {
-		t.Errorf("%d branches stopped by the fence, want 1; longest write %v", n, longest)
+		t.Errorf("%d branches blocked by the fence, want 1; longest write %v s", n, longest)
 	}
 }
--- a/internal/workerconn/handover_test.go
+++ b/internal/workerconn/handover_test.go
@@ -15,7 +15,7 @@
 	"foldlb.example/foldlb/internal/hold"
 )
 
-// scripted is a worker whose every word the test says.
+// scriptedWorker accepts connections; the test writes its responses.
 type scriptedWorker struct {
 	t     *testing.T
 	ln    net.Listener
@@ -44,7 +44,7 @@
 
 func (s *scriptedWorker) addr() string { return s.ln.Addr().String() }
 
-// reads takes a connection and reads until it holds a word.
+// acceptAndRead accepts a connection and reads until the text has been received.
 func (s *scriptedWorker) acceptAndRead(word string) net.Conn {
 	s.t.Helper()
 	select {
@@ -52,7 +52,7 @@
 		s.readUntil(c, word)
 		return c
 	case <-time.After(10 * time.Second):
-		s.t.Fatalf("no connection brings %q", word)
+		s.t.Fatalf("no connection within 10 s, waiting for %q", word)
 		return nil
 	}
 }
@@ -65,7 +65,7 @@
 	for !strings.Contains(all.String(), word) {
 		n, err := c.Read(b)
 		if err != nil {
-			s.t.Fatalf("%q came, then %v; %q was waited for", all.String(), err, word)
+			s.t.Fatalf("received %q, then %v, waiting for %q", all.String(), err, word)
 		}
 		all.Write(b[:n])
 	}
@@ -101,7 +101,7 @@
 	}
 }
 
-// handover holds a side and makes another one that takes everything up.
+// handover holds a process's sender, and returns another process that imported its state.
 func (s process) handover(t *testing.T) (process, State) {
 	t.Helper()
 	if err := s.gate.Hold(10*time.Second, nil); err != nil {
@@ -135,7 +135,8 @@
 	return core.SendBranch{Branch: id, Request: "r", Worker: "a", Addr: addr, Until: 60, Message: core.Message{Verb: "POST", Target: "/api", Body: []byte("job")}}
 }
 
-// TestHandoverBefore202: a job that was written, and whose answer has come in part, is not sent again, and taken.
+// TestHandoverBefore202 checks that a job that was written, and whose response was received in part, is not sent again,
+// and counts as accepted once the rest arrives.
 func TestHandoverBefore202(t *testing.T) {
 	worker, old := newScriptedWorker(t), newProcess()
 	old.sender.Send(jobBranch(1, worker.addr()))
@@ -143,49 +144,50 @@
 	write(c, accepted[:20])
 	next, st := old.handover(t)
 	if len(st.Sent) != 1 || len(st.Unsent) != 0 {
-		t.Fatalf("handed over as %+v", st)
+		t.Fatalf("handed over state %+v", st)
 	}
 	write(c, accepted[20:])
 	if e := next.event(t); e != (core.BranchTaken{Branch: 1}) {
-		t.Fatalf("%+v", e)
+		t.Fatalf("event %+v", e)
 	}
-	next.sender.Send(jobBranch(2, worker.addr())) // on the same connection, which is kept now
+	next.sender.Send(jobBranch(2, worker.addr())) // reuses the connection
 	worker.readUntil(c, "job")
 	write(c, accepted)
 	if e := next.event(t); e != (core.BranchTaken{Branch: 2}) {
-		t.Fatalf("%+v", e)
+		t.Fatalf("event %+v", e)
 	}
 	if len(worker.conns) != 0 || len(old.events) != 0 {
 		t.Errorf("%d further connections, %d events in the old process", len(worker.conns), len(old.events))
 	}
 }
 
-// TestHandoverOfCancellation: a DELETE that is under way is confirmed to the new process, which tells so.
+// TestHandoverOfCancellation checks that the response to a DELETE sent before the handover is received and reported by
+// the new process.
 func TestHandoverOfCancellation(t *testing.T) {
 	worker, old := newScriptedWorker(t), newProcess()
 	old.sender.GiveUp(core.GiveUpBranch{Branch: 1, Request: "r", Worker: "a", Addr: worker.addr()})
 	c := worker.acceptAndRead("DELETE /jobs/r")
 	next, st := old.handover(t)
 	if len(st.GivingUp) != 1 || st.GivingUp[0].Link == nil {
-		t.Fatalf("handed over as %+v", st)
+		t.Fatalf("handed over state %+v", st)
 	}
 	if len(next.events) > 0 {
-		t.Fatalf("%+v before the answer", <-next.events)
+		t.Fatalf("event %+v before the response", <-next.events)
 	}
 	write(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	if e := next.event(t); e != (core.BranchReleased{Branch: 1, Request: "r", Told: true}) {
-		t.Fatalf("%+v", e)
+		t.Fatalf("event %+v", e)
 	}
 	next.sender.Send(jobBranch(2, worker.addr()))
-	worker.readUntil(c, "job") // on the connection that has become free
+	worker.readUntil(c, "job") // the connection of the DELETE is reused
 	write(c, accepted)
 	if e := next.event(t); e != (core.BranchTaken{Branch: 2}) {
-		t.Fatalf("%+v", e)
+		t.Fatalf("event %+v", e)
 	}
 }
 
-// TestHandoverWhileDialling: a branch of which nothing was written is sent by the new process; the old one's dial
-// comes to nothing that the worker could take for a job.
+// TestHandoverWhileDialling checks that an unwritten branch is sent by the new process, and that the old process's dial
+// does not lead to a second request.
 func TestHandoverWhileDialling(t *testing.T) {
 	worker, old := newScriptedWorker(t), newProcess()
 	dialling := make(chan struct{})
@@ -198,15 +200,16 @@
 	<-dialling
 	next, st := old.handover(t)
 	if len(st.Unsent) != 1 || string(st.Unsent[0].Message.Body) != "job" {
-		t.Fatalf("handed over as %+v", st)
+		t.Fatalf("handed over state %+v", st)
 	}
 	write(worker.acceptAndRead("job"), accepted)
 	if e := next.event(t); e != (core.BranchTaken{Branch: 2}) {
-		t.Fatalf("%+v", e)
+		t.Fatalf("event %+v", e)
 	}
 }
 
-// TestHandoverFallback: where nobody takes it up, the old process goes on, also with what came meanwhile.
+// TestHandoverFallback checks that after an aborted handover the old process continues, including with input received
+// meanwhile.
 func TestHandoverFallback(t *testing.T) {
 	worker, old := newScriptedWorker(t), newProcess()
 	old.sender.Send(jobBranch(1, worker.addr()))
@@ -216,10 +219,10 @@
 	}
 	write(c, accepted)
 	if err := old.gate.Hold(time.Second, nil); err != hold.ErrHeld {
-		t.Errorf("held twice: %v", err)
+		t.Errorf("second hold returned %v, want ErrHeld", err)
 	}
 	old.gate.Release()
 	if e := old.event(t); e != (core.BranchTaken{Branch: 1}) {
-		t.Fatalf("%+v", e)
+		t.Fatalf("event %+v", e)
 	}
 }
--- a/internal/workerconn/sender_test.go
+++ b/internal/workerconn/sender_test.go
@@ -18,9 +18,9 @@
 	"foldlb.example/foldlb/internal/hold"
 )
 
-const testTimeout = 10 * time.Second // for what must come; nothing is timed
+const testTimeout = 10 * time.Second // limit for events that must happen; no duration is measured
 
-// peer is a worker whose connections the test plays by hand.
+// peer is a worker whose responses the test writes.
 type peer struct {
 	t  *testing.T
 	ln net.Listener
@@ -57,14 +57,14 @@
 	return &link{c, bufio.NewReader(c), p.t}
 }
 
-// request reads one request without a body and returns its first line and headers.
+// request reads one request without a body and returns its request line and headers.
 func (l *link) request() string {
 	l.t.Helper()
 	var all strings.Builder
 	for {
 		line, err := l.r.ReadString('\n')
 		if err != nil {
-			l.t.Fatalf("after %q: %v", all.String(), err)
+			l.t.Fatalf("received %q, then %v", all.String(), err)
 		}
 		if line == "\r\n" {
 			return all.String()
@@ -80,7 +80,7 @@
 	}
 }
 
-// takes has a branch sent over a new connection and taken with a 202.
+// acceptBranch has a branch sent over a new connection, and accepts it with a 202.
 func (p *peer) acceptBranch(s *Sender, id core.BranchID) *link {
 	p.t.Helper()
 	s.Send(branch(id, p.addr()))
@@ -114,20 +114,21 @@
 	return s, events
 }
 
-// pauseDials has a sender's dials wait: each sends on the first channel when it has come up, and goes on with a word on the second.
-func pauseDials(s *Sender) (up chan struct{}, on chan struct{}) {
-	up, on = make(chan struct{}), make(chan struct{})
+// pauseDials makes a sender's dials wait: each sends on up when it has connected, and continues when it receives from
+// on.
+func pauseDials(s *Sender) (connected chan struct{}, proceed chan struct{}) {
+	connected, proceed = make(chan struct{}), make(chan struct{})
 	dial := s.pool.dial
 	s.pool.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		c, err := dial(ctx, addr)
-		up <- struct{}{}
-		<-on
+		connected <- struct{}{}
+		<-proceed
 		return c, err
 	}
-	return up, on
+	return connected, proceed
 }
 
-// news are, by sender, the channels of what fixtures' senders post, but for faults.
+// posted maps each test sender to the channel of its events other than BranchFailed.
 var otherEvents sync.Map
 
 func otherEventsOf(s *Sender) chan core.Event {
@@ -147,13 +148,13 @@
 	}
 }
 
-// expectNoBytes checks that nothing was written on connections.
+// expectNoBytes checks that no byte was written on the connections.
 func (p *peer) expectNoBytes(links ...*link) {
 	p.t.Helper()
 	for _, l := range links {
 		l.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 		if b, err := l.r.ReadByte(); err == nil {
-			p.t.Errorf("byte %q came", b)
+			p.t.Errorf("unexpected byte %q", b)
 		}
 	}
 }
@@ -175,7 +176,7 @@
 	}
 }
 
-// TestFaults plays what a worker may do with a whole request.
+// TestFaults checks the fault reported for each kind of response to a complete request.
 func TestFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -184,14 +185,14 @@
 	}{
 		{"turned away 503", func(l *link) { l.respond("503 Busy\r\nX-Turned-Away: 1") }, core.TurnedAway},
 		{"turned away 504", func(l *link) { l.respond("504 Busy\r\nX-Turned-Away: 1") }, core.TurnedAway},
-		{"503 without the mark may have run", func(l *link) { l.respond("503 Busy") }, core.Errored},
-		{"a marked 500 may have run", func(l *link) { l.respond("500 Odd\r\nX-Turned-Away: 1") }, core.Errored},
+		{"503 without X-Turned-Away may have run", func(l *link) { l.respond("503 Busy") }, core.Errored},
+		{"500 with X-Turned-Away may have run", func(l *link) { l.respond("500 Odd\r\nX-Turned-Away: 1") }, core.Errored},
 		{"400 is the request's fault", func(l *link) { l.respond("400 Bad Request") }, core.Unfit},
 		{"404 is the request's fault", func(l *link) { l.respond("404 Not Found") }, core.Unfit},
-		{"200 is no taking", func(l *link) { l.respond("200 OK") }, core.Errored},
-		{"ends before the answer", func(l *link) { l.Close() }, core.Broken},
-		{"ends inside the answer", func(l *link) { io.WriteString(l, "HTTP/1.1 202 Acc"); l.Close() }, core.Broken},
-		{"no HTTP", func(l *link) { io.WriteString(l, "what\r\n\r\n"); l.Close() }, core.Broken},
+		{"200 is not acceptance", func(l *link) { l.respond("200 OK") }, core.Errored},
+		{"closed before the response", func(l *link) { l.Close() }, core.Broken},
+		{"closed within the response", func(l *link) { io.WriteString(l, "HTTP/1.1 202 Acc"); l.Close() }, core.Broken},
+		{"not HTTP", func(l *link) { io.WriteString(l, "what\r\n\r\n"); l.Close() }, core.Broken},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := listen(t)
@@ -216,11 +217,11 @@
 	s.Send(branch(1, p.addr()))
 	wantFault(t, events, 1, core.NoConnect)
 	if s.pool.open != 0 {
-		t.Errorf("%d connections are counted after a failed dial", s.pool.open)
+		t.Errorf("%d connections counted as open after a failed dial", s.pool.open)
 	}
 }
 
-// TestConnectionThatNeverComesUp: a dial that runs out of time is told as no connection, and counted as refused.
+// TestConnectionThatNeverComesUp checks that a dial that times out is reported as NoConnect and counted as refused.
 func TestConnectionThatNeverComesUp(t *testing.T) {
 	p := listen(t)
 	s, events := newTestSender(Options{IdleClose: time.Minute, DialTimeout: time.Nanosecond})
@@ -231,38 +232,38 @@
 	}
 }
 
-// TestCancelAfterAccept: after the 202 a giving up is a DELETE, on the same idle connection, and its end is told: confirmed with the
-// answer, and not before.
+// TestCancelAfterAccept checks that after the 202 a cancellation is a DELETE on the same connection, and that
+// BranchReleased is posted after its response and not before.
 func TestCancelAfterAccept(t *testing.T) {
 	p := listen(t)
 	s, events := newTestSender(Options{IdleClose: time.Minute})
 	l := p.acceptBranch(s, 1)
-	news := otherEventsOf(s)
+	released := otherEventsOf(s)
 	s.GiveUp(core.GiveUpBranch{Branch: 1, Request: "r", Worker: "s", Addr: p.addr()})
 	if got := l.request(); !strings.HasPrefix(got, "DELETE /jobs/r HTTP/1.1\r\n") {
 		t.Fatalf("request %q", got)
 	}
-	if len(news) > 0 {
-		t.Fatalf("told %+v before the answer", <-news)
+	if len(released) > 0 {
+		t.Fatalf("event %+v before the response", <-released)
 	}
 	l.respond("204 Gone")
-	wantEvent(t, news, core.BranchReleased{Branch: 1, Request: "r", Told: true})
+	wantEvent(t, released, core.BranchReleased{Branch: 1, Request: "r", Told: true})
 	if len(events) > 0 {
 		t.Errorf("event %+v", <-events)
 	}
 }
 
-// TestCancellationNotDelivered: it is told that it was not.
+// TestCancellationNotDelivered checks that BranchReleased says so if the worker can't be reached.
 func TestCancellationNotDelivered(t *testing.T) {
 	p := listen(t)
 	p.ln.Close()
 	s, _ := newTestSender(Options{IdleClose: time.Minute})
-	news := otherEventsOf(s)
+	released := otherEventsOf(s)
 	s.GiveUp(core.GiveUpBranch{Branch: 1, Request: "r", Worker: "s", Addr: p.addr()})
-	wantEvent(t, news, core.BranchReleased{Branch: 1, Request: "r"})
+	wantEvent(t, released, core.BranchReleased{Branch: 1, Request: "r"})
 }
 
-// waitUntilIdle waits until all exchanges have handed their connections back.
+// waitUntilIdle waits until all exchanges have released their connections.
 func waitUntilIdle(t *testing.T, s *Sender) {
 	t.Helper()
 	for limit := time.Now().Add(testTimeout); ; {
@@ -279,45 +280,47 @@
 			return
 		}
 		if time.Now().After(limit) {
-			t.Fatal("the exchange goes on")
+			t.Fatal("connections are still in use")
 		}
 		runtime.Gosched()
 	}
 }
 
-// TestCancelBeforeAnswerClosesConnection: and, as the answer may be on its way by then, a DELETE says so too.
+// TestCancelBeforeAnswerClosesConnection checks that the connection is closed and a DELETE is sent as well, since the
+// response may already be under way.
 func TestCancelBeforeAnswerClosesConnection(t *testing.T) {
 	p := listen(t)
 	s, _ := newTestSender(Options{IdleClose: time.Minute})
-	news := otherEventsOf(s)
+	released := otherEventsOf(s)
 	s.Send(branch(1, p.addr()))
 	l := p.accept()
 	l.request()
 	s.GiveUp(core.GiveUpBranch{Branch: 1, Request: "r", Addr: p.addr()})
 	if b, err := l.r.ReadByte(); err == nil {
-		t.Fatalf("byte %q after the giving up, want the end", b)
+		t.Fatalf("byte %q after the cancellation, want a close", b)
 	}
 	again := p.accept()
 	if got := again.request(); !strings.HasPrefix(got, "DELETE /jobs/r HTTP/1.1\r\n") {
 		t.Errorf("request %q", got)
 	}
 	again.respond("404 Not Found")
-	wantEvent(t, news, core.BranchReleased{Branch: 1, Request: "r", Told: true})
+	wantEvent(t, released, core.BranchReleased{Branch: 1, Request: "r", Told: true})
 }
 
-// TestAuthorizeWrite: what comes while a connection is being opened, or after that, keeps the first byte back. The connection stays good.
+// TestAuthorizeWrite checks that whatever forbids a branch while its connection is being opened, or after that, prevents
+// its first byte. The connection stays usable.
 func TestAuthorizeWrite(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		come func(s *Sender, now *atomic.Int64, gone *atomic.Bool, p *peer)
 	}{
-		{"the branch is given up", func(s *Sender, _ *atomic.Int64, _ *atomic.Bool, p *peer) {
+		{"the branch is cancelled", func(s *Sender, _ *atomic.Int64, _ *atomic.Bool, p *peer) {
 			s.GiveUp(core.GiveUpBranch{Branch: 1, Request: "r", Addr: p.addr()})
 		}},
-		{"its worker drains", func(s *Sender, _ *atomic.Int64, _ *atomic.Bool, p *peer) { s.CancelUnsent(p.addr()) }},
-		{"its caller goes, and nobody has told", func(_ *Sender, _ *atomic.Int64, gone *atomic.Bool, _ *peer) { gone.Store(true) }},
-		{"its time is over", func(_ *Sender, now *atomic.Int64, _ *atomic.Bool, _ *peer) { now.Store(30) }},
-		{"the time for a repeat is over", func(_ *Sender, now *atomic.Int64, _ *atomic.Bool, _ *peer) { now.Store(8) }},
+		{"the worker drains", func(s *Sender, _ *atomic.Int64, _ *atomic.Bool, p *peer) { s.CancelUnsent(p.addr()) }},
+		{"the caller leaves, and the reducer is not notified yet", func(_ *Sender, _ *atomic.Int64, gone *atomic.Bool, _ *peer) { gone.Store(true) }},
+		{"the branch's time is over", func(_ *Sender, now *atomic.Int64, _ *atomic.Bool, _ *peer) { now.Store(30) }},
+		{"the time for a retry is over", func(_ *Sender, now *atomic.Int64, _ *atomic.Bool, _ *peer) { now.Store(8) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := listen(t)
@@ -336,25 +339,25 @@
 			wantFault(t, events, 1, core.NotSent)
 			p.expectNoBytes(l)
 			if n := s.Sent(); n != 0 {
-				t.Errorf("%d branches count as sent", n)
+				t.Errorf("%d branches counted as sent, want 0", n)
 			}
 			if s.pool.mu.Lock(); s.pool.open != 1 || len(s.pool.idle[p.addr()]) != 1 {
-				t.Errorf("%d connections are open, %d of them idle", s.pool.open, len(s.pool.idle[p.addr()]))
+				t.Errorf("%d connections open, %d of them idle, want 1 and 1", s.pool.open, len(s.pool.idle[p.addr()]))
 			}
 			s.pool.mu.Unlock()
 		})
 	}
 }
 
-// TestCancelOnceConnected: the giving up comes after the branch has its connection and before its first byte, between any two lines that look at
-// the clock. That says nothing of the worker, though its connection is closed by then.
+// TestCancelOnceConnected cancels a branch after it has its connection and before its first byte, at each reading of the
+// clock. The closed connection must not be reported as a fault of the worker.
 func TestCancelOnceConnected(t *testing.T) {
-	for look := int64(1); look <= 3; look++ {
+	for cancelAt := int64(1); cancelAt <= 3; cancelAt++ {
 		p := listen(t)
 		s, events := newTestSender(Options{IdleClose: time.Minute})
-		var looks atomic.Int64
+		var clockReads atomic.Int64
 		s.clock = func() float64 {
-			if looks.Add(1) == look {
+			if clockReads.Add(1) == cancelAt {
 				s.GiveUp(core.GiveUpBranch{Branch: 1, Request: "r", Addr: p.addr()})
 			}
 			return 0
@@ -366,49 +369,51 @@
 	}
 }
 
-// TestRemainingTimeAtWrite: what a branch tells its worker is what is left when it is written, however long the connection took.
+// TestRemainingTimeAtWrite checks that X-Remaining is the time left at the write, not before the dial.
 func TestRemainingTimeAtWrite(t *testing.T) {
 	p := listen(t)
 	s, _ := newTestSender(Options{IdleClose: time.Minute})
 	var now atomic.Int64
 	s.clock = func() float64 { return float64(now.Load()) }
-	up, on := pauseDials(s)
+	connected, proceed := pauseDials(s)
 	s.Send(branch(1, p.addr()))
-	<-up
+	<-connected
 	l := p.accept()
 	now.Store(12)
-	on <- struct{}{}
+	proceed <- struct{}{}
 	if got := l.request(); !strings.Contains(got, "X-Remaining: 18.000000\r\n") {
 		t.Errorf("request %q", got)
 	}
 }
 
-// TestAnswerThatNeverEnds: the head of an answer tells what it has to; what follows holds nobody up, and its connection carries nothing else.
+// TestAnswerThatNeverEnds checks that the header of a response decides the outcome, that an endless body delays nothing,
+// and that its connection is not reused.
 func TestAnswerThatNeverEnds(t *testing.T) {
 	p := listen(t)
 	s, events := newTestSender(Options{IdleClose: time.Minute})
-	news := otherEventsOf(s)
+	posted := otherEventsOf(s)
 	s.Send(branch(1, p.addr()))
 	l := p.accept()
 	l.request()
 	if _, err := io.WriteString(l, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nhalf"); err != nil {
 		t.Fatal(err)
 	}
-	wantEvent(t, news, core.BranchTaken{Branch: 1})
-	s.GiveUp(core.GiveUpBranch{Branch: 1, Request: "r", Addr: p.addr()}) // by a DELETE: a close would tell nothing
+	wantEvent(t, posted, core.BranchTaken{Branch: 1})
+	s.GiveUp(core.GiveUpBranch{Branch: 1, Request: "r", Addr: p.addr()}) // by a DELETE, because the worker would learn nothing from a close
 	if got := p.accept().request(); !strings.HasPrefix(got, "DELETE /jobs/r HTTP/1.1\r\n") {
 		t.Errorf("request %q", got)
 	}
 	if _, err := l.r.ReadByte(); err != io.EOF {
-		t.Errorf("the connection ends with %v, want its close", err)
+		t.Errorf("the connection ended with %v, want io.EOF", err)
 	}
 	if len(events) > 0 {
 		t.Errorf("event %+v", <-events)
 	}
 }
 
-// TestSecondAnswer: a worker answers twice. Where the second answer is there already, or comes before the next request, the connection
-// carries nothing further; and until it could have come, nothing that must not be sent twice.
+// TestSecondAnswer has a worker respond twice. The second response must not be taken for that to the next request: a
+// connection with early input is not reused, and one that has only just become idle does not carry a request that must
+// not be sent twice.
 func TestSecondAnswer(t *testing.T) {
 	const twice = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
 	next := func(t *testing.T, s *Sender, p *peer, once bool) *link {
@@ -417,7 +422,7 @@
 		s.Send(b)
 		return p.accept()
 	}
-	t.Run("at once", func(t *testing.T) {
+	t.Run("immediately", func(t *testing.T) {
 		p := listen(t)
 		s, _ := newTestSender(Options{IdleClose: time.Minute})
 		news := otherEventsOf(s)
@@ -427,7 +432,7 @@
 		io.WriteString(l, twice)
 		wantEvent(t, news, core.BranchTaken{Branch: 1})
 		if _, err := l.r.ReadByte(); err == nil {
-			t.Error("the connection is kept")
+			t.Error("the connection was kept")
 		}
 		next(t, s, p, false).request()
 	})
@@ -436,14 +441,15 @@
 		s, _ := newTestSender(Options{IdleClose: time.Minute})
 		l := p.acceptBranch(s, 1)
 		s.pool.mu.Lock()
-		s.pool.idle[p.addr()][0].idleSince = time.Now().Add(time.Minute) // it has only just become idle, however slow this test is
+		s.pool.idle[p.addr()][0].idleSince = time.Now().Add(time.Minute) // it became idle a moment ago, however slow this test is
 		s.pool.mu.Unlock()
 		next(t, s, p, true).request() // over another connection
 		p.expectNoBytes(l)
 	})
 }
 
-// TestCancelUnsentBranches: a branch that waits must not be written after a drain was told, and nobody is connected to for it.
+// TestCancelUnsentBranches checks that a branch that still dials is not written once its worker drains, and that the
+// dial is ended.
 func TestCancelUnsentBranches(t *testing.T) {
 	p := listen(t)
 	s, events := newTestSender(Options{IdleClose: time.Minute})
@@ -457,18 +463,19 @@
 	p.ln.(*net.TCPListener).SetDeadline(time.Now())
 	if c, err := p.ln.Accept(); err == nil {
 		c.Close()
-		t.Error("a connection was opened to a worker that drains")
+		t.Error("a connection was opened to a draining worker")
 	}
 }
 
-// TestClosedIdleConnectionIsNotReused: a request written to one would end as a reset.
+// TestClosedIdleConnectionIsNotReused guards against writing a request to a connection that the worker has closed: it
+// would fail with a reset.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	p := listen(t)
 	s, events := newTestSender(Options{IdleClose: time.Minute})
 	l := p.acceptBranch(s, 1)
 	l.Close()
 	if c := s.pool.idle[p.addr()][0]; !endsSoon(c.Conn) {
-		t.Fatal("the connection stays open")
+		t.Fatal("the connection was not closed")
 	}
 	p.acceptBranch(s, 2)
 	if len(events) > 0 {
@@ -476,12 +483,12 @@
 	}
 	s.pool.closeExpired(time.Now().Add(time.Hour))
 	if s.pool.open != 0 || len(s.pool.idle) != 0 {
-		t.Errorf("open %d, idle %v after retiring", s.pool.open, s.pool.idle)
+		t.Errorf("%d connections open, idle %v, after closing expired ones", s.pool.open, s.pool.idle)
 	}
 }
 
-// TestIdleLimitFollowsBreaks: one that breaks under its next request says nothing of the worker, and
-// shortens the time that others are kept; those that hold lengthen it again.
+// TestIdleLimitFollowsBreaks checks that a connection that breaks on reuse is not reported as a fault of the worker and
+// shortens the idle limit, and that successful reuses and time raise it again.
 func TestIdleLimitFollowsBreaks(t *testing.T) {
 	p := listen(t)
 	s, events := newTestSender(Options{IdleClose: time.Minute})
@@ -491,25 +498,25 @@
 	l.Close()
 	wantFault(t, events, 2, core.Stale)
 	if s.pool.idleLimit != s.pool.maxIdle {
-		t.Errorf("kept for %v after one break", s.pool.idleLimit)
+		t.Errorf("idle limit %v after one break", s.pool.idleLimit)
 	}
 	for range 5 {
 		s.pool.recordReuse(&conn{idleTime: 20 * time.Millisecond}, false)
 		s.pool.recordReuse(&conn{idleTime: 200 * time.Millisecond}, true)
 	}
 	if got := s.pool.idleLimit; got < 20*time.Millisecond || got > 200*time.Millisecond {
-		t.Errorf("kept for %v, want between what held and what broke", got)
+		t.Errorf("idle limit %v, want between 20 ms, which held, and 200 ms, which broke", got)
 	}
 	s.pool.closeExpired(time.Now().Add(10 * bandDecayTime))
 	if s.pool.idleLimit != s.pool.maxIdle {
-		t.Errorf("kept for %v at last, want %v", s.pool.idleLimit, s.pool.maxIdle)
+		t.Errorf("idle limit %v after the decay, want %v", s.pool.idleLimit, s.pool.maxIdle)
 	}
 	p.acceptBranch(s, 3)
 	s.pool.idle[p.addr()][0].idleSince = time.Now().Add(-2 * s.pool.idleLimit)
 	p.acceptBranch(s, 4) // over a new connection
 }
 
-// TestCancellationIsRetried: a DELETE that a stale connection swallowed is sent again.
+// TestCancellationIsRetried checks that a DELETE lost with a stale connection is sent again.
 func TestCancellationIsRetried(t *testing.T) {
 	p := listen(t)
 	s, _ := newTestSender(Options{IdleClose: time.Minute})
@@ -522,7 +529,7 @@
 	}
 }
 
-// endsSoon waits for the other side's close to arrive.
+// endsSoon waits until the peer's close has arrived.
 func endsSoon(c net.Conn) bool {
 	c.SetReadDeadline(time.Now().Add(testTimeout))
 	defer c.SetReadDeadline(time.Time{})
@@ -536,13 +543,13 @@
 	s.Send(branch(1, p.addr()))
 	l := p.accept()
 	l.request()
-	s.Send(branch(2, q.addr())) // the one place is in use
+	s.Send(branch(2, q.addr())) // the only connection is in use
 	wantFault(t, events, 2, core.NotSent)
 	l.respond("202 Accepted")
 	waitUntilIdle(t, s)
-	s.Send(branch(3, q.addr())) // an idle connection gives way
+	s.Send(branch(3, q.addr())) // an idle connection is closed for it
 	q.accept().request()
 	if _, err := l.r.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection ends with %v, want its close", err)
+		t.Errorf("the idle connection ended with %v, want io.EOF", err)
 	}
 }
--- a/internal/workerlist/workerlist_test.go
+++ b/internal/workerlist/workerlist_test.go
@@ -14,7 +14,7 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// drawList draws a list of some of a few workers, in any order.
+// drawList draws a list of up to five workers, in random order.
 func drawList(t *rapid.T, epoch, version uint64) *rpc.WorkerList {
 	var workers []*rpc.Worker
 	ids := rapid.Permutation([]string{"a", "b", "c", "d", "e"}).Draw(t, "ids")
@@ -25,7 +25,7 @@
 	return New(epoch, version, workers)
 }
 
-// textOf is a list's entries in the order of their ids.
+// textOf returns a list's entries, sorted.
 func textOf(list *rpc.WorkerList) string {
 	lines := make([]string, 0, len(list.Workers))
 	for _, worker := range list.Workers {
@@ -57,7 +57,7 @@
 		from, to, other := drawList(t, 1, 4), drawList(t, 1, 9), drawList(t, 1, 4)
 		change := Difference(from, to)
 		reached, err := Apply(other, change)
-		if err == nil { // another list, yet the change may lead to the same
+		if err == nil { // the change may lead to the same list from another one
 			must.Eq(t, textOf(to), textOf(reached))
 			return
 		}
@@ -78,7 +78,7 @@
 	must.Nil(t, Difference(from, New(1, 9, []*rpc.Worker{worker, worker})))
 }
 
-// BenchmarkChange is what a change of ten of 220,000 workers costs a store.
+// BenchmarkChange measures applying a change of 10 of 220,000 workers, and reports its encoded size.
 func BenchmarkChange(b *testing.B) {
 	workers := make([]*rpc.Worker, 220_000)
 	for i := range workers {
