--- a/internal/clientconn/accept_yield.go
+++ b/internal/clientconn/accept_yield.go
@@ -18,8 +18,8 @@
 	yieldPollInterval = 5 * time.Millisecond  // between checks whether to stop yielding
 )
 
-// noteUnknownReport records that a callback was received that another process on the same listener may be waiting for.
-func (s *Server) noteUnknownReport() {
+// noteUnknownCallback records that a callback was received that another process on the same listener may be waiting for.
+func (s *Server) noteUnknownCallback() {
 	s.yieldUntil.Store(time.Now().Add(yieldDuration).UnixNano())
 }
 
--- a/internal/clientconn/caller_drain.go
+++ b/internal/clientconn/caller_drain.go
@@ -27,6 +27,7 @@
 	go s.runCallerDrain(end)
 }
 
+// runCallerDrain closes callers' connections from callerDrainDelay on, until end is closed.
 func (s *Server) runCallerDrain(end <-chan struct{}) {
 	delay := time.NewTimer(callerDrainDelay)
 	defer delay.Stop()
--- a/internal/clientconn/caller_drain_test.go
+++ b/internal/clientconn/caller_drain_test.go
@@ -11,7 +11,7 @@
 
 const callbackHead = "POST /callback HTTP/1.1\r\nHost: h\r\nContent-Length: %d"
 
-func (c *caller) callBack(t *testing.T) (closes bool) {
+func (c *caller) postCallback(t *testing.T) (closes bool) {
 	t.Helper()
 	body := `{"id":"9b1f","from":"s-1","state":"started"}`
 	c.send(fmt.Sprintf(callbackHead, len(body)), body)
@@ -43,7 +43,7 @@
 		return resp.ConnectionClose()
 	}
 	idle, busy, worker := f.dial(), f.dial(), f.dial()
-	if answer(idle, job(idle)) || worker.callBack(t) {
+	if answer(idle, job(idle)) || worker.postCallback(t) {
 		t.Fatal("connection closed before the drain")
 	}
 	f.event()
@@ -51,7 +51,7 @@
 	f.s.SendAway(true)
 	f.s.SendAway(true)  // a repeated call changes nothing
 	idle.expectClose(t) // once this is closed, all responses to callers close their connections
-	if worker.callBack(t) {
+	if worker.postCallback(t) {
 		t.Error("a worker's connection was closed")
 	}
 	f.event()
@@ -70,7 +70,7 @@
 			t.Errorf("job %d after the drain: connection closed", i)
 		}
 	}
-	if worker.callBack(t) {
+	if worker.postCallback(t) {
 		t.Error("a worker's connection was closed after the drain")
 	}
 	f.event()
@@ -105,7 +105,7 @@
 			tally.Failed++
 		}
 	}
-	c.callBack(t)
+	c.postCallback(t)
 	f.event()
 	c.send("POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 2", "hi") // without an id
 	c.answer()
--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -18,7 +18,7 @@
 	phaseAnswering              // the response is being written
 )
 
-// peerKind tells who opened the connection, judged by its last well-formed request.
+// peerKind is who opened the connection, judged by its last well-formed request.
 type peerKind uint8
 
 const (
--- a/internal/clientconn/drain.go
+++ b/internal/clientconn/drain.go
@@ -17,26 +17,26 @@
 
 // Drain continues to serve requests until none is left, and blocks until then. At first nothing changes but the health
 // check. From drainKeepOpen (or half of limit, if that is shorter) on, each response closes its connection, and idle
-// connections are closed. When no request is left, refuse must close the listener; connections that it had accepted by
-// then are still served. After limit, giveUp must have the waiting requests answered; later requests are refused, and
-// Drain returns drainQuietTime later at the latest.
-func (s *Server) Drain(limit time.Duration, refuse, giveUp func()) {
+// connections are closed. When no request is left, closeListener must close the listener; connections that it had
+// accepted by then are still served. After limit, giveUp must have the waiting requests answered; later requests are
+// refused, and Drain returns drainQuietTime later at the latest.
+func (s *Server) Drain(limit time.Duration, closeListener, giveUp func()) {
 	s.draining.Store(true)
 	start := time.Now()
 	t := time.NewTicker(drainPollInterval)
 	defer t.Stop()
-	gaveUp, refused := false, false
+	gaveUp, listenerClosed := false, false
 	for now := range t.C {
 		elapsed := now.Sub(start)
 		if elapsed >= min(drainKeepOpen, limit/2) {
 			s.closing.Store(true)
 			s.closeIdle(now, peerUnknown)
 			if s.quiet(now) {
-				if refused {
+				if listenerClosed {
 					return
 				}
-				refused = true
-				refuse()
+				listenerClosed = true
+				closeListener()
 			}
 		}
 		if elapsed >= limit && !gaveUp {
@@ -44,8 +44,8 @@
 			giveUp()
 		}
 		if elapsed >= limit+drainQuietTime {
-			if !refused {
-				refuse()
+			if !listenerClosed {
+				closeListener()
 			}
 			return
 		}
--- a/internal/clientconn/serve.go
+++ b/internal/clientconn/serve.go
@@ -135,7 +135,7 @@
 	}
 	a, _ := s.close(exchange)
 	if a.Verdict == core.Unowned {
-		s.noteUnknownReport()
+		s.noteUnknownCallback()
 		return false // no response, so that the worker repeats its callback, maybe to the other process
 	}
 	return s.write(c, toAnswer(a))
--- a/internal/clientconn/server.go
+++ b/internal/clientconn/server.go
@@ -170,6 +170,7 @@
 	s.signalSlotFreed()
 }
 
+// release removes a closed connection, which frees its slot.
 func (s *Server) release(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
@@ -215,6 +216,8 @@
 	s.sharedUntil.Store(time.Now().Add(duration).UnixNano())
 }
 
+// callback passes a worker's callback to the reducer. Its answer has to wait for the reducer only while another process may
+// serve the same address.
 func (s *Server) callback(c *conn, req *fasthttp.Request) (answer, bool) {
 	if !req.Header.IsPost() {
 		return refusal(fasthttp.StatusMethodNotAllowed, "call-backs are posted"), false
@@ -278,6 +281,7 @@
 	return answer{}, true
 }
 
+// open registers an exchange that waits for the reducer's answer. The class is empty if it is no job.
 func (s *Server) open(c *conn, class string) core.ExchangeID {
 	id := core.ExchangeID(s.lastID.Add(1))
 	c.setExchange(id)
@@ -292,15 +296,15 @@
 func (s *Server) close(id core.ExchangeID) (core.Answer, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.exchanges[id]
-	if l == nil {
+	x := s.exchanges[id]
+	if x == nil {
 		return core.Answer{}, false
 	}
 	delete(s.exchanges, id)
-	if l.answered {
-		s.countJob(l.class, statuses[l.answer.Verdict])
+	if x.answered {
+		s.countJob(x.class, statuses[x.answer.Verdict])
 	}
-	return l.answer, l.answered
+	return x.answer, x.answered
 }
 
 // CallerPresent reports whether an exchange waits for its answer and its caller has not closed the connection, by the
--- a/internal/workerconn/conn.go
+++ b/internal/workerconn/conn.go
@@ -76,7 +76,7 @@
 // answer is what a branch needs of the header of a worker's response.
 type answer struct {
 	status     int
-	turnedAway bool
+	turnedAway bool // X-Turned-Away: the worker did not run the job
 }
 
 const (
--- a/internal/workerconn/handover_test.go
+++ b/internal/workerconn/handover_test.go
@@ -45,27 +45,27 @@
 func (s *scriptedWorker) addr() string { return s.ln.Addr().String() }
 
 // acceptAndRead accepts a connection and reads until the text has been received.
-func (s *scriptedWorker) acceptAndRead(word string) net.Conn {
+func (s *scriptedWorker) acceptAndRead(text string) net.Conn {
 	s.t.Helper()
 	select {
 	case c := <-s.conns:
-		s.readUntil(c, word)
+		s.readUntil(c, text)
 		return c
 	case <-time.After(10 * time.Second):
-		s.t.Fatalf("no connection within 10 s, waiting for %q", word)
+		s.t.Fatalf("no connection within 10 s, waiting for %q", text)
 		return nil
 	}
 }
 
-func (s *scriptedWorker) readUntil(c net.Conn, word string) {
+func (s *scriptedWorker) readUntil(c net.Conn, text string) {
 	s.t.Helper()
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	var all strings.Builder
 	b := make([]byte, 4096)
-	for !strings.Contains(all.String(), word) {
+	for !strings.Contains(all.String(), text) {
 		n, err := c.Read(b)
 		if err != nil {
-			s.t.Fatalf("received %q, then %v, waiting for %q", all.String(), err, word)
+			s.t.Fatalf("received %q, then %v, waiting for %q", all.String(), err, text)
 		}
 		all.Write(b[:n])
 	}
@@ -115,11 +115,11 @@
 	next := newProcess()
 	received := next.gate.Receive()
 	for _, fd := range files.FDs {
-		twin, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
+		duplicate, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		received.FDs = append(received.FDs, twin)
+		received.FDs = append(received.FDs, duplicate)
 	}
 	if err := next.gate.Hold(10*time.Second, nil); err != nil {
 		t.Fatal(err)
--- a/internal/workerconn/pool.go
+++ b/internal/workerconn/pool.go
@@ -55,15 +55,16 @@
 	idle      map[string][]*conn // by address; the most recently used is last
 }
 
+// newPool returns a pool that opens at most maxConns connections, and keeps idle ones for up to maxIdle.
 func newPool(gate *hold.Gate, dialTimeout, maxIdle time.Duration, maxConns int) *pool {
 	d := net.Dialer{Timeout: dialTimeout}
 	dial := func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) }
 	return &pool{gate: gate, dial: dial, maxIdle: maxIdle, idleLimit: maxIdle, maxConns: maxConns, idle: map[string][]*conn{}}
 }
 
-// recordReuse records how an idle connection fared with its next request. Some machine on the path may drop the state of
-// a connection silently, and long before the worker's own limit. A request written to such a connection ends in a reset,
-// after which some requests must not be repeated. So connections are kept only for idle times after which few break.
+// recordReuse records whether an idle connection broke under its next request. A worker's machine may drop a connection
+// silently, long before the time that it states. A request written to such a connection ends in a reset, after which some
+// requests must not be repeated. So connections are kept only for idle times after which few break.
 func (p *pool) recordReuse(c *conn, broke bool) {
 	if !c.reused() {
 		return
@@ -150,6 +151,7 @@
 	return nil
 }
 
+// setIdle replaces the list of idle connections to an address. The caller holds p.mu.
 func (p *pool) setIdle(addr string, list []*conn) {
 	if len(list) == 0 {
 		delete(p.idle, addr)
@@ -205,6 +207,7 @@
 	p.mu.Unlock()
 }
 
+// unreserve stops counting a connection that was closed or could not be opened.
 func (p *pool) unreserve() {
 	p.mu.Lock()
 	p.open--
--- a/internal/workerconn/sender.go
+++ b/internal/workerconn/sender.go
@@ -68,11 +68,11 @@
 	id   core.RequestID
 }
 
-// Sender sends branches and cancellations. Its methods do not block.
+// Sender sends branches and cancellations. Its methods, except Run, do not block.
 type Sender struct {
 	gate          *hold.Gate
 	pool          *pool
-	clock         func() float64
+	clock         func() float64 // seconds
 	post          func(core.Event)
 	log           logrus.FieldLogger
 	cancelSlots   chan struct{} // limits active cancellations
@@ -156,7 +156,7 @@
 		}
 		return core.NoConnect, true
 	}
-	if !s.connected(x, c) {
+	if !s.attach(x, c) {
 		s.pool.put(c, false)
 		return core.NotSent, true
 	}
@@ -168,7 +168,7 @@
 	}
 	switch {
 	case errors.Is(err, errWriteNotAllowed), err != nil && !s.writeStarted(x): // a connection closed by this side is not the worker's fault
-		s.disconnect(x)
+		s.detach(x)
 		s.pool.put(c, s.isCancelled(x))
 		return core.NotSent, true
 	case err != nil:
@@ -180,7 +180,7 @@
 
 // writeFailed ends an exchange whose request was not written completely.
 func (s *Sender) writeFailed(x *exchange, err error) core.Fault {
-	c := s.disconnect(x)
+	c := s.detach(x)
 	s.pool.discard(c)
 	s.log.WithError(err).WithField("worker", x.branch.Worker).Debug("request not written completely")
 	if c.reused() {
@@ -196,7 +196,7 @@
 	written, c := time.Now(), x.conn
 	a, err := c.read()
 	if err != nil {
-		s.disconnect(x)
+		s.detach(x)
 		s.pool.discard(c)
 		s.log.WithError(err).WithFields(logrus.Fields{"worker": x.branch.Worker, "idle": c.idleTime, "after": time.Since(written)}).Debug("no response from the worker")
 		if c.reused() && !errors.Is(err, os.ErrDeadlineExceeded) && !s.isCancelled(x) {
@@ -234,7 +234,7 @@
 }
 
 // connected assigns a connection to an exchange. It returns false if the exchange was cancelled during the dial.
-func (s *Sender) connected(x *exchange, c *conn) bool {
+func (s *Sender) attach(x *exchange, c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if x.cancelled {
@@ -245,7 +245,7 @@
 }
 
 // disconnect detaches the connection from an exchange, so that only the caller can close it.
-func (s *Sender) disconnect(x *exchange) *conn {
+func (s *Sender) detach(x *exchange) *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := x.conn
@@ -350,6 +350,7 @@
 	}
 }
 
+// delete makes one attempt to cancel a job at its worker by a DELETE. It returns nil if the worker has responded.
 func (s *Sender) delete(x *cancellation) error {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
--- a/internal/workerconn/sender_test.go
+++ b/internal/workerconn/sender_test.go
@@ -114,8 +114,7 @@
 	return s, events
 }
 
-// pauseDials makes a sender's dials wait: each sends on up when it has connected, and continues when it receives from
-// on.
+// pauseDials makes a sender's dials wait: each sends on connected when it is open, and returns after a receive from proceed.
 func pauseDials(s *Sender) (connected chan struct{}, proceed chan struct{}) {
 	connected, proceed = make(chan struct{}), make(chan struct{})
 	dial := s.pool.dial
@@ -128,7 +127,7 @@
 	return connected, proceed
 }
 
-// posted maps each test sender to the channel of its events other than BranchFailed.
+// otherEvents maps each test sender to the channel of its events other than BranchFailed.
 var otherEvents sync.Map
 
 func otherEventsOf(s *Sender) chan core.Event {
@@ -311,8 +310,8 @@
 // its first byte. The connection stays usable.
 func TestAuthorizeWrite(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		come func(s *Sender, now *atomic.Int64, gone *atomic.Bool, p *peer)
+		name  string
+		cause func(s *Sender, now *atomic.Int64, gone *atomic.Bool, p *peer)
 	}{
 		{"the branch is cancelled", func(s *Sender, _ *atomic.Int64, _ *atomic.Bool, p *peer) {
 			s.GiveUp(core.GiveUpBranch{Branch: 1, Request: "r", Addr: p.addr()})
@@ -328,14 +327,14 @@
 			var gone atomic.Bool
 			s, events := newTestSender(Options{IdleClose: time.Minute, CallerPresent: func(exchange core.ExchangeID) bool { return exchange == 5 && !gone.Load() }})
 			s.clock = func() float64 { return float64(now.Load()) }
-			up, on := pauseDials(s)
+			connected, proceed := pauseDials(s)
 			b := branch(1, p.addr())
 			b.Exchange, b.Before = 5, 7
 			s.Send(b)
-			<-up
+			<-connected
 			l := p.accept()
-			tc.come(s, &now, &gone, p)
-			on <- struct{}{}
+			tc.cause(s, &now, &gone, p)
+			proceed <- struct{}{}
 			wantFault(t, events, 1, core.NotSent)
 			p.expectNoBytes(l)
 			if n := s.Sent(); n != 0 {
@@ -425,12 +424,12 @@
 	t.Run("immediately", func(t *testing.T) {
 		p := listen(t)
 		s, _ := newTestSender(Options{IdleClose: time.Minute})
-		news := otherEventsOf(s)
+		posted := otherEventsOf(s)
 		s.Send(branch(1, p.addr()))
 		l := p.accept()
 		l.request()
 		io.WriteString(l, twice)
-		wantEvent(t, news, core.BranchTaken{Branch: 1})
+		wantEvent(t, posted, core.BranchTaken{Branch: 1})
 		if _, err := l.r.ReadByte(); err == nil {
 			t.Error("the connection was kept")
 		}
--- a/internal/workerconn/state.go
+++ b/internal/workerconn/state.go
@@ -57,6 +57,7 @@
 	Tries, Broke, Ago float64
 }
 
+// exportLink returns the state of a connection and adds its descriptor to files.
 func exportLink(c *conn, files *hold.Files) (LinkState, error) {
 	file, err := files.Add(c)
 	return LinkState{File: file, Addr: c.addr, Conn: c.Conn.Export(), Age: c.idleTime.Seconds()}, err
@@ -97,6 +98,7 @@
 	return st, nil
 }
 
+// export adds the idle connections and the counts of the bands to a state.
 func (p *pool) export(st *State, files *hold.Files) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,6 +196,7 @@
 	return s.readAnswer(x)
 }
 
+// resumeCancellation continues an imported cancellation: it writes the rest of the DELETE and reads the response.
 func (s *Sender) resumeCancellation(x *cancellation, c *conn, rest []byte) error {
 	if len(rest) > 0 {
 		if err := c.send(rest, nil); err != nil {
