--- a/cmd/foldlb/node.go
+++ b/cmd/foldlb/node.go
@@ -142,7 +142,7 @@
 // take takes everything up that another process hands over, and returns when it is this one's own. The gate is held
 // until the node serves.
 func (n *node) take(t *upgrade.Taken) error {
-	n.loop.Precede(t.Backlog)
+	n.loop.Prepend(t.Backlog)
 	n.body.Generation, n.body.Started = t.Parcel.Generation, t.Started()
 	if err := t.Import(n.body.Parts); err != nil {
 		return err
--- a/internal/clientconn/serve.go
+++ b/internal/clientconn/serve.go
@@ -134,7 +134,7 @@
 		return false
 	}
 	a, _ := s.close(exchange)
-	if a.Verdict == core.Unowned {
+	if a.Verdict == core.UnknownRequest {
 		s.noteUnknownCallback()
 		return false // no response, so that the worker repeats its callback, maybe to the other process
 	}
--- a/internal/workerconn/sender.go
+++ b/internal/workerconn/sender.go
@@ -187,7 +187,7 @@
 		s.pool.recordReuse(c, true)
 		return core.NotSent
 	}
-	return core.Cut
+	return core.BrokenBeforeSend
 }
 
 // readAnswer reads the worker's response to a written request. The exchange keeps the connection, so that the body can
@@ -201,9 +201,9 @@
 		s.log.WithError(err).WithFields(logrus.Fields{"worker": x.branch.Worker, "idle": c.idleTime, "after": time.Since(written)}).Debug("no response from the worker")
 		if c.reused() && !errors.Is(err, os.ErrDeadlineExceeded) && !s.isCancelled(x) {
 			s.pool.recordReuse(c, true)
-			return core.Stale, true
+			return core.StaleConnection, true
 		}
-		return core.Broken, true
+		return core.BrokenAfterSend, true
 	}
 	s.pool.recordReuse(c, false)
 	return faultOf(a)
@@ -225,9 +225,9 @@
 	case a.status == fasthttp.StatusAccepted:
 		return 0, false
 	case a.turnedAway && (a.status == fasthttp.StatusServiceUnavailable || a.status == fasthttp.StatusGatewayTimeout):
-		return core.TurnedAway, true
+		return core.WorkerBusy, true
 	case a.status == fasthttp.StatusBadRequest || a.status == fasthttp.StatusNotFound:
-		return core.Unfit, true
+		return core.RequestUnusable, true
 	default:
 		return core.Errored, true
 	}
--- a/internal/workerconn/sender_test.go
+++ b/internal/workerconn/sender_test.go
@@ -182,16 +182,16 @@
 		play func(l *link)
 		want core.Fault
 	}{
-		{"turned away 503", func(l *link) { l.respond("503 Busy\r\nX-Turned-Away: 1") }, core.TurnedAway},
-		{"turned away 504", func(l *link) { l.respond("504 Busy\r\nX-Turned-Away: 1") }, core.TurnedAway},
+		{"turned away 503", func(l *link) { l.respond("503 Busy\r\nX-Turned-Away: 1") }, core.WorkerBusy},
+		{"turned away 504", func(l *link) { l.respond("504 Busy\r\nX-Turned-Away: 1") }, core.WorkerBusy},
 		{"503 without X-Turned-Away may have run", func(l *link) { l.respond("503 Busy") }, core.Errored},
 		{"500 with X-Turned-Away may have run", func(l *link) { l.respond("500 Odd\r\nX-Turned-Away: 1") }, core.Errored},
-		{"400 is the request's fault", func(l *link) { l.respond("400 Bad Request") }, core.Unfit},
-		{"404 is the request's fault", func(l *link) { l.respond("404 Not Found") }, core.Unfit},
+		{"400 is the request's fault", func(l *link) { l.respond("400 Bad Request") }, core.RequestUnusable},
+		{"404 is the request's fault", func(l *link) { l.respond("404 Not Found") }, core.RequestUnusable},
 		{"200 is not acceptance", func(l *link) { l.respond("200 OK") }, core.Errored},
-		{"closed before the response", func(l *link) { l.Close() }, core.Broken},
-		{"closed within the response", func(l *link) { io.WriteString(l, "HTTP/1.1 202 Acc"); l.Close() }, core.Broken},
-		{"not HTTP", func(l *link) { io.WriteString(l, "what\r\n\r\n"); l.Close() }, core.Broken},
+		{"closed before the response", func(l *link) { l.Close() }, core.BrokenAfterSend},
+		{"closed within the response", func(l *link) { io.WriteString(l, "HTTP/1.1 202 Acc"); l.Close() }, core.BrokenAfterSend},
+		{"not HTTP", func(l *link) { io.WriteString(l, "what\r\n\r\n"); l.Close() }, core.BrokenAfterSend},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := listen(t)
@@ -495,7 +495,7 @@
 	s.Send(branch(2, p.addr()))
 	l.request()
 	l.Close()
-	wantFault(t, events, 2, core.Stale)
+	wantFault(t, events, 2, core.StaleConnection)
 	if s.pool.idleLimit != s.pool.maxIdle {
 		t.Errorf("idle limit %v after one break", s.pool.idleLimit)
 	}
