--- a/internal/clientconn/handover_test.go
+++ b/internal/clientconn/handover_test.go
@@ -17,7 +17,7 @@
 	"foldlb.example/foldlb/internal/hold"
 )
 
-// smallBuffers accepts connections that take little of an answer at once.
+// smallBuffers accepts connections with a small send buffer, so that large responses block.
 type smallBuffers struct{ net.Listener }
 
 func (l smallBuffers) Accept() (net.Conn, error) {
@@ -28,10 +28,10 @@
 	return c, err
 }
 
-// handOver holds a server, and makes another one that takes its connections up.
-func (f *fixture) handOver(gate *hold.Gate) *Server {
+// handover holds the server, and returns another one that imported its connections.
+func (f *fixture) handover(gate *hold.Gate) *Server {
 	f.t.Helper()
-	if err := gate.Hold(patience, nil); err != nil {
+	if err := gate.Hold(testTimeout, nil); err != nil {
 		f.t.Fatal(err)
 	}
 	var files hold.Files
@@ -41,13 +41,13 @@
 	}
 	next := hold.NewGate()
 	received := next.Receive()
-	for _, fd := range files.FDs { // the twins that another process would get
-		received.FDs = append(received.FDs, dup(f.t, fd))
+	for _, fd := range files.FDs { // duplicates, as another process would receive them
+		received.FDs = append(received.FDs, dupFD(f.t, fd))
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	s := NewServer(16, next, func(e core.Event) { f.events <- e }, log)
-	if err := next.Hold(patience, nil); err != nil {
+	if err := next.Hold(testTimeout, nil); err != nil {
 		f.t.Fatal(err)
 	}
 	if err := s.Import(st, received); err != nil {
@@ -57,9 +57,9 @@
 	return s
 }
 
-func dup(t *testing.T, fd int) int {
+func dupFD(t *testing.T, fd int) int {
 	t.Helper()
-	// A file of its own: the old server keeps its descriptors until it has ended.
+	// The old server closes its own descriptors later.
 	nfd, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -67,9 +67,9 @@
 	return nfd
 }
 
-// TestHandOverHalfWritten: an answer that its caller has read in part goes on from the same byte elsewhere, and so
-// does the connection.
-func TestHandOverHalfWritten(t *testing.T) {
+// TestHandoverOfPartlyWrittenAnswer checks that a response that was written in part continues at the same byte in the
+// new process, and that the connection then serves further requests.
+func TestHandoverOfPartlyWrittenAnswer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 	go f.s.Serve(smallBuffers{gate.Listen(ln.(*net.TCPListener))})
 	c := f.dial()
 	c.Conn.(*net.TCPConn).SetReadBuffer(4096)
-	c.send(ask, "hi")
+	c.send(callRequest, "hi")
 	exchange := f.event().(core.CallArrived).Call.Exchange
 	var body strings.Builder
 	for i := range 1 << 14 {
@@ -93,50 +93,50 @@
 	if _, err := c.r.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	next := f.handOver(gate)
-	if countIn(next, answering) != 1 {
-		t.Fatal("the answer was not half written")
+	next := f.handover(gate)
+	if countIn(next, phaseAnswering) != 1 {
+		t.Fatal("the response was not partly written")
 	}
 	if got := string(c.answer().Body()); got != body.String() {
-		t.Fatalf("%d bytes were read, %d wanted, or others", len(got), body.Len())
+		t.Fatalf("%d bytes read, want %d, or their content differs", len(got), body.Len())
 	}
-	c.send(ask, "ho")
+	c.send(callRequest, "ho")
 	call := f.event().(core.CallArrived).Call
 	if call.Exchange <= exchange || string(call.Message.Body) != "ho" {
 		t.Fatalf("the next request is %+v; the last exchange was %d", call, exchange)
 	}
 	next.Answer(core.Answer{Exchange: call.Exchange, Verdict: core.Served, Body: []byte("ok")})
 	if got := string(c.answer().Body()); got != "ok" {
-		t.Fatalf("answered %q", got)
+		t.Fatalf("response body %q, want \"ok\"", got)
 	}
 }
 
-// TestHandOverDeadlines: a request that is read in part has no more time in the new process than in the old.
-func TestHandOverDeadlines(t *testing.T) {
+// TestHandoverKeepsReadDeadline checks that the deadline of a partly read request is not extended by the handover.
+func TestHandoverKeepsReadDeadline(t *testing.T) {
 	f := serve(t, 16)
 	c := f.dial()
 	if _, err := io.WriteString(c, "POST /api HTTP/1.1\r\nHost: h"); err != nil {
 		t.Fatal(err)
 	}
-	deadline := time.Now().Add(readWait)
-	for countIn(f.s, reading) == 0 {
+	deadline := time.Now().Add(readTimeout)
+	for countIn(f.s, phaseReading) == 0 {
 		if time.Now().After(deadline) {
-			t.Fatal("the request's part was not read")
+			t.Fatal("the partial request was not read")
 		}
 	}
-	next := f.handOver(f.s.gate)
-	if n := countIn(next, reading); n != 1 {
-		t.Fatalf("%d connections are half read", n)
+	next := f.handover(f.s.gate)
+	if n := countIn(next, phaseReading); n != 1 {
+		t.Fatalf("%d connections with a partly read request, want 1", n)
 	}
 	if resp := c.answer(); resp.StatusCode() != 408 {
-		t.Errorf("answered %s", resp)
+		t.Errorf("response %s, want 408", resp)
 	}
-	if late := time.Since(deadline); late > readWait/2 {
-		t.Errorf("%v after its time", late)
+	if late := time.Since(deadline); late > readTimeout/2 {
+		t.Errorf("answered %v after the deadline", late)
 	}
 }
 
-// countIn counts the connections in a phase.
+// countIn returns the number of connections in a phase.
 func countIn(s *Server, p phase) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,18 +150,18 @@
 	return n
 }
 
-// TestImportRefusesWhatDoesNotFit: places without a descriptor, phases that are none.
-func TestImportRefusesWhatDoesNotFit(t *testing.T) {
+// TestImportRejectsInvalidState checks missing descriptors, unknown phases and exchange ids that were not assigned yet.
+func TestImportRejectsInvalidState(t *testing.T) {
 	for name, st := range map[string]State{
 		"no descriptor":       {Conns: []ConnState{{File: 3}}},
-		"ahead of none":       {Conns: []ConnState{{File: -1}}},
-		"no phase":            {Conns: []ConnState{{Phase: 9}}},
-		"an exchange to come": {Conns: []ConnState{{Exchange: 5}}},
+		"negative descriptor": {Conns: []ConnState{{File: -1}}},
+		"unknown phase":       {Conns: []ConnState{{Phase: 9}}},
+		"unassigned exchange": {Conns: []ConnState{{Exchange: 5}}},
 	} {
 		gate := hold.NewGate()
 		s := NewServer(16, gate, func(core.Event) {}, logrus.New())
 		if err := s.Import(st, gate.Receive()); err == nil || errors.Is(err, os.ErrNotExist) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: import returned %v", name, err)
 		}
 	}
 }
