--- a/internal/controlplane/abandon.go
+++ b/internal/controlplane/abandon.go
@@ -11,12 +11,12 @@
 // longer wait for what it holds. A repeated order is acknowledged again.
 func (s *Server) handleAbandon(writer http.ResponseWriter, request *http.Request) {
 	if _, err := readBody(writer, request); err != nil {
-		s.answer(writer, request, err, nil)
+		s.respond(writer, request, err, nil)
 		return
 	}
 	term := s.currentTerm()
 	if term == nil {
-		s.sendToLeader(writer, request)
+		s.redirectToLeader(writer, request)
 		return
 	}
 	node := request.PathValue("node")
@@ -24,7 +24,7 @@
 		return term.abandon(state, node, time.Now())
 	})
 	s.wakePlanner()
-	s.answer(writer, request, err, okAnswer{})
+	s.respond(writer, request, err, okResponse{})
 }
 
 // abandon gives a store up before its copies were restored elsewhere. One that holds a lease, or may, is none to abandon.
@@ -33,15 +33,15 @@
 	defer t.mutex.Unlock()
 	store := findStore(state.Stores, node)
 	if store == nil {
-		return refuse(http.StatusNotFound, "no store machine is called %q: give the name that the status shows", node)
+		return reject(http.StatusNotFound, "no store machine is called %q: give the name that the status shows", node)
 	}
-	if isGone(store) {
+	if isRemoved(store) {
 		return nil
 	}
 	if t.isAlive(store, now) || !t.leases.ended(store.Node, store.Incarnation, now) {
-		return refuse(http.StatusConflict, "%q holds a lease or may hold one: retire it, or ask again once its machine is off", node)
+		return reject(http.StatusConflict, "%q holds a lease or may hold one: retire it, or ask again once its machine is off", node)
 	}
-	giveUp(store)
+	markRemoved(store)
 	state.MapVersion++
 	return nil
 }
--- a/internal/controlplane/abandon_test.go
+++ b/internal/controlplane/abandon_test.go
@@ -39,7 +39,7 @@
 
 	lost[0].cut = false // it comes back after all, with its disk
 	run(t, w, 10*second, draw)
-	must.False(t, isGone(findStore(w.committed.Stores, lost[0].node)))
+	must.False(t, isRemoved(findStore(w.committed.Stores, lost[0].node)))
 	must.Eq(t, partitionCount/2, w.owned()[lost[0].node])
 }
 
@@ -48,7 +48,7 @@
 	w := newModelWorld(3)
 	run(t, w, 200, draw)
 	statusOf := func(node string) int {
-		refusal := &Refusal{}
+		refusal := &RequestError{}
 		must.True(t, errors.As(w.abandon(node), &refusal))
 		return refusal.Status
 	}
--- a/internal/controlplane/admit_test.go
+++ b/internal/controlplane/admit_test.go
@@ -33,7 +33,7 @@
 func TestStoreThatWasGivenUpIsWholeWhenItComesBack(t *testing.T) {
 	for _, disk := range []string{"disk-a", "disk-new"} {
 		table := tableWithOwner()
-		giveUp(table.stores[0])
+		markRemoved(table.stores[0])
 		table.admit(&storeStatus{node: "a", disk: disk, incarnation: "a2", address: "a:1"})
 		back := findStore(table.stores, "a")
 		must.True(t, back.Whole)
@@ -54,15 +54,15 @@
 
 	began := time.Now()
 	led := newTerm(1, state, defaultStoreLease, began)
-	must.False(t, led.mayBeNewest(state, old, began.Add(returnAfter-1)))
-	must.True(t, led.mayBeNewest(state, another, began.Add(supersedeAfter)))
-	must.True(t, led.mayBeNewest(state, old, began.Add(returnAfter)))
+	must.False(t, led.mayBeNewest(state, old, began.Add(replacedDiskReturnDelay-1)))
+	must.True(t, led.mayBeNewest(state, another, began.Add(diskReplacementDelay)))
+	must.True(t, led.mayBeNewest(state, old, began.Add(replacedDiskReturnDelay)))
 
 	heard := began.Add(time.Minute)
 	led.renewStore(state, renewal("disk-new", "a2"), heard)
-	must.False(t, led.mayBeNewest(state, old, heard.Add(returnAfter-1)))
-	must.True(t, led.mayBeNewest(state, another, heard.Add(supersedeAfter)))
-	must.True(t, led.mayBeNewest(state, old, heard.Add(returnAfter)))
+	must.False(t, led.mayBeNewest(state, old, heard.Add(replacedDiskReturnDelay-1)))
+	must.True(t, led.mayBeNewest(state, another, heard.Add(diskReplacementDelay)))
+	must.True(t, led.mayBeNewest(state, old, heard.Add(replacedDiskReturnDelay)))
 }
 
 func TestReplacedDisksAreRememberedWithinABound(t *testing.T) {
--- a/internal/controlplane/catchup_test.go
+++ b/internal/controlplane/catchup_test.go
@@ -218,7 +218,7 @@
 		before := torn.running().server.identity()
 		torn.kill(true)
 		for number := range 2 {
-			path := filepath.Join(torn.folder(), recordName+"."+strconv.Itoa(number))
+			path := filepath.Join(torn.folder(), recordFileName+"."+strconv.Itoa(number))
 			must.NoError(t, os.WriteFile(path, []byte(strings.Repeat("torn", 100)), 0o600))
 		}
 		torn.start(false)
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/config_request.go
@@ -13,67 +13,67 @@
 
 // Outcomes of an order that are neither new nor a refusal.
 var (
-	errTakenBefore = errors.New("this order was taken before")
-	errForgotten   = errors.New("the order builds on a version so old that it may have been taken and forgotten: read the configuration")
+	errAlreadyApplied = errors.New("this order was taken before")
+	errDigestDropped  = errors.New("the order builds on a version so old that it may have been taken and forgotten: read the configuration")
 )
 
-// orderKind tells how the body of an order is read.
-type orderKind string
+// requestKind tells how the body of an order is read.
+type requestKind string
 
 const (
-	orderReplace orderKind = "replace" // the body is a whole configuration
-	orderUpdate  orderKind = "update"  // the body names items to add, replace and remove
+	requestReplace requestKind = "replace" // the body is a whole configuration
+	requestUpdate  requestKind = "update"  // the body names items to add, replace and remove
 )
 
-// configOrder is an order to change the configuration.
-type configOrder struct {
-	kind      orderKind
+// configRequest is an order to change the configuration.
+type configRequest struct {
+	kind      requestKind
 	ifVersion uint64 // the version it builds on
 	body      []byte
 	digest    []byte // identifies the order when it is sent again
 }
 
-func newConfigOrder(kind orderKind, ifVersion uint64, body []byte) configOrder {
+func newConfigRequest(kind requestKind, ifVersion uint64, body []byte) configRequest {
 	hash := sha256.New()
 	hash.Write([]byte(kind))
 	var version [8]byte
 	binary.BigEndian.PutUint64(version[:], ifVersion)
 	hash.Write(version[:])
 	hash.Write(body)
-	return configOrder{kind: kind, ifVersion: ifVersion, body: body, digest: hash.Sum(nil)[:digestBytes]}
+	return configRequest{kind: kind, ifVersion: ifVersion, body: body, digest: hash.Sum(nil)[:digestBytes]}
 }
 
-// preparedOrder is an order that was found valid on top of the version that it names.
-type preparedOrder struct {
-	configOrder
+// preparedRequest is an order that was found valid on top of the version that it names.
+type preparedRequest struct {
+	configRequest
 	version uint64
 	config  []byte // the whole configuration, JSON
 }
 
-// prepare reads and checks the order against a state. It returns errTakenBefore, errForgotten, or a Refusal.
-func (o configOrder) prepare(state *rpc.ControlState) (*preparedOrder, error) {
+// prepare reads and checks the order against a state. It returns errAlreadyApplied, errDigestDropped, or a Refusal.
+func (o configRequest) prepare(state *rpc.ControlState) (*preparedRequest, error) {
 	if err := o.checkVersion(state); err != nil {
 		return nil, err
 	}
 	config, encoded, err := o.read(state)
 	if err != nil {
-		return nil, refuse(http.StatusBadRequest, "%v", err)
+		return nil, reject(http.StatusBadRequest, "%v", err)
 	}
 	if config.Version <= state.ConfigVersion {
-		return nil, refuse(http.StatusBadRequest, "version %d is not above the current version %d: give a higher one",
+		return nil, reject(http.StatusBadRequest, "version %d is not above the current version %d: give a higher one",
 			config.Version, state.ConfigVersion)
 	}
-	return &preparedOrder{configOrder: o, version: config.Version, config: encoded}, nil
+	return &preparedRequest{configRequest: o, version: config.Version, config: encoded}, nil
 }
 
-// checkVersion reports whether the order is new and builds on the version of a state. It returns errTakenBefore,
-// errForgotten, or a Refusal.
-func (o configOrder) checkVersion(state *rpc.ControlState) error {
+// checkVersion reports whether the order is new and builds on the version of a state. It returns errAlreadyApplied,
+// errDigestDropped, or a Refusal.
+func (o configRequest) checkVersion(state *rpc.ControlState) error {
 	switch {
-	case wasTaken(state, o.digest):
-		return errTakenBefore
-	case mayBeForgotten(state, o.ifVersion):
-		return errForgotten
+	case wasApplied(state, o.digest):
+		return errAlreadyApplied
+	case digestMayBeDropped(state, o.ifVersion):
+		return errDigestDropped
 	case state.ConfigVersion != o.ifVersion:
 		return versionMismatch(o.ifVersion, state.ConfigVersion)
 	}
@@ -81,8 +81,8 @@
 }
 
 // read returns the whole configuration that the order leads to, checked.
-func (o configOrder) read(state *rpc.ControlState) (*catalog.Config, []byte, error) {
-	if o.kind == orderReplace {
+func (o configRequest) read(state *rpc.ControlState) (*catalog.Config, []byte, error) {
+	if o.kind == requestReplace {
 		config, err := catalog.Parse(o.body)
 		return config, o.body, err
 	}
@@ -103,12 +103,12 @@
 }
 
 // apply puts the configuration in a state, unless another order was faster.
-func (p *preparedOrder) apply(state *rpc.ControlState) error {
+func (p *preparedRequest) apply(state *rpc.ControlState) error {
 	if err := p.checkVersion(state); err != nil {
 		return err
 	}
 	state.ConfigVersion = p.version
 	state.Config = p.config
-	recordTaken(state, p.digest)
+	recordApplied(state, p.digest)
 	return nil
 }
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/config_request_test.go
@@ -120,15 +120,15 @@
 }
 
 func TestDigestsOfOrdersAreBounded(t *testing.T) {
-	state := newReplicatedState(outsider{}).committed()
-	var last configOrder
-	for version := range maxTaken + 10 {
-		last = newConfigOrder(orderReplace, uint64(version), []byte(configWith(version+1, "a")))
+	state := newReplicatedState(disklessNode{}).committed()
+	var last configRequest
+	for version := range maxAppliedDigests + 10 {
+		last = newConfigRequest(requestReplace, uint64(version), []byte(configWith(version+1, "a")))
 		prepared, err := last.prepare(state)
 		must.NoError(t, err)
 		must.NoError(t, prepared.apply(state))
 	}
-	must.Len(t, maxTaken, state.Taken)
+	must.Len(t, maxAppliedDigests, state.Taken)
 	_, err := last.prepare(state)
-	must.ErrorIs(t, err, errTakenBefore)
+	must.ErrorIs(t, err, errAlreadyApplied)
 }
--- a/internal/controlplane/contacts.go
+++ b/internal/controlplane/contacts.go
@@ -11,9 +11,9 @@
 
 // Contacts are control processes that have announced themselves to a leader.
 const (
-	maxContacts     = 64               // addresses that are kept
-	forgetContact   = 10 * time.Minute // without an announcement, within one term
-	contactSilentIn = 2 * joinPeriod   // a process that has not announced itself for so long is told who leads
+	maxContacts           = 64               // addresses that are kept
+	contactRetention      = 10 * time.Minute // without an announcement, within one term
+	contactSilenceTimeout = 2 * joinInterval // a process that has not announced itself for so long is told who leads
 )
 
 // otherAddresses lists the other control processes that this one knows of besides the voters: the seeds, then the contacts of the replicated
@@ -32,24 +32,24 @@
 // runContacts keeps the control processes that announce themselves in the replicated state, and tells those that do not who leads, until the
 // term ends. After a loss of power the voters alone hold the state: whoever asks a process that does not vote depends on this.
 func (s *Server) runContacts(t *term) {
-	last := make(map[string]time.Time) // when a contact announced itself, or since when it has been known in this term
+	lastSeen := make(map[string]time.Time) // when a contact announced itself, or since when it has been known in this term
 	for {
 		now := time.Now()
-		heard := s.peers.heard(now)
-		s.tellSilentContacts(t.context, heard, now)
-		s.keepContacts(t.context, heard, last, now)
-		if !sleep(t.context, joinPeriod) {
+		recent := s.peers.recent(now)
+		s.announceToSilentContacts(t.context, recent, now)
+		s.saveContacts(t.context, recent, lastSeen, now)
+		if !sleep(t.context, joinInterval) {
 			return
 		}
 	}
 }
 
-// tellSilentContacts announces this process as the leader to all others that have not announced themselves lately.
-func (s *Server) tellSilentContacts(ctx context.Context, heard []peer, now time.Time) {
+// announceToSilentContacts announces this process as the leader to all others that have not announced themselves lately.
+func (s *Server) announceToSilentContacts(ctx context.Context, recent []peer, now time.Time) {
 	var calls sync.WaitGroup
 	for _, address := range s.otherAddresses() {
-		index := slices.IndexFunc(heard, func(p peer) bool { return p.address == address })
-		if index >= 0 && now.Sub(heard[index].heardAt) < contactSilentIn {
+		index := slices.IndexFunc(recent, func(p peer) bool { return p.address == address })
+		if index >= 0 && now.Sub(recent[index].lastSeen) < contactSilenceTimeout {
 			continue
 		}
 		calls.Go(func() {
@@ -61,10 +61,10 @@
 	calls.Wait()
 }
 
-// keepContacts writes the contacts to the replicated state where they have changed.
-func (s *Server) keepContacts(ctx context.Context, heard []peer, last map[string]time.Time, now time.Time) {
+// saveContacts writes the contacts to the replicated state where they have changed.
+func (s *Server) saveContacts(ctx context.Context, recent []peer, lastSeen map[string]time.Time, now time.Time) {
 	known := s.state.committed().ControlAddresses
-	planned := planContacts(known, heard, last, now)
+	planned := planContacts(known, recent, lastSeen, now)
 	if slices.Equal(planned, known) || !s.state.leading() {
 		return
 	}
@@ -81,22 +81,22 @@
 
 // planContacts returns the contacts to keep: those known but for the ones that have been silent for long, and those heard. Of more than
 // maxContacts the ones silent for longest go. It notes in last when each was heard.
-func planContacts(known []string, heard []peer, last map[string]time.Time, now time.Time) []string {
+func planContacts(known []string, recent []peer, lastSeen map[string]time.Time, now time.Time) []string {
 	planned := slices.Clone(known)
 	for _, address := range known {
-		if _, noted := last[address]; !noted {
-			last[address] = now
+		if _, noted := lastSeen[address]; !noted {
+			lastSeen[address] = now
 		}
 	}
-	for _, announced := range heard {
-		last[announced.address] = announced.heardAt
+	for _, announced := range recent {
+		lastSeen[announced.address] = announced.lastSeen
 		if !slices.Contains(planned, announced.address) {
 			planned = append(planned, announced.address)
 		}
 	}
-	planned = slices.DeleteFunc(planned, func(address string) bool { return now.Sub(last[address]) >= forgetContact })
+	planned = slices.DeleteFunc(planned, func(address string) bool { return now.Sub(lastSeen[address]) >= contactRetention })
 	for len(planned) > maxContacts {
-		oldest := slices.MinFunc(planned, func(left, right string) int { return last[left].Compare(last[right]) })
+		oldest := slices.MinFunc(planned, func(left, right string) int { return lastSeen[left].Compare(lastSeen[right]) })
 		planned = slices.DeleteFunc(planned, func(address string) bool { return address == oldest })
 	}
 	return planned
--- a/internal/controlplane/contacts_test.go
+++ b/internal/controlplane/contacts_test.go
@@ -11,7 +11,7 @@
 func heardAt(at time.Time, addresses ...string) []peer {
 	var heard []peer
 	for _, address := range addresses {
-		heard = append(heard, peer{address: address, heardAt: at})
+		heard = append(heard, peer{address: address, lastSeen: at})
 	}
 	return heard
 }
@@ -21,9 +21,9 @@
 	last := make(map[string]time.Time)
 	known := planContacts([]string{"a", "b"}, heardAt(start, "b", "c"), last, start)
 	must.Eq(t, []string{"a", "b", "c"}, known)
-	almost := start.Add(forgetContact - time.Nanosecond)
+	almost := start.Add(contactRetention - time.Nanosecond)
 	must.Eq(t, known, planContacts(known, heardAt(almost, "c"), last, almost))
-	must.Eq(t, []string{"c"}, planContacts(known, nil, last, start.Add(forgetContact)))
+	must.Eq(t, []string{"c"}, planContacts(known, nil, last, start.Add(contactRetention)))
 }
 
 func TestOfTooManyContactsTheOnesSilentForLongestGo(t *testing.T) {
--- a/internal/controlplane/lostrecord.go
+++ b/internal/controlplane/corrupt_record.go
@@ -16,7 +16,7 @@
 		return node, err
 	}
 	config.Bootstrap = false
-	config.Storage = emptiedStorage{config.Storage}
+	config.Storage = emptyStorage{config.Storage}
 	node, err = failover.New(config)
 	if err != nil {
 		return nil, err
@@ -27,12 +27,12 @@
 	return node, nil
 }
 
-// emptiedStorage hides a record that can't be read back. The first save takes its place.
-type emptiedStorage struct {
+// emptyStorage hides a record that can't be read back. The first save takes its place.
+type emptyStorage struct {
 	failover.Storage
 }
 
 // Load implements failover.Storage.
-func (emptiedStorage) Load() ([]byte, error) {
+func (emptyStorage) Load() ([]byte, error) {
 	return nil, nil
 }
--- a/internal/controlplane/lostrecord_test.go
+++ b/internal/controlplane/corrupt_record_test.go
@@ -42,7 +42,7 @@
 func breakRecord(t *testing.T, folder string) {
 	t.Helper()
 	for _, suffix := range []string{".0", ".1"} {
-		path := filepath.Join(folder, recordName+suffix)
+		path := filepath.Join(folder, recordFileName+suffix)
 		must.NoError(t, os.WriteFile(path, []byte("not a record of any kind"), 0o600))
 	}
 }
--- a/internal/controlplane/join.go
+++ b/internal/controlplane/join.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	joinPeriod  = 500 * time.Millisecond
-	joinRetry   = 500 * time.Millisecond // while no leader is known
-	joinTimeout = 700 * time.Millisecond
-	hintExpiry  = 5 * time.Second // of the leader's address as another process told it
+	joinInterval      = 500 * time.Millisecond
+	joinRetryInterval = 500 * time.Millisecond // while no leader is known
+	joinTimeout       = 700 * time.Millisecond
+	hintExpiry        = 5 * time.Second // of the leader's address as another process told it
 
-	// searchTold is for how long this process finds no leader before it says so.
-	searchTold = 3 * time.Second
+	// searchLogDelay is for how long this process finds no leader before it says so.
+	searchLogDelay = 3 * time.Second
 )
 
 // leaderHint is the leader's address as another process told it.
 type leaderHint struct {
-	address string
-	at      time.Time
+	address    string
+	receivedAt time.Time
 }
 
 // runJoin announces this process to the leader until the context ends.
 func (s *Server) runJoin(ctx context.Context) {
-	search := leaderSearch{found: time.Now()}
-	for turn := 0; ctx.Err() == nil; turn++ {
-		pause := joinPeriod
-		reached := s.state.leading() || s.announce(ctx, turn)
+	search := leaderSearch{lastReachedAt: time.Now()}
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		pause := joinInterval
+		reached := s.state.leading() || s.announce(ctx, attempt)
 		if !reached {
-			pause = joinRetry
+			pause = joinRetryInterval
 		}
-		s.tellSearch(&search, reached, time.Now())
+		s.logSearch(&search, reached, time.Now())
 		if !sleep(ctx, pause) {
 			return
 		}
@@ -42,45 +42,45 @@
 
 // leaderSearch is since when this process has found no leader.
 type leaderSearch struct {
-	found time.Time // when the leader was reached last, or the start
-	told  bool      // it was logged that none is found
+	lastReachedAt time.Time // when the leader was reached last, or the start
+	logged        bool      // it was logged that none is found
 }
 
-// tellSearch logs that no leader is found, and that one is found again.
-func (s *Server) tellSearch(search *leaderSearch, reached bool, now time.Time) {
-	lasted := now.Sub(search.found).Round(time.Millisecond).String()
+// logSearch logs that no leader is found, and that one is found again.
+func (s *Server) logSearch(search *leaderSearch, reached bool, now time.Time) {
+	elapsed := now.Sub(search.lastReachedAt).Round(time.Millisecond).String()
 	switch {
-	case reached && search.told:
-		s.log.Info("a leader is found again", "after", lasted, "leader", s.leaderAddress())
-		*search = leaderSearch{found: now}
+	case reached && search.logged:
+		s.log.Info("a leader is found again", "after", elapsed, "leader", s.leaderAddress())
+		*search = leaderSearch{lastReachedAt: now}
 	case reached:
-		search.found = now
-	case !search.told && now.Sub(search.found) >= searchTold:
-		search.told = true
-		s.log.Info("no leader is found; name a control process that reaches it among the seeds", "for", lasted, "seeds", s.settings().Seeds)
+		search.lastReachedAt = now
+	case !search.logged && now.Sub(search.lastReachedAt) >= searchLogDelay:
+		search.logged = true
+		s.log.Info("no leader is found; name a control process that reaches it among the seeds", "for", elapsed, "seeds", s.settings().Seeds)
 	}
 }
 
 // announce sends one Join and reports whether it reached the leader.
-func (s *Server) announce(ctx context.Context, turn int) bool {
-	target := s.otherLeader()
+func (s *Server) announce(ctx context.Context, attempt int) bool {
+	target := s.remoteLeader()
 	if others := s.otherAddresses(); target == "" && len(others) > 0 {
-		target = others[turn%len(others)]
+		target = others[attempt%len(others)]
 	}
 	if target == "" {
 		return false
 	}
 	reply, err := s.join(ctx, target, false)
 	if err != nil {
-		s.forgetLeader(target)
+		s.clearLeaderHint(target)
 		return false
 	}
 	if reply.Leader {
-		s.learnLeader(target)
+		s.setLeaderHint(target)
 		return true
 	}
 	if reply.LeaderAddress != s.address {
-		s.learnLeader(reply.LeaderAddress)
+		s.setLeaderHint(reply.LeaderAddress)
 	}
 	return false
 }
@@ -99,25 +99,25 @@
 	}
 }
 
-func (s *Server) learnLeader(address string) {
+func (s *Server) setLeaderHint(address string) {
 	if address == "" {
 		return
 	}
-	s.hint.Store(&leaderHint{address: address, at: time.Now()})
+	s.leaderHint.Store(&leaderHint{address: address, receivedAt: time.Now()})
 }
 
-// forgetLeader drops what was told of a leader that doesn't answer.
-func (s *Server) forgetLeader(address string) {
-	if hint := s.hint.Load(); hint != nil && hint.address == address {
-		s.hint.CompareAndSwap(hint, nil)
+// clearLeaderHint drops what was told of a leader that doesn't answer.
+func (s *Server) clearLeaderHint(address string) {
+	if hint := s.leaderHint.Load(); hint != nil && hint.address == address {
+		s.leaderHint.CompareAndSwap(hint, nil)
 	}
 }
 
-// otherLeader returns the address of the leader if it is known and another process, else empty.
-func (s *Server) otherLeader() string {
+// remoteLeader returns the address of the leader if it is known and another process, else empty.
+func (s *Server) remoteLeader() string {
 	address := s.node.Status().LeaderAddress
 	if address == "" {
-		if hint := s.hint.Load(); hint != nil && time.Since(hint.at) < hintExpiry {
+		if hint := s.leaderHint.Load(); hint != nil && time.Since(hint.receivedAt) < hintExpiry {
 			address = hint.address
 		}
 	}
@@ -132,7 +132,7 @@
 	if s.state.leading() {
 		return s.address
 	}
-	return s.otherLeader()
+	return s.remoteLeader()
 }
 
 // controlAddresses lists the control processes that callers may turn to, in rising order.
@@ -141,7 +141,7 @@
 	for _, member := range s.node.Status().Members {
 		addresses = append(addresses, member.Address)
 	}
-	for _, known := range s.peers.heard(time.Now()) {
+	for _, known := range s.peers.recent(time.Now()) {
 		addresses = append(addresses, known.address)
 	}
 	slices.Sort(addresses)
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -14,8 +14,8 @@
 
 // Most time between two looks at the leader's lease. Its end comes without an event, its beginning with one.
 const (
-	leadPeriod   = 200 * time.Millisecond
-	followPeriod = 2 * time.Second
+	leaderCheckInterval   = 200 * time.Millisecond
+	followerCheckInterval = 2 * time.Second
 )
 
 // wakeLeadership has the state looked at now.
@@ -28,14 +28,14 @@
 
 // runLeadership begins and ends terms and publishes what is committed, until the context ends.
 func (s *Server) runLeadership(ctx context.Context) {
-	timer := time.NewTimer(followPeriod)
+	timer := time.NewTimer(followerCheckInterval)
 	defer timer.Stop()
 	for {
 		s.checkLeadership()
 		if s.currentTerm() == nil {
-			timer.Reset(followPeriod)
+			timer.Reset(followerCheckInterval)
 		} else {
-			timer.Reset(leadPeriod)
+			timer.Reset(leaderCheckInterval)
 		}
 		select {
 		case <-timer.C:
@@ -70,37 +70,37 @@
 // beginTerm publishes the committed state under the new epoch before anyone can subscribe. The part of the
 // workers is left out until they were read: subscribers keep the list that they have.
 func (s *Server) beginTerm(epoch uint64) *term {
-	begun := newTerm(epoch, s.state.committed(), s.storeLease, time.Now())
+	started := newTerm(epoch, s.state.committed(), s.storeLease, time.Now())
 	s.published = publishedVersions{}
 	s.hub.Publish(headerPart(epoch), watch.Part{Index: partWorkers})
 	s.publishState()
-	s.term.Store(begun)
-	s.startTermWork(begun)
-	return begun
+	s.term.Store(started)
+	s.startTermWork(started)
+	return started
 }
 
 // startTermWork starts what runs only at the leader. All of it ends with the term.
-func (s *Server) startTermWork(begun *term) {
-	s.working.Add(3)
+func (s *Server) startTermWork(started *term) {
+	s.background.Add(3)
 	go func() {
-		defer s.working.Done()
-		s.runPlanner(begun)
+		defer s.background.Done()
+		s.runPlanner(started)
 	}()
 	go func() {
-		defer s.working.Done()
-		s.runContacts(begun)
+		defer s.background.Done()
+		s.runContacts(started)
 	}()
 	go func() {
-		defer s.working.Done()
-		s.runMembership(begun)
+		defer s.background.Done()
+		s.runMembership(started)
 	}()
 	if s.settings().Cloud.Address == "" {
 		return
 	}
-	s.working.Add(1)
+	s.background.Add(1)
 	go func() {
-		defer s.working.Done()
-		s.runDiscovery(begun)
+		defer s.background.Done()
+		s.runDiscovery(started)
 	}()
 }
 
@@ -134,30 +134,30 @@
 
 // publishedVersions tells what was streamed last. It belongs to the goroutine of runLeadership.
 type publishedVersions struct {
-	any       bool
-	config    uint64
-	catalog   *catalog.Config // the configuration of that version; nil for none that can be read
-	table     uint64
-	addresses []string
+	initialized   bool
+	configVersion uint64
+	catalog       *catalog.Config // the configuration of that version; nil for none that can be read
+	mapVersion    uint64
+	addresses     []string
 }
 
 // publishState streams the parts of the committed state that have changed.
 func (s *Server) publishState() {
 	state := s.state.committed()
 	last := &s.published
-	if !last.any || last.config != state.ConfigVersion {
+	if !last.initialized || last.configVersion != state.ConfigVersion {
 		s.publishConfig(state)
 	}
-	if !last.any || last.table != state.MapVersion {
-		s.hub.Publish(mapPart(state, s.copies()))
-		last.table = state.MapVersion
+	if !last.initialized || last.mapVersion != state.MapVersion {
+		s.hub.Publish(mapPart(state, s.requiredCopies()))
+		last.mapVersion = state.MapVersion
 	}
 	addresses := s.controlAddresses()
-	if !last.any || !slices.Equal(last.addresses, addresses) {
+	if !last.initialized || !slices.Equal(last.addresses, addresses) {
 		s.hub.Publish(addressesPart(addresses))
 		last.addresses = addresses
 	}
-	last.any = true
+	last.initialized = true
 }
 
 // publishConfig streams the configuration, and what is new in it to those that hold the one before.
@@ -171,14 +171,14 @@
 		part.Delta = configDelta(last, config)
 	}
 	s.hub.Publish(part)
-	s.published.config = state.ConfigVersion
+	s.published.configVersion = state.ConfigVersion
 	s.published.catalog = config
 }
 
 // handleWatch streams the View to dispatchers and stores.
 func (s *Server) handleWatch(writer http.ResponseWriter, request *http.Request) {
 	if s.currentTerm() == nil || !s.state.leading() {
-		s.sendToLeader(writer, request)
+		s.redirectToLeader(writer, request)
 		return
 	}
 	s.hub.ServeHTTP(writer, request)
--- a/internal/controlplane/leaselength_test.go
+++ b/internal/controlplane/lease_duration_test.go
@@ -14,8 +14,8 @@
 	const own, recorded = 1500 * time.Millisecond, 1700 * time.Millisecond
 	heard := func(id string, disk bool, told int64) peer {
 		table := newPeerTable()
-		table.note(&rpc.JoinRequest{Id: id, Address: id, Disk: disk, StoreLeaseMs: told}, time.Now())
-		return table.heard(time.Now())[0]
+		table.record(&rpc.JoinRequest{Id: id, Address: id, Disk: disk, StoreLeaseMs: told}, time.Now())
+		return table.recent(time.Now())[0]
 	}
 	for name, c := range map[string]struct {
 		heard  []peer
@@ -25,11 +25,11 @@
 		"a voter counts on more":               {[]peer{heard("a", true, 2000), heard("b", true, 1500)}, 2 * time.Second},
 		"one that may become a voter does":     {[]peer{heard("a", true, 1500), heard("b", true, 1500), heard("c", true, 3000)}, 3 * time.Second},
 		"one that can't become a voter does":   {[]peer{heard("a", true, 1500), heard("b", true, 1500), heard("c", false, 3000)}, own},
-		"a voter tells none":                   {[]peer{heard("a", true, 0), heard("b", true, 1000)}, untoldStoreLease},
+		"a voter tells none":                   {[]peer{heard("a", true, 0), heard("b", true, 1000)}, unspecifiedStoreLease},
 		"a voter is not heard":                 {[]peer{heard("a", true, 1500)}, recorded},
 		"another counts on more than recorded": {[]peer{heard("a", true, 2500)}, 2500 * time.Millisecond},
 	} {
-		must.Eq(t, c.wanted, wantedStoreLease(recorded, own, []failover.Member{{ID: "a"}, {ID: "b"}}, c.heard), must.Sprint(name))
+		must.Eq(t, c.wanted, requiredStoreLease(recorded, own, []failover.Member{{ID: "a"}, {ID: "b"}}, c.heard), must.Sprint(name))
 	}
 }
 
@@ -43,7 +43,7 @@
 		state.StoreLeaseMs = recorded
 		outcome := led.renewStore(state, request, now)
 		must.True(t, outcome.granted)
-		must.Eq(t, granted, outcome.length)
+		must.Eq(t, granted, outcome.duration)
 	}
 }
 
@@ -51,8 +51,8 @@
 	now := time.Now()
 	led := newTerm(1, &rpc.ControlState{StoreLeaseMs: 2000}, defaultStoreLease, now)
 	over := now.Add(2*time.Second + leaseMargin)
-	must.True(t, led.mayRecord(2*time.Second, 3*time.Second, now))
-	must.False(t, led.mayRecord(2*time.Second, 2*time.Second, over))
-	must.False(t, led.mayRecord(2*time.Second, time.Second, over.Add(-1)))
-	must.True(t, led.mayRecord(2*time.Second, time.Second, over))
+	must.True(t, led.mayRecordStoreLease(2*time.Second, 3*time.Second, now))
+	must.False(t, led.mayRecordStoreLease(2*time.Second, 2*time.Second, over))
+	must.False(t, led.mayRecordStoreLease(2*time.Second, time.Second, over.Add(-1)))
+	must.True(t, led.mayRecordStoreLease(2*time.Second, time.Second, over))
 }
--- a/internal/controlplane/leases.go
+++ b/internal/controlplane/leases.go
@@ -10,28 +10,28 @@
 // storeLeases holds the leases of the stores on the clock of a term. An incarnation may renew after its lease
 // has ended: the term sees to it that it knows the newest table first.
 type storeLeases struct {
-	started time.Time
-	own     time.Duration // longest that this process grants
-	table   *lease.Table
+	started     time.Time
+	maxDuration time.Duration // longest that this process grants
+	table       *lease.Table
 }
 
 // newStoreLeases takes every recorded store for one that may hold a lease of an earlier leader, of the length that the state tells.
-func newStoreLeases(state *rpc.ControlState, own time.Duration, now time.Time) *storeLeases {
+func newStoreLeases(state *rpc.ControlState, maxDuration time.Duration, now time.Time) *storeLeases {
 	recorded := recordedStoreLease(state)
-	table := lease.New(lease.Options{Length: min(own, recorded), Former: recorded, Margin: leaseMargin, Reusable: true})
+	table := lease.New(lease.Options{Length: min(maxDuration, recorded), Former: recorded, Margin: leaseMargin, Reusable: true})
 	for _, store := range state.Stores {
 		table.Restore(store.Node, store.Incarnation)
 	}
-	return &storeLeases{started: now, own: own, table: table}
+	return &storeLeases{started: now, maxDuration: maxDuration, table: table}
 }
 
 // follow grants no longer leases than the committed state allows.
-func (l *storeLeases) follow(state *rpc.ControlState) {
-	l.table.SetLength(min(l.own, recordedStoreLease(state)))
+func (l *storeLeases) applyRecordedLimit(state *rpc.ControlState) {
+	l.table.SetLength(min(l.maxDuration, recordedStoreLease(state)))
 }
 
 // length is that of the leases that are granted now.
-func (l *storeLeases) length() time.Duration { return l.table.Length() }
+func (l *storeLeases) duration() time.Duration { return l.table.Length() }
 
 // grant extends the lease of a store that renewed it now. It reports false for an incarnation that is known to
 // have ended.
@@ -50,11 +50,11 @@
 }
 
 // nextChange returns the time until a lease ends or is certainly over if nobody renews, but no more than most.
-func (l *storeLeases) nextChange(now time.Time, most time.Duration) time.Duration {
+func (l *storeLeases) nextChange(now time.Time, limit time.Duration) time.Duration {
 	since := now.Sub(l.started)
 	next, ok := l.table.NextChange(since)
 	if !ok {
-		return most
+		return limit
 	}
-	return min(next-since, most)
+	return min(next-since, limit)
 }
--- a/internal/controlplane/membership_test.go
+++ b/internal/controlplane/membership_test.go
@@ -41,15 +41,15 @@
 
 func TestSilentVoterIsExchangedForAStandby(t *testing.T) {
 	heard := heardOf("a", "c", "d")
-	must.True(t, planVoters(votersOf("a", "b", "c"), "a", heard, 3, silentAfter-1).isEmpty())
-	change := planVoters(votersOf("a", "b", "c"), "a", heard, 3, silentAfter)
+	must.True(t, planVoters(votersOf("a", "b", "c"), "a", heard, 3, voterSilenceTimeout-1).isEmpty())
+	change := planVoters(votersOf("a", "b", "c"), "a", heard, 3, voterSilenceTimeout)
 	must.EqOp(t, "b", change.removeID)
 	must.EqOp(t, "d", change.add.ID)
 	must.True(t, planVoters(votersOf("a", "b", "c"), "a", heardOf("a", "c"), 3, time.Hour).isEmpty())
 }
 
 // A machine may be lost as soon as the successor of an earlier loss has run for syncS. Until then the voters must be
-// three live ones again, also where the lost one led and the others join the new leader one joinPeriod late.
+// three live ones again, also where the lost one led and the others join the new leader one joinInterval late.
 func TestLostLeaderIsExchangedBeforeTheNextMachineMayBeLost(t *testing.T) {
 	const (
 		syncS    = 4400 * time.Millisecond
@@ -58,15 +58,15 @@
 	lost := time.Unix(1000, 0)
 	began := lost.Add(election)
 	table := newPeerTable()
-	for age := time.Duration(0); age < syncS; age += membershipPeriod {
+	for age := time.Duration(0); age < syncS; age += membershipInterval {
 		now := lost.Add(age)
 		for index, id := range []string{"b", "c", "d"} {
-			joined := now.Truncate(joinPeriod).Add(time.Duration(index) * time.Millisecond)
-			if joined.After(began.Add(joinPeriod)) || id == "b" && joined.After(began) {
-				table.note(&rpc.JoinRequest{Id: id, Address: "address-" + id, Zone: "zone-" + id, Disk: true}, joined)
+			joined := now.Truncate(joinInterval).Add(time.Duration(index) * time.Millisecond)
+			if joined.After(began.Add(joinInterval)) || id == "b" && joined.After(began) {
+				table.record(&rpc.JoinRequest{Id: id, Address: "address-" + id, Zone: "zone-" + id, Disk: true}, joined)
 			}
 		}
-		heard := heardLately(table.heard(now), now)
+		heard := recentPeers(table.recent(now), now)
 		if change := planVoters(votersOf("a", "b", "c"), "b", heard, 3, now.Sub(began)); !change.isEmpty() {
 			must.EqOp(t, "a", change.removeID)
 			must.EqOp(t, "d", change.add.ID)
@@ -80,10 +80,10 @@
 	now := time.Now()
 	peers := heardOf("a", "c", "d")
 	for index := range peers {
-		peers[index].heardAt = now
+		peers[index].lastSeen = now
 	}
-	peers[2].heardAt = now.Add(-silentAfter)
-	heard := heardLately(peers, now)
+	peers[2].lastSeen = now.Add(-voterSilenceTimeout)
+	heard := recentPeers(peers, now)
 	must.True(t, planVoters(votersOf("a", "b", "c"), "a", heard, 3, time.Hour).isEmpty())
 	must.True(t, planVoters(votersOf("a", "c"), "a", heard, 3, time.Hour).isEmpty())
 }
@@ -124,7 +124,7 @@
 		}
 		must.Len(t, wanted, voters)
 		for _, voter := range voters {
-			must.True(t, isHeard(heard, voter.ID))
+			must.True(t, containsPeer(heard, voter.ID))
 		}
 	})
 }
--- a/internal/controlplane/figures.go
+++ b/internal/controlplane/metrics.go
@@ -14,7 +14,7 @@
 }
 
 // Figures are what monitoring sees of this process. Stores and dispatchers are counted at the leader alone.
-func (s *Server) Figures() []metrics.Figure {
+func (s *Server) Metrics() []metrics.Figure {
 	status := s.Status()
 	leader := uint64(0)
 	if status.Leader {
@@ -34,9 +34,9 @@
 		{Name: "foldlb_control_stores", Help: "stores in the state", Value: uint64(len(status.Stores))},
 		{Name: "foldlb_control_dispatchers", Help: "dispatchers heard in this term", Value: uint64(len(status.Dispatchers))},
 		{Name: "foldlb_control_leader_known", Help: "1 where this process can tell callers who leads", Value: leaderKnown},
-		{Name: "foldlb_control_peers", Help: "control processes that announced themselves here lately", Value: uint64(len(s.peers.heard(time.Now())))},
-		{Name: "foldlb_control_joins_total", Help: "announcements of control processes that came", Value: s.calls.joins.Load()},
-		{Name: "foldlb_control_renewals_total", Help: "renewals of stores and dispatchers that came", Value: s.calls.renewals.Load()},
+		{Name: "foldlb_control_peers", Help: "control processes that announced themselves here lately", Value: uint64(len(s.peers.recent(time.Now())))},
+		{Name: "foldlb_control_joins_total", Help: "announcements of control processes that came", Value: s.callCounts.joins.Load()},
+		{Name: "foldlb_control_renewals_total", Help: "renewals of stores and dispatchers that came", Value: s.callCounts.renewals.Load()},
 		{Name: "foldlb_control_streams", Help: "streams of updates that are open here", Value: uint64(status.Streams)},
 	}
 }
--- a/internal/controlplane/model_test.go
+++ b/internal/controlplane/model_test.go
@@ -95,8 +95,8 @@
 		}
 	}
 	recorded := recordedStoreLease(w.committed)
-	wanted := wantedStoreLease(recorded, w.own, []failover.Member{{ID: "leader"}}, heard)
-	if !w.unkept && w.term.mayRecord(recorded, wanted, w.now) {
+	wanted := requiredStoreLease(recorded, w.own, []failover.Member{{ID: "leader"}}, heard)
+	if !w.unkept && w.term.mayRecordStoreLease(recorded, wanted, w.now) {
 		w.committed = proto.CloneOf(w.committed)
 		w.committed.StoreLeaseMs = wanted.Milliseconds()
 	}
@@ -164,7 +164,7 @@
 func (w *modelWorld) commit() {
 	if w.committed.MapVersion == w.base {
 		next := proto.CloneOf(w.committed)
-		w.proposed.put(next)
+		w.proposed.writeTo(next)
 		w.committed = next
 		for _, store := range w.stores {
 			store.streamIn = max(store.streamIn, 1)
@@ -196,7 +196,7 @@
 	outcome := w.term.renewStore(w.committed, store.request(), w.now)
 	isAnswerLost := !w.settling && draw(5) == 0
 	if outcome.granted && !isAnswerLost {
-		store.leaseEnd = w.now.Add(outcome.length)
+		store.leaseEnd = w.now.Add(outcome.duration)
 	}
 }
 
@@ -431,7 +431,7 @@
 	must.False(t, findStore(w.committed.Stores, lost.node).Leaving)
 	run(t, w, 8*second, draw)
 	must.Len(t, 3, activeStores(w.committed))
-	must.True(t, isGone(findStore(w.committed.Stores, lost.node)))
+	must.True(t, isRemoved(findStore(w.committed.Stores, lost.node)))
 
 	w.changeLeader(nil)
 	run(t, w, 5*second, draw)
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -18,32 +18,32 @@
 
 // outsider is the node of a process without a disk: it has no vote and no copy of the state, and sends
 // callers to the leader.
-type outsider struct{}
+type disklessNode struct{}
 
-func (outsider) Propose(context.Context, func([]byte) ([]byte, error)) error {
+func (disklessNode) Propose(context.Context, func([]byte) ([]byte, error)) error {
 	return failover.NotLeader{}
 }
 
-func (outsider) Read(context.Context) error {
+func (disklessNode) Read(context.Context) error {
 	return failover.NotLeader{}
 }
 
-func (outsider) ProposeMembers(context.Context, *failover.Member, string) error {
+func (disklessNode) ProposeMembers(context.Context, *failover.Member, string) error {
 	return failover.NotLeader{}
 }
 
-func (outsider) HandleVote(context.Context, failover.VoteRequest) (failover.VoteReply, error) {
+func (disklessNode) HandleVote(context.Context, failover.VoteRequest) (failover.VoteReply, error) {
 	return failover.VoteReply{NotMember: true}, nil
 }
 
-func (outsider) HandleReplicate(context.Context, failover.ReplicateRequest) (failover.ReplicateReply, error) {
+func (disklessNode) HandleReplicate(context.Context, failover.ReplicateRequest) (failover.ReplicateReply, error) {
 	return failover.ReplicateReply{NotMember: true}, nil
 }
 
-func (outsider) Status() failover.Status { return failover.Status{} }
+func (disklessNode) Status() failover.Status { return failover.Status{} }
 
-func (outsider) LeaseValid() bool { return false }
+func (disklessNode) LeaseValid() bool { return false }
 
-func (outsider) Resign() {}
+func (disklessNode) Resign() {}
 
-func (outsider) Close() {}
+func (disklessNode) Close() {}
--- a/internal/controlplane/peers.go
+++ b/internal/controlplane/peers.go
@@ -13,11 +13,11 @@
 
 // peer is a control process that has joined.
 type peer struct {
-	id      string // identity of its disk; empty where it has none
-	address string
-	zone    string
-	disk    bool
-	heardAt time.Time
+	id       string // identity of its disk; empty where it has none
+	address  string
+	zone     string
+	disk     bool
+	lastSeen time.Time
 
 	storeLease time.Duration // that it would grant
 }
@@ -34,37 +34,37 @@
 }
 
 // note records that a process was heard.
-func (p *peerTable) note(request *rpc.JoinRequest, now time.Time) {
+func (p *peerTable) record(request *rpc.JoinRequest, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.peers[request.Address] = peer{
-		id:      request.Id,
-		address: request.Address,
-		zone:    request.Zone,
-		disk:    request.Disk,
-		heardAt: now,
+		id:       request.Id,
+		address:  request.Address,
+		zone:     request.Zone,
+		disk:     request.Disk,
+		lastSeen: now,
 
-		storeLease: toldStoreLease(request.StoreLeaseMs),
+		storeLease: storeLeaseFromWire(request.StoreLeaseMs),
 	}
 }
 
 // heard returns the processes that were heard within peerExpiry, by address in rising order.
-func (p *peerTable) heard(now time.Time) []peer {
+func (p *peerTable) recent(now time.Time) []peer {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	heard := make([]peer, 0, len(p.peers))
+	recent := make([]peer, 0, len(p.peers))
 	for address, known := range p.peers {
-		if now.Sub(known.heardAt) > peerExpiry {
+		if now.Sub(known.lastSeen) > peerExpiry {
 			delete(p.peers, address)
 			continue
 		}
-		heard = append(heard, known)
+		recent = append(recent, known)
 	}
-	slices.SortFunc(heard, func(left, right peer) int {
+	slices.SortFunc(recent, func(left, right peer) int {
 		if left.address < right.address {
 			return -1
 		}
 		return 1
 	})
-	return heard
+	return recent
 }
--- a/internal/controlplane/planner.go
+++ b/internal/controlplane/planner.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	planPause  = 50 * time.Millisecond  // least time between two plans
-	planPeriod = 250 * time.Millisecond // most time between two plans
-	maxMoves   = 32                     // partitions that are being handed over at a time
+	minPlanInterval        = 50 * time.Millisecond  // least time between two plans
+	maxPlanInterval        = 250 * time.Millisecond // most time between two plans
+	maxConcurrentHandovers = 32                     // partitions that are being handed over at a time
 )
 
 // errTableChanged reports that the table was changed since a plan was made.
@@ -31,11 +31,11 @@
 // runPlanner keeps the table in step with the stores until the term ends. The end of a lease comes without an event: the planner looks
 // at that moment.
 func (s *Server) runPlanner(t *term) {
-	timer := time.NewTimer(planPeriod)
+	timer := time.NewTimer(maxPlanInterval)
 	defer timer.Stop()
-	for sleep(t.context, planPause) {
+	for sleep(t.context, minPlanInterval) {
 		s.planOnce(t)
-		timer.Reset(t.untilNextPlan(time.Now()))
+		timer.Reset(t.nextPlanDelay(time.Now()))
 		select {
 		case <-timer.C:
 		case <-s.plannerWake:
@@ -44,11 +44,11 @@
 	}
 }
 
-// untilNextPlan returns the time until the next plan is due without an event.
-func (t *term) untilNextPlan(now time.Time) time.Duration {
+// nextPlanDelay returns the time until the next plan is due without an event.
+func (t *term) nextPlanDelay(now time.Time) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.leases.nextChange(now, planPeriod)
+	return t.leases.nextChange(now, maxPlanInterval)
 }
 
 // planOnce makes a plan and commits it where it changes anything. A plan that could not be committed is made
@@ -58,7 +58,7 @@
 		return
 	}
 	state := s.state.committed()
-	next, released, err := t.plan(state, s.copies(), time.Now())
+	next, released, err := t.plan(state, s.requiredCopies(), time.Now())
 	if err != nil {
 		s.log.Error(err, "the table stays as it is")
 		return
@@ -82,7 +82,7 @@
 		if state.MapVersion != base {
 			return errTableChanged
 		}
-		next.put(state)
+		next.writeTo(state)
 		return nil
 	})
 }
@@ -95,13 +95,13 @@
 	released := t.releases
 	t.releases = nil
 	t.admitStores(state, next, now)
-	t.restoreWhole(state, next, now)
+	t.markRestoredStores(state, next, now)
 	if err := t.placePartitions(next, released, copies, now); err != nil {
 		return nil, nil, err
 	}
 	t.completeRetirements(state, next, now)
-	t.giveUpSilent(state, next, copies, now)
-	t.fenceLosers(state, next, now)
+	t.removeSilentStores(state, next, copies, now)
+	t.fencePreviousOwners(state, next, now)
 	return next, released, nil
 }
 
@@ -115,7 +115,7 @@
 // admitStores records the stores and incarnations that have come and are still there.
 func (t *term) admitStores(state *rpc.ControlState, next *table, now time.Time) {
 	for _, status := range t.stores {
-		isThere := now.Sub(status.renewedAt) < t.leases.length()
+		isThere := now.Sub(status.renewedAt) < t.leases.duration()
 		if isThere && admissionOf(state, status) == admissionNew {
 			if next.admit(status) {
 				status.admittedAt = now
@@ -157,7 +157,7 @@
 		for index := group; index < len(partitions); index += partitionGroups {
 			part = append(part, partitions[index])
 		}
-		next, _, err := placement.Plan(members, part, maxMoves)
+		next, _, err := placement.Plan(members, part, maxConcurrentHandovers)
 		if err != nil {
 			return partitions, err
 		}
@@ -178,19 +178,19 @@
 		}
 	}
 	waited := now.Sub(t.firstStore)
-	return holding >= copies && (waited >= assignAtLatest || waited >= assignAfter && holding == len(t.stores))
+	return holding >= copies && (waited >= maxFirstAssignmentDelay || waited >= firstAssignmentDelay && holding == len(t.stores))
 }
 
 // placementMembers lists what is known of the stores, and of former incarnations that still own partitions.
 func (t *term) placementMembers(next *table, copies int, now time.Time) []placement.Member {
 	members := make([]placement.Member, 0, len(next.stores)+1)
-	sparesImpaired := t.countImpaired(next, now) < copies
+	movesOffImpaired := t.countImpaired(next, now) < copies
 	for _, store := range next.stores {
 		alive := t.isAlive(store, now)
 		retired := isRetired(next.retirements, store.Node)
 		status := t.stores[store.Node]
 		current := status != nil && status.incarnation == store.Incarnation
-		leaves := current && (status.leaving || sparesImpaired && status.impaired(now))
+		leaves := current && (status.leaving || movesOffImpaired && status.impaired(now))
 		members = append(members, placement.Member{
 			Node:        store.Node,
 			Incarnation: store.Incarnation,
@@ -198,7 +198,7 @@
 			Alive:       alive,
 			Ended:       !alive && t.leases.ended(store.Node, store.Incarnation, now),
 			Leaving:     store.Leaving || leaves,
-			Eligible:    !retired && !isGone(store),
+			Eligible:    !retired && !isRemoved(store),
 		})
 	}
 	return append(members, formerOwners(next)...)
@@ -303,9 +303,9 @@
 	return false
 }
 
-// fenceLosers bars each store that loses partitions because its lease ended from a new lease until it knows
+// fencePreviousOwners bars each store that loses partitions because its lease ended from a new lease until it knows
 // the table that takes them away. A later incarnation of it believes in none of them.
-func (t *term) fenceLosers(state *rpc.ControlState, next *table, now time.Time) {
+func (t *term) fencePreviousOwners(state *rpc.ControlState, next *table, now time.Time) {
 	for index, before := range state.Partitions {
 		after := next.partitions[index]
 		if before.Epoch == after.Epoch || before.Node == "" {
--- a/internal/controlplane/planner_test.go
+++ b/internal/controlplane/planner_test.go
@@ -14,18 +14,18 @@
 	for _, request := range w.requests {
 		must.True(t, w.term.renewStore(w.state, request, w.now).granted)
 	}
-	const before = planPeriod / 5
-	must.Eq(t, planPeriod, w.term.untilNextPlan(w.now))
-	must.Eq(t, before, w.term.untilNextPlan(w.now.Add(defaultStoreLease-before)))
+	const before = maxPlanInterval / 5
+	must.Eq(t, maxPlanInterval, w.term.nextPlanDelay(w.now))
+	must.Eq(t, before, w.term.nextPlanDelay(w.now.Add(defaultStoreLease-before)))
 	over := w.now.Add(defaultStoreLease + leaseMargin)
-	must.Eq(t, before, w.term.untilNextPlan(over.Add(-before)))
+	must.Eq(t, before, w.term.nextPlanDelay(over.Add(-before)))
 	must.True(t, w.term.renewStore(w.state, w.requests[1], over.Add(-before)).granted)
 	next, _, err := w.term.plan(w.state, modelCopies, over)
 	must.NoError(t, err)
 	for _, ownership := range next.partitions {
 		must.Eq(t, "store-1", ownership.Node)
 	}
-	must.Eq(t, planPeriod, w.term.untilNextPlan(over))
+	must.Eq(t, maxPlanInterval, w.term.nextPlanDelay(over))
 }
 
 // renewedAt is when a store renewed its lease last.
@@ -40,7 +40,7 @@
 func TestPartitionsOfALostStoreMoveOnceItsLeaseIsOver(t *testing.T) {
 	directory := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		const planned = 2 * planPause
+		const planned = 2 * minPlanInterval
 		network := newSearchNetwork(t, 1, directory)
 		defer network.end()
 		for range 3 {
--- a/internal/controlplane/answers.go
+++ b/internal/controlplane/responses.go
@@ -18,13 +18,13 @@
 	headerLocation = "Location" // where a caller is to go
 )
 
-// faultAnswer is the body of an answer that is not a success.
-type faultAnswer struct {
+// errorResponse is the body of an answer that is not a success.
+type errorResponse struct {
 	Error string `json:"error"`
 }
 
-// okAnswer is the body of an acknowledgement.
-type okAnswer struct {
+// okResponse is the body of an acknowledgement.
+type okResponse struct {
 	Version uint64 `json:"version,omitempty"`
 }
 
@@ -43,32 +43,32 @@
 	_, _ = writer.Write(body) // a caller that is gone asks again
 }
 
-func writeFault(writer http.ResponseWriter, status int, reason string) {
+func writeError(writer http.ResponseWriter, status int, reason string) {
 	if status == http.StatusServiceUnavailable {
 		writer.Header().Set("Retry-After", retryAfterS)
 	}
-	writeJSON(writer, status, faultAnswer{Error: reason})
+	writeJSON(writer, status, errorResponse{Error: reason})
 }
 
-// sendToLeader answers a caller that this process can't serve: 307 where the leader is known, else 503.
+// redirectToLeader answers a caller that this process can't serve: 307 where the leader is known, else 503.
 // The body is read first, because a connection closed with unread bytes may lose the answer.
-func (s *Server) sendToLeader(writer http.ResponseWriter, request *http.Request) {
+func (s *Server) redirectToLeader(writer http.ResponseWriter, request *http.Request) {
 	_, _ = io.Copy(io.Discard, http.MaxBytesReader(writer, request.Body, maxBodyBytes))
-	leader := s.otherLeader()
+	leader := s.remoteLeader()
 	if leader == "" {
-		writeFault(writer, http.StatusServiceUnavailable, "no leader is known: try again or try another control process")
+		writeError(writer, http.StatusServiceUnavailable, "no leader is known: try again or try another control process")
 		return
 	}
 	writer.Header().Set(watch.LeaderHeader, leader)
 	writer.Header().Set(headerLocation, "http://"+leader+request.URL.RequestURI())
-	writeJSON(writer, http.StatusTemporaryRedirect, faultAnswer{Error: "not the leader: ask " + leader})
+	writeJSON(writer, http.StatusTemporaryRedirect, errorResponse{Error: "not the leader: ask " + leader})
 }
 
 // leaderOnly sends callers on unless this process leads.
 func (s *Server) leaderOnly(handler http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		if !s.state.leading() {
-			s.sendToLeader(writer, request)
+			s.redirectToLeader(writer, request)
 			return
 		}
 		handler(writer, request)
@@ -77,19 +77,19 @@
 
 // answer gives the outcome of an order or a read. A clear one was confirmed by a majority after the request came (see
 // replicatedState.newest and change); that the lease is valid now is a second guard.
-func (s *Server) answer(writer http.ResponseWriter, request *http.Request, outcome error, success any) {
-	var refusal *Refusal
+func (s *Server) respond(writer http.ResponseWriter, request *http.Request, err error, success any) {
+	var requestError *RequestError
 	var notLeader failover.NotLeader
 	switch {
-	case errors.As(outcome, &notLeader):
-		s.sendToLeader(writer, request)
-	case outcome == nil && s.state.leading():
+	case errors.As(err, &notLeader):
+		s.redirectToLeader(writer, request)
+	case err == nil && s.state.leading():
 		writeJSON(writer, http.StatusOK, success)
-	case errors.As(outcome, &refusal) && s.state.leading():
-		writeFault(writer, refusal.Status, refusal.Reason)
+	case errors.As(err, &requestError) && s.state.leading():
+		writeError(writer, requestError.Status, requestError.Reason)
 	default:
-		s.log.V(1).Info("an order has no clear outcome", "error", errorText(outcome))
-		writeFault(writer, http.StatusGatewayTimeout, "the outcome is not known: send the same order again")
+		s.log.V(1).Info("an order has no clear outcome", "error", errorText(err))
+		writeError(writer, http.StatusGatewayTimeout, "the outcome is not known: send the same order again")
 	}
 }
 
--- a/internal/controlplane/retire.go
+++ b/internal/controlplane/retire.go
@@ -12,23 +12,23 @@
 	retirementCompleted = "completed"
 )
 
-// retirementAnswer tells how far the emptying of a machine is.
-type retirementAnswer struct {
+// retirementResponse tells how far the emptying of a machine is.
+type retirementResponse struct {
 	State string `json:"state"`
 }
 
 // handleRetireStart takes the order to empty a store machine. A repeated order is acknowledged again.
 func (s *Server) handleRetireStart(writer http.ResponseWriter, request *http.Request) {
 	if _, err := readBody(writer, request); err != nil {
-		s.answer(writer, request, err, nil)
+		s.respond(writer, request, err, nil)
 		return
 	}
 	node := request.PathValue("node")
 	err := s.changeState(func(state *rpc.ControlState) error {
-		return startRetirement(state, node, s.copies())
+		return startRetirement(state, node, s.requiredCopies())
 	})
 	s.wakePlanner()
-	s.answer(writer, request, err, okAnswer{})
+	s.respond(writer, request, err, okResponse{})
 }
 
 // startRetirement marks a store as leaving: its partitions move, and its copies count as missing.
@@ -37,8 +37,8 @@
 		return nil
 	}
 	store := findStore(state.Stores, node)
-	if store == nil || isGone(store) {
-		return refuse(http.StatusNotFound, "no store machine is called %q: give the name of one that takes part", node)
+	if store == nil || isRemoved(store) {
+		return reject(http.StatusNotFound, "no store machine is called %q: give the name of one that takes part", node)
 	}
 	left := 0
 	for _, other := range activeStores(state) {
@@ -47,7 +47,7 @@
 		}
 	}
 	if left < copies {
-		return refuse(http.StatusConflict,
+		return reject(http.StatusConflict,
 			"%d whole stores would be left and %d are needed: add store machines first", left, copies)
 	}
 	store.Leaving = true
@@ -59,17 +59,17 @@
 // handleRetireRead tells how far the emptying of a machine is.
 func (s *Server) handleRetireRead(writer http.ResponseWriter, request *http.Request) {
 	node := request.PathValue("node")
-	state, err := s.state.newest()
+	state, err := s.state.readLatest()
 	if err != nil {
-		s.answer(writer, request, err, nil)
+		s.respond(writer, request, err, nil)
 		return
 	}
 	retirement := findRetirement(state.Retirements, node)
 	if retirement == nil {
-		s.answer(writer, request, refuse(http.StatusNotFound, "%q was never asked to retire: start it first", node), nil)
+		s.respond(writer, request, reject(http.StatusNotFound, "%q was never asked to retire: start it first", node), nil)
 		return
 	}
-	s.answer(writer, request, nil, retirementAnswer{State: retirementState(retirement)})
+	s.respond(writer, request, nil, retirementResponse{State: retirementState(retirement)})
 }
 
 func retirementState(retirement *rpc.Retirement) string {
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -23,17 +23,17 @@
 )
 
 const (
-	leastStreams      = 256
-	keptDescriptors   = 512 // for other connections and files
-	streamShare       = 0.5 // of the machine's link, at most, for long frames of the stream
-	bytesPerMegabit   = 1e6 / 8
-	headerTimeout     = 5 * time.Second // for the head of a request
-	idleTimeout       = time.Minute     // of a connection without a request
-	maxHeaderBytes    = 16 << 10
-	closeTimeout      = 500 * time.Millisecond // for answers under way at the end
-	resignPause       = 50 * time.Millisecond  // for the resignation to leave
-	recordName        = "control"              // of the files in dataDir
-	folderPermissions = 0o755
+	minStreams          = 256
+	reservedDescriptors = 512 // for other connections and files
+	maxStreamLinkShare  = 0.5 // of the machine's link, at most, for long frames of the stream
+	bytesPerMegabit     = 1e6 / 8
+	headerTimeout       = 5 * time.Second // for the head of a request
+	idleTimeout         = time.Minute     // of a connection without a request
+	maxHeaderBytes      = 16 << 10
+	closeTimeout        = 500 * time.Millisecond // for answers under way at the end
+	resignGracePeriod   = 50 * time.Millisecond  // for the resignation to leave
+	recordFileName      = "control"              // of the files in dataDir
+	dataDirPermissions  = 0o755
 )
 
 // Options are what a Server is told at its start.
@@ -60,47 +60,47 @@
 
 	platform http.RoundTripper // nil for TCP
 
-	current atomic.Pointer[settings.Settings]
-	node    node
-	store   *failover.FileStore // nil without a disk
-	state   *replicatedState
-	hub     *watch.Hub
-	peers   *peerTable
-	clients *clients
-	hint    atomic.Pointer[leaderHint]
-	term    atomic.Pointer[term] // nil while another process leads
+	currentSettings atomic.Pointer[settings.Settings]
+	node            node
+	store           *failover.FileStore // nil without a disk
+	state           *replicatedState
+	hub             *watch.Hub
+	peers           *peerTable
+	clients         *clients
+	leaderHint      atomic.Pointer[leaderHint]
+	term            atomic.Pointer[term] // nil while another process leads
 
-	calls          callCounters
-	orderSlots     chan struct{}
+	callCounts     callCounters
+	requestSlots   chan struct{}
 	leadershipWake chan struct{}
 	plannerWake    chan struct{}
-	working        sync.WaitGroup
+	background     sync.WaitGroup
 	published      publishedVersions
 }
 
 // New opens the data folder and starts the node of this process. It fails where the settings name no control
 // address, or where the folder can't be read.
 func New(options Options) (*Server, error) {
-	wanted := options.Settings
-	if wanted.Listen.Control == "" {
+	initial := options.Settings
+	if initial.Listen.Control == "" {
 		return nil, errors.New("listen.control is empty: give this role an address to serve control on")
 	}
 	server := &Server{
-		address:        wanted.Listen.Control,
-		zone:           wanted.Zone,
-		hasDisk:        wanted.DataDir != "",
+		address:        initial.Listen.Control,
+		zone:           initial.Zone,
+		hasDisk:        initial.DataDir != "",
 		log:            options.Log,
 		platform:       options.Platform,
-		hub:            watch.NewHub(partCount, max(leastStreams, options.Settings.Limits.MaxFds-keptDescriptors)),
+		hub:            watch.NewHub(partCount, max(minStreams, options.Settings.Limits.MaxFds-reservedDescriptors)),
 		peers:          newPeerTable(),
 		clients:        newClients(options.RoundTripper),
 		storeLease:     cmp.Or(options.StoreLease, defaultStoreLease),
-		orderSlots:     make(chan struct{}, maxOrders),
+		requestSlots:   make(chan struct{}, maxConcurrentRequests),
 		leadershipWake: make(chan struct{}, 1),
 		plannerWake:    make(chan struct{}, 1),
 	}
-	server.current.Store(wanted)
-	server.hub.Pace(streamShare * bytesPerMegabit * wanted.Limits.LinkMbps)
+	server.currentSettings.Store(initial)
+	server.hub.Pace(maxStreamLinkShare * bytesPerMegabit * initial.Limits.LinkMbps)
 	if err := server.openNode(options.Timing); err != nil {
 		return nil, err
 	}
@@ -111,21 +111,21 @@
 // openNode starts the node on the disk; a process without one gets a stand-in.
 func (s *Server) openNode(timing failover.Timing) error {
 	if !s.hasDisk {
-		s.node = outsider{}
+		s.node = disklessNode{}
 		return nil
 	}
-	wanted := s.settings()
-	if err := os.MkdirAll(wanted.DataDir, folderPermissions); err != nil {
+	configured := s.settings()
+	if err := os.MkdirAll(configured.DataDir, dataDirPermissions); err != nil {
 		return errors.Wrap(err, "create the data folder: check dataDir in the settings")
 	}
-	store, err := failover.OpenFileStore(filepath.Clean(wanted.DataDir), recordName)
+	store, err := failover.OpenFileStore(filepath.Clean(configured.DataDir), recordFileName)
 	if err != nil {
 		return errors.Wrap(err, "open the data folder: check dataDir in the settings")
 	}
 	node, err := startNode(failover.Config{
 		Address:   s.address,
-		Bootstrap: wanted.Bootstrap,
-		Seeds:     wanted.Seeds,
+		Bootstrap: configured.Bootstrap,
+		Seeds:     configured.Seeds,
 		Timing:    timing,
 		Storage:   store,
 		Transport: &transport{clients: s.clients},
@@ -143,16 +143,16 @@
 
 // settings returns the newest settings.
 func (s *Server) settings() *settings.Settings {
-	return s.current.Load()
+	return s.currentSettings.Load()
 }
 
 // copies is the number of copies that a message needs.
-func (s *Server) copies() int {
-	return tolerated(s.settings()) + 1
+func (s *Server) requiredCopies() int {
+	return toleratedFailures(s.settings()) + 1
 }
 
 // tolerated is the largest number of machines, zones or regions that may be lost at one time.
-func tolerated(settings *settings.Settings) int {
+func toleratedFailures(settings *settings.Settings) int {
 	tolerance := settings.FaultTolerance
 	return max(tolerance.Machines, tolerance.Zones, tolerance.Regions)
 }
@@ -173,7 +173,7 @@
 	mux.HandleFunc("GET /internal/watch", s.handleWatch)
 	mux.HandleFunc("GET /internal/status", s.handleStatus)
 	mux.HandleFunc("POST /internal/stores/{node}/abandon", s.leaderOnly(s.handleAbandon))
-	mux.Handle("GET "+metrics.Path, metrics.Handler(s.Figures))
+	mux.Handle("GET "+metrics.Path, metrics.Handler(s.Metrics))
 	mux.HandleFunc("POST /api/config/replace", s.leaderOnly(s.handleReplace))
 	mux.HandleFunc("POST /api/config/update", s.leaderOnly(s.handleUpdate))
 	mux.HandleFunc("GET /api/config/read", s.leaderOnly(s.handleRead))
@@ -197,9 +197,9 @@
 	running, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.start(running)
-	heldUp := holdup.Watch(running, s.log)
-	figures := metrics.ServeRole(s.settings(), s.log, func() []metrics.Figure { return append(s.Figures(), heldUp.Figures()...) })
-	defer func() { _ = figures.Close() }()
+	stalls := holdup.Watch(running, s.log)
+	metricsServer := metrics.ServeRole(s.settings(), s.log, func() []metrics.Figure { return append(s.Metrics(), stalls.Figures()...) })
+	defer func() { _ = metricsServer.Close() }()
 	server := &http.Server{
 		Handler:           s.Handler(),
 		ReadHeaderTimeout: headerTimeout,
@@ -220,7 +220,7 @@
 	}
 	s.node.Resign()
 	cancel()
-	s.working.Wait()
+	s.background.Wait()
 	s.closeServer(server)
 	s.close()
 	return err
@@ -228,13 +228,13 @@
 
 // start starts what runs at every control process.
 func (s *Server) start(ctx context.Context) {
-	s.working.Add(2)
+	s.background.Add(2)
 	go func() {
-		defer s.working.Done()
+		defer s.background.Done()
 		s.runLeadership(ctx)
 	}()
 	go func() {
-		defer s.working.Done()
+		defer s.background.Done()
 		s.runJoin(ctx)
 	}()
 }
@@ -250,7 +250,7 @@
 
 // close ends the node, after its resignation had time to leave, and the files.
 func (s *Server) close() {
-	time.Sleep(resignPause)
+	time.Sleep(resignGracePeriod)
 	s.node.Close()
 	s.clients.close()
 	if s.store != nil {
@@ -260,6 +260,6 @@
 
 // Reload takes newer settings: seeds, the platform's address and the fault tolerance. What a process listens on
 // and where it keeps its state stay as they were at its start.
-func (s *Server) Reload(newer *settings.Settings) {
-	s.current.Store(newer)
+func (s *Server) Reload(updated *settings.Settings) {
+	s.currentSettings.Store(updated)
 }
--- a/internal/controlplane/service.go
+++ b/internal/controlplane/service.go
@@ -55,13 +55,13 @@
 // Join implements rpc.Control.
 func (s *service) Join(_ context.Context, request *rpc.JoinRequest) (*rpc.JoinReply, error) {
 	server := s.server
-	server.calls.joins.Add(1)
+	server.callCounts.joins.Add(1)
 	leading := server.state.leading()
 	switch {
 	case leading:
-		server.peers.note(request, time.Now())
+		server.peers.record(request, time.Now())
 	case request.Leads:
-		server.learnLeader(request.Address)
+		server.setLeaderHint(request.Address)
 	}
 	return &rpc.JoinReply{
 		Leader:        leading,
@@ -73,7 +73,7 @@
 // Renew implements rpc.Control.
 func (s *service) Renew(_ context.Context, request *rpc.RenewRequest) (*rpc.RenewReply, error) {
 	server := s.server
-	server.calls.renewals.Add(1)
+	server.callCounts.renewals.Add(1)
 	term := server.currentTerm()
 	outcome := renewal{}
 	if term != nil && server.state.leading() {
@@ -96,7 +96,7 @@
 		reply.ConfigVersion = newest
 	}
 	if reply.Granted {
-		reply.LeaseMs = outcome.length.Milliseconds()
+		reply.LeaseMs = outcome.duration.Milliseconds()
 	}
 	return reply, nil
 }
@@ -106,13 +106,13 @@
 	switch request.Role {
 	case roleStore:
 		outcome := t.renewStore(s.state.committed(), request, now)
-		if outcome.wake {
+		if outcome.wakePlanner {
 			s.wakePlanner()
 		}
 		return outcome
 	case roleDispatcher:
 		t.renewDispatcher(request, now)
-		return renewal{granted: true, length: s.storeLease}
+		return renewal{granted: true, duration: s.storeLease}
 	default:
 		return renewal{}
 	}
--- a/internal/controlplane/settle_test.go
+++ b/internal/controlplane/settle_test.go
@@ -56,7 +56,7 @@
 
 func TestRetirementCompletes(t *testing.T) {
 	w := newSettleWorld(t)
-	must.False(t, w.run(retireSettle))
+	must.False(t, w.run(retireConfirmTime))
 	must.True(t, w.run(time.Second))
 }
 
@@ -66,7 +66,7 @@
 	w.requests[2].MapVersion = 4
 	must.False(t, w.run(5*time.Second))
 	w.requests[2].MapVersion = 5
-	must.False(t, w.run(retireSettle))
+	must.False(t, w.run(retireConfirmTime))
 	must.True(t, w.run(time.Second))
 }
 
@@ -105,7 +105,7 @@
 func TestRetirementDoesNotWaitForLaterCopies(t *testing.T) {
 	w := newSettleWorld(t)
 	w.requests[1].UnderCopied, w.requests[1].Unconfirmed, w.requests[1].UnconfirmedUnder = 3, 3, 5
-	must.False(t, w.run(retireSettle))
+	must.False(t, w.run(retireConfirmTime))
 	must.True(t, w.run(time.Second))
 }
 
@@ -128,7 +128,7 @@
 			w.term.renewStore(w.state, request, w.now)
 		}
 		next := copyTable(w.state)
-		w.term.restoreWhole(w.state, next, w.now)
+		w.term.markRestoredStores(w.state, next, w.now)
 		if findStore(next.stores, "store-2").Whole {
 			return true
 		}
@@ -174,7 +174,7 @@
 				w.term.renewStore(w.state, request, w.now)
 			}
 			next := copyTable(w.state)
-			w.term.giveUpSilent(w.state, next, modelCopies, w.now)
+			w.term.removeSilentStores(w.state, next, modelCopies, w.now)
 			given = given || findStore(next.stores, "store-2").Address == ""
 		}
 		must.EqOp(t, placedUnder == 5, given)
@@ -184,7 +184,7 @@
 // What a disk may have lost was begun under tables before the first one that names its successor.
 func TestTableThatNamesADisk(t *testing.T) {
 	state := &rpc.ControlState{MapVersion: 5, Stores: []*rpc.StoreMember{{Node: "store-0", Disk: "disk-0"}}}
-	must.EqOp(t, 5, tableWithDisk(state, &rpc.StoreMember{Node: "store-0", Disk: "disk-0"}))
-	must.EqOp(t, 6, tableWithDisk(state, &rpc.StoreMember{Node: "store-0", Disk: "disk-1"}))
-	must.EqOp(t, 6, tableWithDisk(state, &rpc.StoreMember{Node: "store-1", Disk: "disk-2"}))
+	must.EqOp(t, 5, firstMapWithDisk(state, &rpc.StoreMember{Node: "store-0", Disk: "disk-0"}))
+	must.EqOp(t, 6, firstMapWithDisk(state, &rpc.StoreMember{Node: "store-0", Disk: "disk-1"}))
+	must.EqOp(t, 6, firstMapWithDisk(state, &rpc.StoreMember{Node: "store-1", Disk: "disk-2"}))
 }
--- a/internal/controlplane/sim_network_test.go
+++ b/internal/controlplane/sim_network_test.go
@@ -248,7 +248,7 @@
 	close(process.dead)
 	process.cancel()
 	process.server.node.Close()
-	process.server.working.Wait()
+	process.server.background.Wait()
 	if process.server.store != nil {
 		process.server.store.Close()
 	}
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -15,8 +15,8 @@
 
 // What the state keeps of the orders that were taken.
 const (
-	maxTaken    = 1024 // orders, the newest
-	digestBytes = 16   // of the digest of each
+	maxAppliedDigests = 1024 // orders, the newest
+	digestBytes       = 16   // of the digest of each
 )
 
 // readTimeout bounds the wait for a majority to confirm that the state of this process is the newest. Callers move on after
@@ -47,7 +47,7 @@
 
 // newest returns the committed state once a majority has confirmed, after the call began, that this process leads: it
 // holds all that was acknowledged by then. The caller must not change it. Errors are those of failover.Node.Read.
-func (s *replicatedState) newest() (*rpc.ControlState, error) {
+func (s *replicatedState) readLatest() (*rpc.ControlState, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
 	if err := s.replica.Read(ctx); err != nil {
@@ -89,7 +89,7 @@
 		if err := proto.Unmarshal(old, state); err != nil {
 			return nil, errors.Wrap(err, "read the state: restore the data folder of this process")
 		}
-		before := checkedFigures(state)
+		before := versionsOf(state)
 		if err := change(state); err != nil {
 			return nil, err
 		}
@@ -99,28 +99,28 @@
 }
 
 // figures are the versions of a state that may only rise.
-type figures struct {
+type versions struct {
 	config uint64
 	table  uint64
 }
 
-func checkedFigures(state *rpc.ControlState) figures {
-	return figures{config: state.ConfigVersion, table: state.MapVersion}
+func versionsOf(state *rpc.ControlState) versions {
+	return versions{config: state.ConfigVersion, table: state.MapVersion}
 }
 
 // check panics where a change broke an invariant of the state.
-func (f figures) check(state *rpc.ControlState) {
+func (f versions) check(state *rpc.ControlState) {
 	if state.ConfigVersion < f.config || state.MapVersion < f.table {
 		panic(errors.Errorf("a change lowered a version (config %d to %d, map %d to %d): report this as a defect",
 			f.config, state.ConfigVersion, f.table, state.MapVersion))
 	}
-	if len(state.Taken) > maxTaken {
+	if len(state.Taken) > maxAppliedDigests {
 		panic(errors.New("more digests are kept than allowed: report this as a defect"))
 	}
 }
 
-// wasTaken reports whether an order with this digest has been taken. Digests in older states are longer.
-func wasTaken(state *rpc.ControlState, digest []byte) bool {
+// wasApplied reports whether an order with this digest has been taken. Digests in older states are longer.
+func wasApplied(state *rpc.ControlState, digest []byte) bool {
 	for _, taken := range state.Taken {
 		if bytes.HasPrefix(taken.Digest, digest) {
 			return true
@@ -129,16 +129,16 @@
 	return false
 }
 
-// mayBeForgotten reports whether an order that builds on a version may have been taken so long ago that its digest was
+// digestMayBeDropped reports whether an order that builds on a version may have been taken so long ago that its digest was
 // dropped. The configuration that it led to was then older than that of every order that is still known.
-func mayBeForgotten(state *rpc.ControlState, ifVersion uint64) bool {
-	return len(state.Taken) >= maxTaken && ifVersion < state.Taken[0].Version
+func digestMayBeDropped(state *rpc.ControlState, ifVersion uint64) bool {
+	return len(state.Taken) >= maxAppliedDigests && ifVersion < state.Taken[0].Version
 }
 
-// recordTaken adds a digest and drops the oldest above the bound.
-func recordTaken(state *rpc.ControlState, digest []byte) {
+// recordApplied adds a digest and drops the oldest above the bound.
+func recordApplied(state *rpc.ControlState, digest []byte) {
 	state.Taken = append(state.Taken, &rpc.Taken{Digest: digest, Version: state.ConfigVersion})
-	if excess := len(state.Taken) - maxTaken; excess > 0 {
+	if excess := len(state.Taken) - maxAppliedDigests; excess > 0 {
 		state.Taken = state.Taken[excess:]
 	}
 }
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -102,7 +102,7 @@
 		ControlAddresses: s.controlAddresses(),
 		Partitions:       make(map[string]int),
 		Retirements:      make(map[string]string),
-		FaultTolerance:   s.copies() - 1,
+		FaultTolerance:   s.requiredCopies() - 1,
 		VotersWanted:     s.wantedVoters(),
 		VotersExchanging: known.Exchanging,
 	}
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -11,8 +11,8 @@
 // partitionCount is the number of partitions that messages are spread over.
 const partitionCount = 64
 
-// replacedDisksMost is how many earlier disks of a machine are remembered.
-const replacedDisksMost = 2
+// maxReplacedDisks is how many earlier disks of a machine are remembered.
+const maxReplacedDisks = 2
 
 // table is the part of the state that the planner changes: stores, owners and retirements.
 type table struct {
@@ -39,7 +39,7 @@
 }
 
 // put replaces the table of a state and raises its version.
-func (t *table) put(state *rpc.ControlState) {
+func (t *table) writeTo(state *rpc.ControlState) {
 	state.Stores = t.stores
 	state.Partitions = t.partitions
 	state.Retirements = t.retirements
@@ -73,15 +73,15 @@
 	return retirement != nil && retirement.Completed
 }
 
-// isGone reports whether a store was given up after it had been away for long and its copies had been restored
+// isRemoved reports whether a store was given up after it had been away for long and its copies had been restored
 // elsewhere. It stays in the table without an address, so that its disk and incarnation are known when it comes
 // back.
-func isGone(store *rpc.StoreMember) bool {
+func isRemoved(store *rpc.StoreMember) bool {
 	return store.Leaving && store.Address == ""
 }
 
-// giveUp makes a store one that is gone.
-func giveUp(store *rpc.StoreMember) {
+// markRemoved makes a store one that is gone.
+func markRemoved(store *rpc.StoreMember) {
 	store.Leaving = true
 	store.Whole = false
 	store.Address = ""
@@ -89,7 +89,7 @@
 
 // activeStores returns the stores that take part: all but those that have been emptied or are gone.
 func activeStores(state *rpc.ControlState) []*rpc.StoreMember {
-	return takingPart(state.Stores, state.Retirements)
+	return activeMembers(state.Stores, state.Retirements)
 }
 
 // publishedStores returns the active stores without what control processes alone need.
@@ -104,10 +104,10 @@
 	return published
 }
 
-func takingPart(stores []*rpc.StoreMember, retirements []*rpc.Retirement) []*rpc.StoreMember {
+func activeMembers(stores []*rpc.StoreMember, retirements []*rpc.Retirement) []*rpc.StoreMember {
 	active := make([]*rpc.StoreMember, 0, len(stores))
 	for _, store := range stores {
-		if !isRetired(retirements, store.Node) && !isGone(store) {
+		if !isRetired(retirements, store.Node) && !isRemoved(store) {
 			active = append(active, store)
 		}
 	}
@@ -131,7 +131,7 @@
 		return admissionNew
 	case isRetired(state.Retirements, status.node):
 		return admissionRetired
-	case member.Incarnation != status.incarnation || isGone(member):
+	case member.Incarnation != status.incarnation || isRemoved(member):
 		return admissionNew
 	default:
 		return admissionKnown
@@ -145,22 +145,22 @@
 // that was emptied and comes back with a new disk is a new one.
 func (t *table) admit(status *storeStatus) bool {
 	member := findStore(t.stores, status.node)
-	heldNothing := member == nil || isGone(member) || isRetired(t.retirements, status.node) || len(t.partitions) == 0
+	heldNothing := member == nil || isRemoved(member) || isRetired(t.retirements, status.node) || len(t.partitions) == 0
 	if member == nil {
 		member = &rpc.StoreMember{Node: status.node}
 		t.stores = append(t.stores, member)
 	}
-	if isGone(member) {
+	if isRemoved(member) {
 		member.Leaving = false
 		member.Whole = true
 	}
 	if member.Disk != status.disk {
-		noteReplacedDisk(member, status.disk)
+		recordReplacedDisk(member, status.disk)
 		member.Disk = status.disk
 		member.Whole = heldNothing
 		if isRetired(t.retirements, status.node) {
 			member.Leaving = false
-			t.forgetRetirement(status.node)
+			t.removeRetirement(status.node)
 		}
 	}
 	isNew := member.Incarnation != status.incarnation
@@ -170,8 +170,8 @@
 	return isNew
 }
 
-// noteReplacedDisk notes that another disk takes the place of a machine's present one.
-func noteReplacedDisk(member *rpc.StoreMember, next string) {
+// recordReplacedDisk notes that another disk takes the place of a machine's present one.
+func recordReplacedDisk(member *rpc.StoreMember, next string) {
 	if member.Disk == "" {
 		return
 	}
@@ -181,10 +181,10 @@
 			replaced = append(replaced, disk)
 		}
 	}
-	member.ReplacedDisks = replaced[max(0, len(replaced)-replacedDisksMost):]
+	member.ReplacedDisks = replaced[max(0, len(replaced)-maxReplacedDisks):]
 }
 
-func (t *table) forgetRetirement(node string) {
+func (t *table) removeRetirement(node string) {
 	kept := t.retirements[:0]
 	for _, retirement := range t.retirements {
 		if retirement.Node != node {
--- a/internal/controlplane/term.go
+++ b/internal/controlplane/term.go
@@ -12,16 +12,16 @@
 // Timing of leases and members.
 const (
 	leaseMargin = 250 * time.Millisecond // by which the leader waits longer for the end of a lease; bounds the drift of clocks
-	// supersedeAfter is how long a disk must have been silent before another of the same machine takes its
+	// diskReplacementDelay is how long a disk must have been silent before another of the same machine takes its
 	// place: a renewal of an ended process that was held up on its way tells of no newer disk.
-	supersedeAfter = 900 * time.Millisecond
-	// returnAfter is the same for a disk that was replaced before: the one in its place may be starting anew.
-	returnAfter    = 10 * time.Second
-	assignAfter    = 1500 * time.Millisecond // from the first store to the first assignment
-	assignAtLatest = 3 * time.Second         // the first assignment waits for more stores until then
-	// impairedFor is how long a store counts as impaired after it last said so: a disk that comes and goes is not to move
+	diskReplacementDelay = 900 * time.Millisecond
+	// replacedDiskReturnDelay is the same for a disk that was replaced before: the one in its place may be starting anew.
+	replacedDiskReturnDelay = 10 * time.Second
+	firstAssignmentDelay    = 1500 * time.Millisecond // from the first store to the first assignment
+	maxFirstAssignmentDelay = 3 * time.Second         // the first assignment waits for more stores until then
+	// impairedHoldTime is how long a store counts as impaired after it last said so: a disk that comes and goes is not to move
 	// partitions to and fro.
-	impairedFor = 3 * time.Second
+	impairedHoldTime = 3 * time.Second
 )
 
 // storeStatus is what the newest renewals of a store have told. It belongs to its term.
@@ -32,18 +32,18 @@
 	address     string
 	zone        string
 
-	renewedAt     time.Time
-	admittedAt    time.Time // when its incarnation was recorded in this term, so that no older table names it
-	granted       bool      // it was granted a lease in this term
-	leaving       bool
-	impairedUntil time.Time // its disk kept it from accepting lately
-	mapVersion    uint64
-	configVersion uint64
-	listVersion   uint64
-	readyCount    int // partitions that it has taken over
-	backlog       uint64
-	underCopied   uint64
-	cleanSince    time.Time // since when it has reported no message of its partitions with too few copies; zero if it has some
+	renewedAt       time.Time
+	admittedAt      time.Time // when its incarnation was recorded in this term, so that no older table names it
+	granted         bool      // it was granted a lease in this term
+	leaving         bool
+	impairedUntil   time.Time // its disk kept it from accepting lately
+	mapVersion      uint64
+	configVersion   uint64
+	listVersion     uint64
+	readyCount      int // partitions that it has taken over
+	backlog         uint64
+	underCopied     uint64
+	replicatedSince time.Time // since when it has reported no message of its partitions with too few copies; zero if it has some
 	// unconfirmed is whether it holds copies that their owners may not know; unconfirmedUnder is the lowest table under which a dispatcher
 	// began to place one of them.
 	unconfirmed      bool
@@ -76,42 +76,42 @@
 	context context.Context // ends with the term
 	cancel  context.CancelFunc
 
-	mutex       sync.Mutex
-	stores      map[string]*storeStatus      // by machine
-	dispatchers map[string]*dispatcherStatus // by machine
-	leases      *storeLeases
-	fences      map[string]uint64 // by machine: the map version it must know to be granted a lease
-	firstStore  time.Time         // when the first store renewed
-	joined      map[string]moment // by disk: since when a disk that is not whole has been known
-	emptySince  map[string]moment // by machine that retires: since when it has owned nothing
-	silentSince map[string]moment // by machine: since when its store has held no lease, and the table by which it was first leaving
-	releases    []*release
-	listVersion uint64 // of the list of workers
+	mutex          sync.Mutex
+	stores         map[string]*storeStatus      // by machine
+	dispatchers    map[string]*dispatcherStatus // by machine
+	leases         *storeLeases
+	fences         map[string]uint64     // by machine: the map version it must know to be granted a lease
+	firstStore     time.Time             // when the first store renewed
+	restoringSince map[string]startPoint // by disk: since when a disk that is not whole has been known
+	drainedSince   map[string]startPoint // by machine that retires: since when it has owned nothing
+	leaselessSince map[string]startPoint // by machine: since when its store has held no lease, and the table by which it was first leaving
+	releases       []*release
+	listVersion    uint64 // of the list of workers
 }
 
 // newTerm begins the term of a leader that grants leases to stores of no more than a length.
 func newTerm(epoch uint64, state *rpc.ControlState, storeLease time.Duration, now time.Time) *term {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &term{
-		epoch:       epoch,
-		started:     now,
-		context:     ctx,
-		cancel:      cancel,
-		stores:      make(map[string]*storeStatus),
-		dispatchers: make(map[string]*dispatcherStatus),
-		leases:      newStoreLeases(state, storeLease, now),
-		fences:      make(map[string]uint64),
-		joined:      make(map[string]moment),
-		emptySince:  make(map[string]moment),
-		silentSince: make(map[string]moment),
+		epoch:          epoch,
+		started:        now,
+		context:        ctx,
+		cancel:         cancel,
+		stores:         make(map[string]*storeStatus),
+		dispatchers:    make(map[string]*dispatcherStatus),
+		leases:         newStoreLeases(state, storeLease, now),
+		fences:         make(map[string]uint64),
+		restoringSince: make(map[string]startPoint),
+		drainedSince:   make(map[string]startPoint),
+		leaselessSince: make(map[string]startPoint),
 	}
 }
 
 // renewal is the outcome of a renewal.
 type renewal struct {
-	granted bool
-	length  time.Duration // of the lease, where it is granted
-	wake    bool          // the planner has something to do
+	granted     bool
+	duration    time.Duration // of the lease, where it is granted
+	wakePlanner bool          // the planner has something to do
 }
 
 // renewStore takes the renewal of a store. A lease is granted to the recorded incarnation alone, and only
@@ -119,26 +119,26 @@
 func (t *term) renewStore(state *rpc.ControlState, request *rpc.RenewRequest, now time.Time) renewal {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	status, changed := t.noteStore(state, request, now)
+	status, changed := t.updateStore(state, request, now)
 	if status == nil {
 		return renewal{}
 	}
 	if admission := admissionOf(state, status); admission != admissionKnown {
-		return renewal{wake: admission == admissionNew}
+		return renewal{wakePlanner: admission == admissionNew}
 	}
 	if !t.mayGrant(state, status, now) {
-		return renewal{wake: changed}
+		return renewal{wakePlanner: changed}
 	}
-	t.leases.follow(state)
+	t.leases.applyRecordedLimit(state)
 	if !t.leases.grant(status.node, status.incarnation, now) {
 		return renewal{}
 	}
 	status.granted = true
-	return renewal{granted: true, length: t.leases.length(), wake: changed}
+	return renewal{granted: true, duration: t.leases.duration(), wakePlanner: changed}
 }
 
-// noteStore records what a store tells. It returns nil for an incarnation that can't be the newest.
-func (t *term) noteStore(state *rpc.ControlState, request *rpc.RenewRequest, now time.Time) (*storeStatus, bool) {
+// updateStore records what a store tells. It returns nil for an incarnation that can't be the newest.
+func (t *term) updateStore(state *rpc.ControlState, request *rpc.RenewRequest, now time.Time) (*storeStatus, bool) {
 	status := t.stores[request.Node]
 	isNew := status == nil || status.incarnation != request.Incarnation
 	if isNew {
@@ -151,14 +151,14 @@
 	if t.firstStore.IsZero() {
 		t.firstStore = now
 	}
-	return status, status.note(request, now) || isNew
+	return status, status.update(request, now) || isNew
 }
 
 // mayBeNewest reports whether an incarnation may take the place of those known of its machine. Incarnations of
 // one disk are in order. Those of different disks are not: the older one must have been silent for a while.
 func (t *term) mayBeNewest(state *rpc.ControlState, request *rpc.RenewRequest, now time.Time) bool {
 	member := findStore(state.Stores, request.Node)
-	silence := silenceWanted(member, request.Disk)
+	silence := requiredSilence(member, request.Disk)
 	if status := t.stores[request.Node]; status != nil {
 		if status.disk == request.Disk {
 			return request.Incarnation > status.incarnation
@@ -176,16 +176,16 @@
 	return now.Sub(t.started) >= silence
 }
 
-// silenceWanted returns how long the present disk of a machine must have been silent before this one takes its place.
-func silenceWanted(member *rpc.StoreMember, disk string) time.Duration {
+// requiredSilence returns how long the present disk of a machine must have been silent before this one takes its place.
+func requiredSilence(member *rpc.StoreMember, disk string) time.Duration {
 	if member != nil && slices.Contains(member.ReplacedDisks, disk) {
-		return returnAfter
+		return replacedDiskReturnDelay
 	}
-	return supersedeAfter
+	return diskReplacementDelay
 }
 
 // note records a renewal and reports whether it tells anything that the planner acts on.
-func (s *storeStatus) note(request *rpc.RenewRequest, now time.Time) bool {
+func (s *storeStatus) update(request *rpc.RenewRequest, now time.Time) bool {
 	changed := s.leaving != request.Leaving || request.Impaired && !s.impaired(now)
 	s.disk = request.Disk
 	s.address = request.Address
@@ -193,7 +193,7 @@
 	s.renewedAt = now
 	s.leaving = request.Leaving
 	if request.Impaired {
-		s.impairedUntil = now.Add(impairedFor)
+		s.impairedUntil = now.Add(impairedHoldTime)
 	}
 	s.mapVersion = request.MapVersion
 	s.configVersion = request.ConfigVersion
@@ -204,9 +204,9 @@
 	s.unconfirmed = request.Unconfirmed > 0
 	s.unconfirmedUnder = request.UnconfirmedUnder
 	if request.UnderCopied > request.Unconfirmed {
-		s.cleanSince = time.Time{}
-	} else if s.cleanSince.IsZero() {
-		s.cleanSince = now
+		s.replicatedSince = time.Time{}
+	} else if s.replicatedSince.IsZero() {
+		s.replicatedSince = now
 	}
 	return changed
 }
@@ -242,7 +242,7 @@
 	if status == nil || status.incarnation != member.Incarnation {
 		return false
 	}
-	return status.awaitsFirstLease() && now.Sub(status.admittedAt) < t.leases.length()
+	return status.awaitsFirstLease() && now.Sub(status.admittedAt) < t.leases.duration()
 }
 
 // renewDispatcher takes the renewal of a dispatcher. Nothing depends on its lease but what is shown.
--- a/internal/controlplane/transport.go
+++ b/internal/controlplane/transport.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	peerDialTimeout = 250 * time.Millisecond
-	peerUserTimeout = 2 * time.Second // after which a connection ends whose peer acknowledges nothing
-	idleConnections = 2               // kept to each control process
+	peerDialTimeout     = 250 * time.Millisecond
+	peerUserTimeout     = 2 * time.Second // after which a connection ends whose peer acknowledges nothing
+	maxIdleConnsPerPeer = 2               // kept to each control process
 )
 
 // clients holds one client for each control process that is called.
@@ -50,7 +50,7 @@
 	return &http.Transport{
 		DialContext:         dial,
 		DisableCompression:  true,
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdleConnsPerPeer,
 		IdleConnTimeout:     time.Minute,
 	}
 }
--- a/internal/controlplane/unconfirmed_test.go
+++ b/internal/controlplane/unconfirmed_test.go
@@ -73,14 +73,14 @@
 
 // serverOn returns a server on a stand-in for its node, which holds a configuration and a retirement.
 func serverOn(t *testing.T, n *cutOffNode) *Server {
-	taken := newConfigOrder(orderReplace, 0, []byte(configWith(5, "a")))
+	taken := newConfigRequest(requestReplace, 0, []byte(configWith(5, "a")))
 	n.state = &rpc.ControlState{
 		ConfigVersion: 5,
 		Config:        taken.body,
 		Stores:        []*rpc.StoreMember{{Node: "store-0", Leaving: true, Whole: true, Address: "a"}, {Node: "store-1", Whole: true, Address: "b"}},
 		Retirements:   []*rpc.Retirement{{Node: "store-0"}},
 	}
-	recordTaken(n.state, taken.digest)
+	recordApplied(n.state, taken.digest)
 	server, err := New(Options{Log: logr.Discard(), Settings: &settings.Settings{
 		Listen: settings.Listen{Control: "10.0.0.1:1"}, FaultTolerance: settings.FaultTolerance{Machines: 1},
 	}})
@@ -121,12 +121,12 @@
 func TestOldOrderThatMayBeForgottenIsNotRefused(t *testing.T) {
 	n := &cutOffNode{}
 	server := serverOn(t, n)
-	first := newConfigOrder(orderReplace, 0, []byte(configWith(5, "a")))
-	for version := range uint64(maxTaken) {
+	first := newConfigRequest(requestReplace, 0, []byte(configWith(5, "a")))
+	for version := range uint64(maxAppliedDigests) {
 		n.state.ConfigVersion = 6 + version
-		recordTaken(n.state, newConfigOrder(orderReplace, 5+version, []byte("{}")).digest)
+		recordApplied(n.state, newConfigRequest(requestReplace, 5+version, []byte("{}")).digest)
 	}
-	must.False(t, wasTaken(n.state, first.digest))
+	must.False(t, wasApplied(n.state, first.digest))
 	must.GreaterEq(t, http.StatusInternalServerError, statusOf(server, http.MethodPost, replacePath, "0", string(first.body)))
 	recent := n.state.ConfigVersion - 1
 	must.EqOp(t, http.StatusPreconditionFailed,
@@ -135,9 +135,9 @@
 
 // TestDigestsOfOlderStatesAreKnown reads a state whose digests are whole.
 func TestDigestsOfOlderStatesAreKnown(t *testing.T) {
-	order := newConfigOrder(orderReplace, 0, []byte("{}"))
+	order := newConfigRequest(requestReplace, 0, []byte("{}"))
 	state := &rpc.ControlState{Taken: []*rpc.Taken{{Digest: append(append([]byte{}, order.digest...), 1, 2, 3)}}}
-	must.True(t, wasTaken(state, order.digest))
+	must.True(t, wasApplied(state, order.digest))
 }
 
 func statusOf(server *Server, method, path, ifVersion, body string) int {
