--- a/internal/controlplane/config_api.go
+++ b/internal/controlplane/config_api.go
@@ -15,16 +15,16 @@
 
 const (
 	headerIfVersion       = "X-If-Version"
-	proposeTimeout        = 2500 * time.Millisecond // of one order; callers move on after about a second
-	maxConcurrentRequests = 16                      // orders served at a time
+	proposeTimeout        = 2500 * time.Millisecond // for committing one change; callers give up after about 1 s
+	maxConcurrentRequests = 16                      // requests to change the configuration
 )
 
-// handleReplace takes a whole configuration.
+// handleReplace replaces the whole configuration.
 func (s *Server) handleReplace(writer http.ResponseWriter, request *http.Request) {
 	s.handleConfigRequest(requestReplace, writer, request)
 }
 
-// handleUpdate takes changes of named items.
+// handleUpdate changes named items of the configuration.
 func (s *Server) handleUpdate(writer http.ResponseWriter, request *http.Request) {
 	s.handleConfigRequest(requestUpdate, writer, request)
 }
@@ -34,7 +34,7 @@
 	case s.requestSlots <- struct{}{}:
 		defer func() { <-s.requestSlots }()
 	default:
-		writeError(writer, http.StatusServiceUnavailable, "too many orders at a time: send this one again later")
+		writeError(writer, http.StatusServiceUnavailable, "too many concurrent requests to change the configuration: send this one again later")
 		return
 	}
 	change, err := readConfigRequest(kind, writer, request)
@@ -46,7 +46,7 @@
 	s.respond(writer, request, err, okResponse{})
 }
 
-// readConfigRequest reads the head and body of an order.
+// readConfigRequest reads the headers and body of a change request.
 func readConfigRequest(kind requestKind, writer http.ResponseWriter, request *http.Request) (configRequest, error) {
 	body, err := readBody(writer, request)
 	if err != nil {
@@ -55,7 +55,7 @@
 	ifVersion, err := strconv.ParseUint(strings.TrimSpace(request.Header.Get(headerIfVersion)), 10, 64)
 	if err != nil {
 		return configRequest{}, reject(http.StatusBadRequest,
-			"%s is missing or no number: give the version that the order builds on, 0 for the first", headerIfVersion)
+			"%s is missing or not a number: give the version that the request is based on, 0 for the first", headerIfVersion)
 	}
 	return newConfigRequest(kind, ifVersion, body), nil
 }
@@ -67,13 +67,13 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, reject(http.StatusRequestEntityTooLarge, "the body is above %d bytes: send less", tooLarge.Limit)
+		return nil, reject(http.StatusRequestEntityTooLarge, "the request body exceeds %d bytes: send less", tooLarge.Limit)
 	}
-	return nil, errors.Wrap(err, "the body didn't come whole: send the order again")
+	return nil, errors.Wrap(err, "read the request body: send the request again")
 }
 
-// applyConfigRequest commits an order. It returns nil if the order is part of the committed state, a Refusal if it
-// is refused, and any other error where the outcome is not known. All but the last are confirmed by a majority.
+// applyConfigRequest commits a change. It returns nil if the change is part of the committed state, a RequestError if
+// it is rejected, and any other error if the outcome is unknown. A majority has confirmed the first two outcomes.
 func (s *Server) applyConfigRequest(change configRequest) error {
 	prepared, err := change.prepare(s.state.committed())
 	if err == nil {
@@ -87,15 +87,15 @@
 	return err
 }
 
-// changeState commits a change within the time that callers wait. It doesn't end with the caller, who may
-// send the order again.
+// changeState commits a change within proposeTimeout. It is not canceled with the caller's request, which may be
+// sent again.
 func (s *Server) changeState(change func(*rpc.ControlState) error) error {
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
 	return s.state.change(ctx, change)
 }
 
-// confirmOutcome compares an order that can't be taken on top of the state that this process knows with the newest state.
+// confirmOutcome checks a change that is not applicable to the committed state known here against the latest state.
 func (s *Server) confirmOutcome(change configRequest) error {
 	newest, err := s.state.readLatest()
 	if err != nil {
@@ -104,10 +104,10 @@
 	if _, err := change.prepare(newest); err != nil {
 		return err
 	}
-	return errors.New("the configuration was changed meanwhile: send the order again")
+	return errors.New("the configuration changed in the meantime: send the request again")
 }
 
-// handleRead answers with the newest configuration.
+// handleRead responds with the latest configuration.
 func (s *Server) handleRead(writer http.ResponseWriter, request *http.Request) {
 	state, err := s.state.readLatest()
 	if err == nil && state.ConfigVersion == 0 {
--- a/internal/controlplane/config_request.go
+++ b/internal/controlplane/config_request.go
@@ -11,13 +11,13 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// Outcomes of an order that are neither new nor a refusal.
+// Outcomes of a change request that is neither new nor rejected.
 var (
-	errAlreadyApplied = errors.New("this order was taken before")
-	errDigestDropped  = errors.New("the order builds on a version so old that it may have been taken and forgotten: read the configuration")
+	errAlreadyApplied = errors.New("this change request was applied before")
+	errDigestDropped  = errors.New("the request is based on a version so old that it may have been applied before: read the configuration")
 )
 
-// requestKind tells how the body of an order is read.
+// requestKind determines how the body of a change request is interpreted.
 type requestKind string
 
 const (
@@ -25,12 +25,12 @@
 	requestUpdate  requestKind = "update"  // the body names items to add, replace and remove
 )
 
-// configRequest is an order to change the configuration.
+// configRequest is a request to change the configuration.
 type configRequest struct {
 	kind      requestKind
-	ifVersion uint64 // the version it builds on
+	ifVersion uint64 // the version that it is based on
 	body      []byte
-	digest    []byte // identifies the order when it is sent again
+	digest    []byte // identifies the request when it is sent again
 }
 
 func newConfigRequest(kind requestKind, ifVersion uint64, body []byte) configRequest {
@@ -43,14 +43,14 @@
 	return configRequest{kind: kind, ifVersion: ifVersion, body: body, digest: hash.Sum(nil)[:digestBytes]}
 }
 
-// preparedRequest is an order that was found valid on top of the version that it names.
+// preparedRequest is a change request that is valid for the version that it is based on.
 type preparedRequest struct {
 	configRequest
 	version uint64
 	config  []byte // the whole configuration, JSON
 }
 
-// prepare reads and checks the order against a state. It returns errAlreadyApplied, errDigestDropped, or a Refusal.
+// prepare parses the request and validates it against a state. Errors are errAlreadyApplied, errDigestDropped or a RequestError.
 func (o configRequest) prepare(state *rpc.ControlState) (*preparedRequest, error) {
 	if err := o.checkVersion(state); err != nil {
 		return nil, err
@@ -66,8 +66,8 @@
 	return &preparedRequest{configRequest: o, version: config.Version, config: encoded}, nil
 }
 
-// checkVersion reports whether the order is new and builds on the version of a state. It returns errAlreadyApplied,
-// errDigestDropped, or a Refusal.
+// checkVersion returns an error unless the request is new and based on the version of a state: errAlreadyApplied,
+// errDigestDropped or a RequestError.
 func (o configRequest) checkVersion(state *rpc.ControlState) error {
 	switch {
 	case wasApplied(state, o.digest):
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// read returns the whole configuration that the order leads to, checked.
+// read returns the whole configuration that results from the request, validated.
 func (o configRequest) read(state *rpc.ControlState) (*catalog.Config, []byte, error) {
 	if o.kind == requestReplace {
 		config, err := catalog.Parse(o.body)
@@ -90,7 +90,7 @@
 	if len(state.Config) > 0 {
 		current, err := catalog.Parse(state.Config)
 		if err != nil {
-			return nil, nil, errors.Wrap(err, "the current configuration can't be read: replace it whole")
+			return nil, nil, errors.Wrap(err, "parse the current configuration: replace it with a whole one")
 		}
 		base = current
 	}
@@ -102,7 +102,7 @@
 	return config, encoded, err
 }
 
-// apply puts the configuration in a state, unless another order was faster.
+// apply writes the configuration to a state, unless another request has changed it since prepare.
 func (p *preparedRequest) apply(state *rpc.ControlState) error {
 	if err := p.checkVersion(state); err != nil {
 		return err
--- a/internal/controlplane/contacts.go
+++ b/internal/controlplane/contacts.go
@@ -9,15 +9,15 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// Contacts are control processes that have announced themselves to a leader.
+// Contacts are the control processes that have sent a Join to a leader. Their addresses are part of the replicated state.
 const (
-	maxContacts           = 64               // addresses that are kept
-	contactRetention      = 10 * time.Minute // without an announcement, within one term
-	contactSilenceTimeout = 2 * joinInterval // a process that has not announced itself for so long is told who leads
+	maxContacts           = 64               // addresses in the replicated state
+	contactRetention      = 10 * time.Minute // since the last Join, within one term
+	contactSilenceTimeout = 2 * joinInterval // after which the leader announces itself to a process that sent no Join
 )
 
-// otherAddresses lists the other control processes that this one knows of besides the voters: the seeds, then the contacts of the replicated
-// state. Any of them may be gone.
+// otherAddresses returns the addresses of the other control processes that this one knows of besides the voters: the seeds, then the
+// contacts in the replicated state. Any of them may no longer exist.
 func (s *Server) otherAddresses() []string {
 	candidates := slices.Concat(s.settings().Seeds, s.state.committed().ControlAddresses)
 	others := make([]string, 0, len(candidates))
@@ -29,10 +29,11 @@
 	return others
 }
 
-// runContacts keeps the control processes that announce themselves in the replicated state, and tells those that do not who leads, until the
-// term ends. After a loss of power the voters alone hold the state: whoever asks a process that does not vote depends on this.
+// runContacts saves the control processes that send a Join as contacts, and announces this process as the leader to those that do not, until
+// the term ends. After a power loss only the voters hold the state; processes without a vote, and whoever calls them, learn the leader in
+// this way.
 func (s *Server) runContacts(t *term) {
-	lastSeen := make(map[string]time.Time) // when a contact announced itself, or since when it has been known in this term
+	lastSeen := make(map[string]time.Time) // by address: the last Join in this term, else when the contact was first seen
 	for {
 		now := time.Now()
 		recent := s.peers.recent(now)
@@ -44,7 +45,7 @@
 	}
 }
 
-// announceToSilentContacts announces this process as the leader to all others that have not announced themselves lately.
+// announceToSilentContacts announces this process as the leader to all others that sent no Join within contactSilenceTimeout.
 func (s *Server) announceToSilentContacts(ctx context.Context, recent []peer, now time.Time) {
 	var calls sync.WaitGroup
 	for _, address := range s.otherAddresses() {
@@ -54,14 +55,14 @@
 		}
 		calls.Go(func() {
 			if s.state.leading() {
-				_, _ = s.join(ctx, address, true) // one that is gone is told again
+				_, _ = s.join(ctx, address, true) // retried in the next round
 			}
 		})
 	}
 	calls.Wait()
 }
 
-// saveContacts writes the contacts to the replicated state where they have changed.
+// saveContacts writes the contacts to the replicated state if they have changed.
 func (s *Server) saveContacts(ctx context.Context, recent []peer, lastSeen map[string]time.Time, now time.Time) {
 	known := s.state.committed().ControlAddresses
 	planned := planContacts(known, recent, lastSeen, now)
@@ -75,12 +76,12 @@
 		return nil
 	})
 	if err != nil {
-		s.log.V(1).Info("the addresses of control processes were not kept", "error", err.Error())
+		s.log.V(1).Info("the addresses of control processes were not saved", "error", err.Error())
 	}
 }
 
-// planContacts returns the contacts to keep: those known but for the ones that have been silent for long, and those heard. Of more than
-// maxContacts the ones silent for longest go. It notes in last when each was heard.
+// planContacts returns the contacts to save: the known ones without those silent for contactRetention, and the recent ones. Beyond
+// maxContacts, those silent for longest are dropped. It updates lastSeen.
 func planContacts(known []string, recent []peer, lastSeen map[string]time.Time, now time.Time) []string {
 	planned := slices.Clone(known)
 	for _, address := range known {
--- a/internal/controlplane/corrupt_record.go
+++ b/internal/controlplane/corrupt_record.go
@@ -6,9 +6,9 @@
 	"foldlb.example/foldlb/coord/failover"
 )
 
-// startNode starts the node on its record. Where the record can't be read back, the process joins under a new
-// identity instead: it has no vote until the leader has exchanged the lost identity for the new one, so votes and
-// acknowledgements that it has forgotten are broken by nobody. It never founds a group in that case.
+// startNode starts the node from its record. If the record is corrupt, the process joins under a new identity
+// instead. It has no vote until the leader has replaced the lost identity by the new one, so it can't contradict
+// votes and acknowledgements of which it has lost the record. It doesn't bootstrap a new group in that case.
 func startNode(config failover.Config) (*failover.Node, error) {
 	node, err := failover.New(config)
 	var corrupt failover.CorruptRecord
@@ -21,13 +21,13 @@
 	if err != nil {
 		return nil, err
 	}
-	config.Log.Error(corrupt, "lost: the identity, the newest vote and the copy of the control state of this process; "+
-		"it joins under a new identity and has no vote until the leader has exchanged the lost one",
+	config.Log.Error(corrupt, "the record of this process is corrupt: its identity, latest vote and copy of the control state are lost; "+
+		"it joins under a new identity and has no vote until the leader has replaced the lost one",
 		"address", config.Address, "identity", node.Status().Identity)
 	return node, nil
 }
 
-// emptyStorage hides a record that can't be read back. The first save takes its place.
+// emptyStorage hides a corrupt record. The first save replaces it.
 type emptyStorage struct {
 	failover.Storage
 }
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -20,33 +20,34 @@
 )
 
 const (
-	discoveryPeriod  = 700 * time.Millisecond // between two readings of the whole list
+	discoveryPeriod  = 700 * time.Millisecond // between two reads of the whole list
 	discoveryTimeout = time.Second            // of one call
-	discoveryBackoff = 2 * time.Second        // largest pause after a failure
+	discoveryBackoff = 2 * time.Second        // maximum pause after failures
 	maxPages         = 200
 	maxPageBytes     = 4 << 20
-	rateReserve      = 2 // share of the platform's rate that is used is 1 / rateReserve
+	rateReserve      = 2 // calls are limited to 1/rateReserve of the platform's rate
 )
 
-// PlatformError reports an answer of the platform that is not a list.
+// PlatformError reports that the platform responded with a status other than 200.
 type PlatformError struct {
-	Status int // of HTTP
+	Status int // HTTP status
 }
 
 func (e *PlatformError) Error() string {
-	return fmt.Sprintf("the platform answered %d for its list of workers: wait and ask again", e.Status)
+	return fmt.Sprintf("the platform responded with status %d to a request for its list of workers: wait and try again", e.Status)
 }
 
-// discovery reads the platform's list of workers while this process leads. It belongs to one goroutine.
+// discovery reads the platform's list of workers while this process leads. It must be used by a single goroutine.
 type discovery struct {
-	address  string // host:port of the platform
-	interval time.Duration
+	address  string        // host:port of the platform
+	interval time.Duration // minimum time between two calls
 	client   *http.Client
 	log      logr.Logger
 	lastCall time.Time
 }
 
-// newDiscovery makes a reader of the platform's list; roundTripper is the way to the platform, nil for TCP.
+// newDiscovery returns a discovery. ratePerS is the rate of calls that the platform allows, 0 for no limit; roundTripper
+// carries the calls, nil selects TCP.
 func newDiscovery(address string, ratePerS float64, roundTripper http.RoundTripper, log logr.Logger) *discovery {
 	if roundTripper == nil {
 		dialer := &net.Dialer{Timeout: discoveryTimeout}
@@ -64,7 +65,7 @@
 	}
 }
 
-// run reads the list until the context ends, and hands on each that differs from the one before.
+// run reads the list until the context ends, and publishes each list that differs from the previous one.
 func (d *discovery) run(ctx context.Context, publish func([]*rpc.Worker)) {
 	defer d.client.CloseIdleConnections()
 	var filter listFilter
@@ -72,7 +73,7 @@
 	for {
 		workers, err := d.readAll(ctx)
 		if err != nil {
-			d.log.V(1).Info("the list of workers was not read", "error", err.Error())
+			d.log.V(1).Info("reading the list of workers failed", "error", err.Error())
 			pause = min(2*pause, discoveryBackoff)
 		} else {
 			pause = discoveryPeriod
@@ -86,13 +87,13 @@
 	}
 }
 
-// listFilter leaves out lists that tell nothing new.
+// listFilter detects lists that are equal to the previous one.
 type listFilter struct {
 	any  bool
 	last []*rpc.Worker
 }
 
-// isNew reports whether a sorted list differs from the one before, and keeps it if it does.
+// isNew reports whether a sorted list differs from the previous one, and records it if it does.
 func (f *listFilter) isNew(workers []*rpc.Worker) bool {
 	if f.any && sameWorkers(f.last, workers) {
 		return false
@@ -102,7 +103,7 @@
 	return true
 }
 
-// readAll reads all pages. It returns the whole list or an error, never a part.
+// readAll reads all pages. It returns the whole list or an error, never part of a list.
 func (d *discovery) readAll(ctx context.Context) ([]*rpc.Worker, error) {
 	var workers []*rpc.Worker
 	token := ""
@@ -123,7 +124,7 @@
 		}
 		token = *next.NextToken
 	}
-	return nil, errors.Errorf("the list of workers has more than %d pages: raise the bound", maxPages)
+	return nil, errors.Errorf("the list of workers has more than %d pages: raise the limit", maxPages)
 }
 
 func (d *discovery) readPage(ctx context.Context, token string) (*platformapi.Page, error) {
@@ -133,11 +134,11 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "correct cloud.address in the settings")
+		return nil, errors.Wrap(err, "create the request to the platform: correct cloud.address in the settings")
 	}
 	response, err := d.client.Do(request)
 	if err != nil {
-		return nil, errors.Wrap(err, "ask the platform again")
+		return nil, errors.Wrap(err, "call the platform: try again")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
@@ -146,13 +147,13 @@
 	answer := &platformapi.Page{}
 	decoder := json.NewDecoder(http.MaxBytesReader(nil, response.Body, maxPageBytes))
 	if err := decoder.Decode(answer); err != nil {
-		return nil, errors.Wrap(err, "the platform's list can't be read: ask again")
+		return nil, errors.Wrap(err, "decode the platform's list: try again")
 	}
 	return answer, nil
 }
 
-// sortedWorkers sorts a list by id. Of entries that moved between pages while they were read, one is kept, a
-// draining one where there is one.
+// sortedWorkers sorts a list by ID. An entry that moved between pages during the read may appear twice; one is
+// kept, a draining one if there is one.
 func sortedWorkers(workers []*rpc.Worker) []*rpc.Worker {
 	slices.SortFunc(workers, func(left, right *rpc.Worker) int {
 		if order := cmp.Compare(left.Id, right.Id); order != 0 || left.Draining == right.Draining {
@@ -166,7 +167,7 @@
 	return slices.CompactFunc(workers, func(left, right *rpc.Worker) bool { return left.Id == right.Id })
 }
 
-// workerOf translates an entry of the platform's list.
+// workerOf converts an entry of the platform's list. Every state other than ready counts as draining.
 func workerOf(i *platformapi.Instance) *rpc.Worker {
 	return &rpc.Worker{
 		Id:       i.ID,
@@ -179,7 +180,7 @@
 	}
 }
 
-// sameWorkers compares two sorted lists, leaving aside the time that workers stay cold.
+// sameWorkers compares two sorted lists, ignoring the remaining cold time of workers, which changes with every read.
 func sameWorkers(left, right []*rpc.Worker) bool {
 	if len(left) != len(right) {
 		return false
@@ -200,7 +201,7 @@
 	return same
 }
 
-// sleep waits, and reports false if the context ended.
+// sleep waits for the given time. It returns false if the context ended before.
 func sleep(ctx context.Context, pause time.Duration) bool {
 	if pause <= 0 {
 		return ctx.Err() == nil
--- a/internal/controlplane/join.go
+++ b/internal/controlplane/join.go
@@ -12,13 +12,13 @@
 	joinInterval      = 500 * time.Millisecond
 	joinRetryInterval = 500 * time.Millisecond // while no leader is known
 	joinTimeout       = 700 * time.Millisecond
-	hintExpiry        = 5 * time.Second // of the leader's address as another process told it
+	hintExpiry        = 5 * time.Second // of a leaderHint
 
-	// searchLogDelay is for how long this process finds no leader before it says so.
+	// searchLogDelay is how long this process must have found no leader before it logs that.
 	searchLogDelay = 3 * time.Second
 )
 
-// leaderHint is the leader's address as another process told it.
+// leaderHint is the leader's address as received from another process.
 type leaderHint struct {
 	address    string
 	receivedAt time.Time
@@ -40,28 +40,29 @@
 	}
 }
 
-// leaderSearch is since when this process has found no leader.
+// leaderSearch tracks how long this process has found no leader.
 type leaderSearch struct {
-	lastReachedAt time.Time // when the leader was reached last, or the start
-	logged        bool      // it was logged that none is found
+	lastReachedAt time.Time // when the leader was last reached, initially the start of the process
+	logged        bool      // whether it was logged that no leader is found
 }
 
-// logSearch logs that no leader is found, and that one is found again.
+// logSearch logs when no leader has been found for searchLogDelay, and when one is found again.
 func (s *Server) logSearch(search *leaderSearch, reached bool, now time.Time) {
 	elapsed := now.Sub(search.lastReachedAt).Round(time.Millisecond).String()
 	switch {
 	case reached && search.logged:
-		s.log.Info("a leader is found again", "after", elapsed, "leader", s.leaderAddress())
+		s.log.Info("found a leader again", "after", elapsed, "leader", s.leaderAddress())
 		*search = leaderSearch{lastReachedAt: now}
 	case reached:
 		search.lastReachedAt = now
 	case !search.logged && now.Sub(search.lastReachedAt) >= searchLogDelay:
 		search.logged = true
-		s.log.Info("no leader is found; name a control process that reaches it among the seeds", "for", elapsed, "seeds", s.settings().Seeds)
+		s.log.Info("found no leader; add a control process that can reach the leader to the seeds", "for", elapsed, "seeds", s.settings().Seeds)
 	}
 }
 
-// announce sends one Join and reports whether it reached the leader.
+// announce sends one Join, to the known leader or else to the next of the other addresses, and reports whether it
+// reached the leader.
 func (s *Server) announce(ctx context.Context, attempt int) bool {
 	target := s.remoteLeader()
 	if others := s.otherAddresses(); target == "" && len(others) > 0 {
@@ -85,14 +86,14 @@
 	return false
 }
 
-// join tells a process of this one, and that it leads where it does.
+// join sends a Join for this process to another one; leads states that this process is the leader.
 func (s *Server) join(ctx context.Context, target string, leads bool) (*rpc.JoinReply, error) {
 	calling, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	return s.client(target).Join(calling, s.joinRequest(leads))
 }
 
-// joinRequest describes this process.
+// joinRequest returns a JoinRequest that describes this process.
 func (s *Server) joinRequest(leads bool) *rpc.JoinRequest {
 	return &rpc.JoinRequest{
 		Id: s.identity(), Address: s.address, Zone: s.zone, Disk: s.hasDisk, Leads: leads, StoreLeaseMs: s.storeLease.Milliseconds(),
@@ -106,14 +107,14 @@
 	s.leaderHint.Store(&leaderHint{address: address, receivedAt: time.Now()})
 }
 
-// clearLeaderHint drops what was told of a leader that doesn't answer.
+// clearLeaderHint drops the hint if it names the given address, which does not respond.
 func (s *Server) clearLeaderHint(address string) {
 	if hint := s.leaderHint.Load(); hint != nil && hint.address == address {
 		s.leaderHint.CompareAndSwap(hint, nil)
 	}
 }
 
-// remoteLeader returns the address of the leader if it is known and another process, else empty.
+// remoteLeader returns the address of the leader if it is known and is another process, else "".
 func (s *Server) remoteLeader() string {
 	address := s.node.Status().LeaderAddress
 	if address == "" {
@@ -127,7 +128,7 @@
 	return address
 }
 
-// leaderAddress returns the address of the leader, this process included; empty where it isn't known.
+// leaderAddress returns the address of the leader, which may be this process, or "" if it isn't known.
 func (s *Server) leaderAddress() string {
 	if s.state.leading() {
 		return s.address
@@ -135,7 +136,8 @@
 	return s.remoteLeader()
 }
 
-// controlAddresses lists the control processes that callers may turn to, in rising order.
+// controlAddresses returns the sorted addresses of the control processes that callers may use: this process, the voters
+// and the known peers.
 func (s *Server) controlAddresses() []string {
 	addresses := []string{s.address}
 	for _, member := range s.node.Status().Members {
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -12,13 +12,13 @@
 	"foldlb.example/foldlb/internal/workerlist"
 )
 
-// Most time between two looks at the leader's lease. Its end comes without an event, its beginning with one.
+// Intervals at which the leader's lease is checked. Its start also triggers a check, its end does not.
 const (
 	leaderCheckInterval   = 200 * time.Millisecond
 	followerCheckInterval = 2 * time.Second
 )
 
-// wakeLeadership has the state looked at now.
+// wakeLeadership triggers a check of the leadership and of the committed state.
 func (s *Server) wakeLeadership() {
 	select {
 	case s.leadershipWake <- struct{}{}:
@@ -26,7 +26,7 @@
 	}
 }
 
-// runLeadership begins and ends terms and publishes what is committed, until the context ends.
+// runLeadership begins and ends terms and publishes the committed state until the context ends.
 func (s *Server) runLeadership(ctx context.Context) {
 	timer := time.NewTimer(followerCheckInterval)
 	defer timer.Stop()
@@ -67,8 +67,8 @@
 	return s.term.Load()
 }
 
-// beginTerm publishes the committed state under the new epoch before anyone can subscribe. The part of the
-// workers is left out until they were read: subscribers keep the list that they have.
+// beginTerm publishes the committed state under the new epoch before anyone can subscribe. The list of workers
+// is published only once it was read from the platform; until then subscribers keep the list that they have.
 func (s *Server) beginTerm(epoch uint64) *term {
 	started := newTerm(epoch, s.state.committed(), s.storeLease, time.Now())
 	s.published = publishedVersions{}
@@ -79,7 +79,7 @@
 	return started
 }
 
-// startTermWork starts what runs only at the leader. All of it ends with the term.
+// startTermWork starts the goroutines that run only at the leader. They end with the term.
 func (s *Server) startTermWork(started *term) {
 	s.background.Add(3)
 	go func() {
@@ -104,7 +104,7 @@
 	}()
 }
 
-// endTerm ends all streams and what runs at the leader.
+// endTerm stops the goroutines of the term and closes all streams.
 func (s *Server) endTerm() {
 	ended := s.term.Swap(nil)
 	if ended == nil {
@@ -132,16 +132,16 @@
 	})
 }
 
-// publishedVersions tells what was streamed last. It belongs to the goroutine of runLeadership.
+// publishedVersions describes what was streamed last. Only the goroutine of runLeadership accesses it.
 type publishedVersions struct {
 	initialized   bool
 	configVersion uint64
-	catalog       *catalog.Config // the configuration of that version; nil for none that can be read
+	catalog       *catalog.Config // the configuration of that version; nil if it can't be parsed
 	mapVersion    uint64
 	addresses     []string
 }
 
-// publishState streams the parts of the committed state that have changed.
+// publishState publishes the parts of the committed state that have changed.
 func (s *Server) publishState() {
 	state := s.state.committed()
 	last := &s.published
@@ -160,12 +160,12 @@
 	last.initialized = true
 }
 
-// publishConfig streams the configuration, and what is new in it to those that hold the one before.
+// publishConfig publishes the configuration, with a delta for subscribers that hold the previous one.
 func (s *Server) publishConfig(state *rpc.ControlState) {
 	part := configPart(state)
 	config, err := catalog.Parse(state.Config)
 	if err != nil {
-		config = nil // before the first one; later ones were checked when they were taken
+		config = nil // there is none yet; every accepted configuration was validated
 	}
 	if last := s.published.catalog; last != nil && config != nil {
 		part.Delta = configDelta(last, config)
@@ -175,7 +175,7 @@
 	s.published.catalog = config
 }
 
-// handleWatch streams the View to dispatchers and stores.
+// handleWatch streams the View to dispatchers and stores; a process that does not lead redirects them.
 func (s *Server) handleWatch(writer http.ResponseWriter, request *http.Request) {
 	if s.currentTerm() == nil || !s.state.leading() {
 		s.redirectToLeader(writer, request)
--- a/internal/controlplane/lease_duration.go
+++ b/internal/controlplane/lease_duration.go
@@ -8,20 +8,21 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// Leases of stores outlast their leader, so each leader must know how long those may be that earlier ones have granted. The committed state
-// records a length that no leader exceeds. It is the longest of those that the processes that may lead have told; versions with different
-// lengths may thus run side by side.
+// Leases of stores can outlast the leader that granted them, so each leader must know the longest duration that earlier leaders may have
+// granted. The committed state records a duration that no leader exceeds: the longest reported by the processes that may become the leader.
+// Versions with different durations can thus run side by side.
 const (
 	defaultStoreLease = 1500 * time.Millisecond
-	// unspecifiedStoreLease is that of versions that tell no length.
+	// unspecifiedStoreLease is the duration of versions that report none.
 	unspecifiedStoreLease = 1500 * time.Millisecond
 )
 
-// recordedStoreLease is the length that no leader exceeds.
+// recordedStoreLease returns the recorded lease duration, which no leader exceeds.
 func recordedStoreLease(state *rpc.ControlState) time.Duration {
 	return storeLeaseFromWire(state.StoreLeaseMs)
 }
 
+// storeLeaseFromWire converts a lease duration in ms; unset stands for unspecifiedStoreLease.
 func storeLeaseFromWire(milliseconds int64) time.Duration {
 	if milliseconds <= 0 {
 		return unspecifiedStoreLease
@@ -29,8 +30,8 @@
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// requiredStoreLease is the length to record: the longest of those that the processes with a disk would grant. One that votes and has not been
-// heard may be of any version, so nothing is shortened meanwhile.
+// requiredStoreLease returns the duration to record: the longest that any process with a disk would grant. A voter that sent no recent Join
+// may run any version, so the recorded duration is not shortened while there is one.
 func requiredStoreLease(recorded, own time.Duration, voters []failover.Member, recent []peer) time.Duration {
 	required := own
 	for _, known := range recent {
@@ -46,14 +47,14 @@
 	return required
 }
 
-// mayRecordStoreLease reports whether a length may be recorded now. A longer one may at once. A shorter one may once the leases of earlier leaders are
-// over; this leader has granted none that is longer.
+// mayRecordStoreLease reports whether the required duration may be recorded now. A longer one may be recorded at once, a shorter one once the
+// leases granted by earlier leaders are over; this leader has granted none that is longer.
 func (t *term) mayRecordStoreLease(recorded, required time.Duration, now time.Time) bool {
 	return required > recorded || required < recorded && now.Sub(t.started) >= recorded+leaseMargin
 }
 
-// updateStoreLease records the length of leases where another is wanted. It reports whether the state names the length that is wanted, or a
-// longer one.
+// updateStoreLease records the required lease duration if it differs. It reports whether the state contains the required duration or a longer
+// one.
 func (s *Server) updateStoreLease(t *term, recent []peer, now time.Time) bool {
 	recorded := recordedStoreLease(s.state.committed())
 	required := requiredStoreLease(recorded, s.storeLease, s.node.Status().Members, recent)
@@ -67,9 +68,9 @@
 		return nil
 	})
 	if err != nil {
-		s.log.V(1).Info("the length of leases was not recorded", "error", err.Error())
+		s.log.V(1).Info("the duration of store leases was not recorded", "error", err.Error())
 		return required < recorded
 	}
-	s.log.Info("leases of stores have another length", "before", recorded.String(), "now", required.String())
+	s.log.Info("the duration of store leases changed", "before", recorded.String(), "now", required.String())
 	return true
 }
--- a/internal/controlplane/leases.go
+++ b/internal/controlplane/leases.go
@@ -7,15 +7,15 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// storeLeases holds the leases of the stores on the clock of a term. An incarnation may renew after its lease
-// has ended: the term sees to it that it knows the newest table first.
+// storeLeases holds the leases of the stores, timed from the start of a term. An incarnation may renew after its
+// lease has ended: term.mayGrant requires that it knows the latest map first.
 type storeLeases struct {
 	started     time.Time
-	maxDuration time.Duration // longest that this process grants
+	maxDuration time.Duration // longest lease that this process grants
 	table       *lease.Table
 }
 
-// newStoreLeases takes every recorded store for one that may hold a lease of an earlier leader, of the length that the state tells.
+// newStoreLeases assumes that every recorded store may hold a lease of the recorded duration from an earlier leader.
 func newStoreLeases(state *rpc.ControlState, maxDuration time.Duration, now time.Time) *storeLeases {
 	recorded := recordedStoreLease(state)
 	table := lease.New(lease.Options{Length: min(maxDuration, recorded), Former: recorded, Margin: leaseMargin, Reusable: true})
@@ -25,21 +25,20 @@
 	return &storeLeases{started: now, maxDuration: maxDuration, table: table}
 }
 
-// follow grants no longer leases than the committed state allows.
+// applyRecordedLimit limits the duration of further leases to the one recorded in a committed state.
 func (l *storeLeases) applyRecordedLimit(state *rpc.ControlState) {
 	l.table.SetLength(min(l.maxDuration, recordedStoreLease(state)))
 }
 
-// length is that of the leases that are granted now.
+// duration returns the duration of newly granted leases.
 func (l *storeLeases) duration() time.Duration { return l.table.Length() }
 
-// grant extends the lease of a store that renewed it now. It reports false for an incarnation that is known to
-// have ended.
+// grant grants or extends the lease of a store. It returns false for an incarnation that is known to have ended.
 func (l *storeLeases) grant(node, incarnation string, now time.Time) bool {
 	return l.table.Renew(node, incarnation, now.Sub(l.started)) == nil
 }
 
-// alive reports whether the store's lease is valid.
+// alive reports whether the store holds a lease that the leader counts as valid.
 func (l *storeLeases) alive(node, incarnation string, now time.Time) bool {
 	return l.table.Alive(node, incarnation, now.Sub(l.started))
 }
@@ -49,7 +48,7 @@
 	return l.table.Ended(node, incarnation, now.Sub(l.started))
 }
 
-// nextChange returns the time until a lease ends or is certainly over if nobody renews, but no more than most.
+// nextChange returns the time until the next lease ends, or is certainly over, unless it is renewed, but at most limit.
 func (l *storeLeases) nextChange(now time.Time, limit time.Duration) time.Duration {
 	since := now.Sub(l.started)
 	next, ok := l.table.NextChange(since)
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -12,14 +12,14 @@
 	membershipInterval = 250 * time.Millisecond
 	minVoters          = 3
 
-	// voterSilenceTimeout is how long a voter may be silent before it is exchanged: two joins, one of which may fail. A machine
-	// that is gone for good counts as lost only until syncS (4.4 s) after its successor's start. The next one may be lost
-	// then, so an election, this time, one membershipInterval and a transfer of the contents must have passed before. To
-	// exchange one that was cut off for a moment costs a transfer, and nothing else.
+	// voterSilenceTimeout is how long a voter may send no Join before it is replaced. It allows for one failed Join of at
+	// least two. A further machine may fail as early as syncS (4.4 s) after the successor of a lost one has started, so an
+	// election, this timeout, one membershipInterval and a state transfer must fit into that time. Replacing a voter that
+	// was only cut off briefly costs one state transfer.
 	voterSilenceTimeout = 2000 * time.Millisecond
 )
 
-// voterChange exchanges, adds or removes one voter. The zero value changes nothing.
+// voterChange replaces, adds or removes one voter. The zero value changes nothing.
 type voterChange struct {
 	add      *failover.Member
 	removeID string
@@ -29,16 +29,16 @@
 	return c.add == nil && c.removeID == ""
 }
 
-// runMembership keeps the number of voters until the term ends, one change at a time.
+// runMembership keeps the wanted number of voters until the term ends, by one change at a time.
 func (s *Server) runMembership(t *term) {
-	lastLogged := 0 // number of voters that was last logged as too small
+	lastLogged := 0 // number of voters that was last logged as too few
 	for sleep(t.context, membershipInterval) {
 		now := time.Now()
 		s.recordSelf(now)
 		status := s.node.Status()
 		recent := recentPeers(s.peers.recent(now), now)
 		if !s.updateStoreLease(t, recent, now) {
-			continue // a process with a longer lease must not get a vote before
+			continue // a process that grants longer leases must not become a voter before its lease duration is recorded
 		}
 		change := planVoters(status.Members, status.Identity, recent, s.wantedVoters(), now.Sub(t.started))
 		if change.isEmpty() {
@@ -52,19 +52,19 @@
 	}
 }
 
-// logTooFewVoters logs that there are fewer voters than the fault tolerance needs, and no process with a disk is left to become one. It
-// returns the number that was logged last.
+// logTooFewVoters logs that there are fewer voters than the fault tolerance requires and no further process with a disk that could become
+// one. It logs each number of voters once, and returns the number that was logged last.
 func (s *Server) logTooFewVoters(voters, lastLogged int, leadingFor time.Duration) int {
 	wanted := s.wantedVoters()
 	if voters >= wanted || voters == lastLogged || leadingFor < voterSilenceTimeout {
 		return lastLogged
 	}
-	s.log.Error(nil, "too few voters for the losses that faultTolerance names: while more than they bear are away nobody leads; "+
+	s.log.Error(nil, "too few voters for the configured faultTolerance: no leader can be elected without a majority of them; "+
 		"run the control role on more machines that have a disk", "voters", voters, "wanted", wanted)
 	return voters
 }
 
-// recordSelf lists this process among those that were heard.
+// recordSelf records this process in the peer table.
 func (s *Server) recordSelf(now time.Time) {
 	s.peers.record(s.joinRequest(false), now)
 }
@@ -76,18 +76,18 @@
 	return err.Error()
 }
 
-// wantedVoters is the number of voters to keep.
+// wantedVoters returns the number of voters that the fault tolerance requires, at least minVoters.
 func (s *Server) wantedVoters() int {
 	return max(minVoters, 2*toleratedFailures(s.settings())+1)
 }
 
-// recentStatus returns the peers that are not silent: only those may stay or become voters.
+// recentPeers returns the peers that joined within voterSilenceTimeout. Only those may stay or become voters.
 func recentPeers(peers []peer, now time.Time) []peer {
 	return slices.DeleteFunc(peers, func(p peer) bool { return now.Sub(p.lastSeen) >= voterSilenceTimeout })
 }
 
-// planVoters returns the next change of the voters. leaderID is this process, which stays; heard are those that
-// joined lately; leadingFor is how long this process has led.
+// planVoters returns the next change of the voters. leaderID is this process, which remains a voter; recent are the
+// processes that joined within voterSilenceTimeout; leadingFor is how long this process has led.
 func planVoters(voters []failover.Member, leaderID string, recent []peer, wanted int, leadingFor time.Duration) voterChange {
 	if change := replaceLostIdentity(voters, leaderID, recent); !change.isEmpty() {
 		return change
@@ -97,7 +97,7 @@
 		return voterChange{add: standby}
 	}
 	if leadingFor < voterSilenceTimeout {
-		return voterChange{} // the others may not have joined here yet
+		return voterChange{} // the other voters may not have sent a Join to this process yet
 	}
 	if len(voters) > wanted {
 		return voterChange{removeID: removableVoter(voters, leaderID, recent)}
@@ -111,7 +111,7 @@
 	return voterChange{}
 }
 
-// replaceLostIdentity exchanges a voter whose disk was lost for the identity that lives at its address now.
+// replaceLostIdentity replaces a voter whose disk was lost by the identity that now joins from its address.
 func replaceLostIdentity(voters []failover.Member, leaderID string, recent []peer) voterChange {
 	for _, voter := range voters {
 		index := slices.IndexFunc(recent, func(p peer) bool { return p.address == voter.Address })
@@ -126,7 +126,8 @@
 	return voterChange{}
 }
 
-// bestStandby returns the process with a disk to make a voter next: of a zone with the fewest voters.
+// bestStandby returns the process with a disk that should become a voter next, from a zone with the fewest voters.
+// It returns nil if there is none.
 func bestStandby(voters []failover.Member, recent []peer) *failover.Member {
 	var best *failover.Member
 	fewest := 0
@@ -143,7 +144,7 @@
 	return best
 }
 
-// votersInZone counts the voters of a zone. The first voters carry none: theirs is known once they joined.
+// votersInZone counts the voters of a zone. The initial voters are recorded without a zone; theirs is known once they joined.
 func votersInZone(voters []failover.Member, recent []peer, zone string) int {
 	count := 0
 	for _, voter := range voters {
@@ -160,7 +161,7 @@
 	return count
 }
 
-// silentVoter returns a voter that was not heard for voterSilenceTimeout, empty if there is none.
+// silentVoter returns the ID of a voter that sent no Join within voterSilenceTimeout, empty if there is none.
 func silentVoter(voters []failover.Member, leaderID string, recent []peer) string {
 	for _, voter := range voters {
 		if voter.ID != leaderID && !containsPeer(recent, voter.ID) {
@@ -170,7 +171,7 @@
 	return ""
 }
 
-// removableVoter returns the voter to do without: a silent one if there is one.
+// removableVoter returns the ID of the voter to remove: a silent one if there is one, else the last that is not the leader.
 func removableVoter(voters []failover.Member, leaderID string, recent []peer) string {
 	if silent := silentVoter(voters, leaderID, recent); silent != "" {
 		return silent
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -7,13 +7,13 @@
 	"foldlb.example/foldlb/internal/metrics"
 )
 
-// callCounters count the calls of others since the start of the process.
+// callCounters count the received calls since the start of the process.
 type callCounters struct {
 	renewals atomic.Uint64
 	joins    atomic.Uint64
 }
 
-// Figures are what monitoring sees of this process. Stores and dispatchers are counted at the leader alone.
+// Metrics returns the metrics of this process. Only the leader counts dispatchers.
 func (s *Server) Metrics() []metrics.Figure {
 	status := s.Status()
 	leader := uint64(0)
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -6,7 +6,7 @@
 	"foldlb.example/foldlb/coord/failover"
 )
 
-// node is what this package uses of failover.Node.
+// node is the part of failover.Node that this package uses.
 type node interface {
 	replica
 	HandleVote(ctx context.Context, request failover.VoteRequest) (failover.VoteReply, error)
@@ -16,8 +16,8 @@
 	Close()
 }
 
-// outsider is the node of a process without a disk: it has no vote and no copy of the state, and sends
-// callers to the leader.
+// disklessNode is the node of a process without a disk: it has no vote and no copy of the state, and fails every
+// proposal and read with failover.NotLeader, so that callers are redirected to the leader.
 type disklessNode struct{}
 
 func (disklessNode) Propose(context.Context, func([]byte) ([]byte, error)) error {
--- a/internal/controlplane/peers.go
+++ b/internal/controlplane/peers.go
@@ -8,22 +8,22 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// peerExpiry is how long a control process counts after it was heard last.
+// peerExpiry is how long a control process stays in the peer table after its last Join.
 const peerExpiry = 8 * time.Second
 
-// peer is a control process that has joined.
+// peer is a control process that has sent a Join.
 type peer struct {
-	id       string // identity of its disk; empty where it has none
+	id       string // identity of its disk; empty if it has none
 	address  string
 	zone     string
 	disk     bool
 	lastSeen time.Time
 
-	storeLease time.Duration // that it would grant
+	storeLease time.Duration // longest lease that it would grant to a store
 }
 
-// peerTable holds the control processes that have joined, by address. A later identity at an address takes
-// the place of the earlier one.
+// peerTable holds the control processes that have sent a Join, by address. A later identity at an address
+// replaces the earlier one.
 type peerTable struct {
 	mutex sync.Mutex
 	peers map[string]peer
@@ -33,7 +33,7 @@
 	return &peerTable{peers: make(map[string]peer)}
 }
 
-// note records that a process was heard.
+// record stores the sender of a Join, received now.
 func (p *peerTable) record(request *rpc.JoinRequest, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// heard returns the processes that were heard within peerExpiry, by address in rising order.
+// recent returns the processes that sent a Join within peerExpiry, sorted by address, and removes all others.
 func (p *peerTable) recent(now time.Time) []peer {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/controlplane/planner.go
+++ b/internal/controlplane/planner.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	minPlanInterval        = 50 * time.Millisecond  // least time between two plans
-	maxPlanInterval        = 250 * time.Millisecond // most time between two plans
-	maxConcurrentHandovers = 32                     // partitions that are being handed over at a time
+	minPlanInterval        = 50 * time.Millisecond  // minimum time between two plans
+	maxPlanInterval        = 250 * time.Millisecond // maximum time between two plans
+	maxConcurrentHandovers = 32                     // partitions that are being handed over at the same time
 )
 
-// errTableChanged reports that the table was changed since a plan was made.
-var errTableChanged = errors.New("the table changed meanwhile: plan again")
+// errTableChanged reports that the map changed after a plan was made on it.
+var errTableChanged = errors.New("the partition map changed after this plan was made: plan again")
 
-// wakePlanner has the planner look at the table soon.
+// wakePlanner triggers a plan.
 func (s *Server) wakePlanner() {
 	select {
 	case s.plannerWake <- struct{}{}:
@@ -28,8 +28,8 @@
 	}
 }
 
-// runPlanner keeps the table in step with the stores until the term ends. The end of a lease comes without an event: the planner looks
-// at that moment.
+// runPlanner adapts the map to the state of the stores until the term ends. The end of a lease triggers no event, so the planner also runs
+// when the next lease ends.
 func (s *Server) runPlanner(t *term) {
 	timer := time.NewTimer(maxPlanInterval)
 	defer timer.Stop()
@@ -44,15 +44,15 @@
 	}
 }
 
-// nextPlanDelay returns the time until the next plan is due without an event.
+// nextPlanDelay returns the time until the next plan is due if no event triggers one earlier.
 func (t *term) nextPlanDelay(now time.Time) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.leases.nextChange(now, maxPlanInterval)
 }
 
-// planOnce makes a plan and commits it where it changes anything. A plan that could not be committed is made
-// anew at the next turn.
+// planOnce makes a plan and commits it if it changes the map. If the commit fails, the releases are queued again and
+// the next run makes a new plan.
 func (s *Server) planOnce(t *term) {
 	if !s.state.leading() {
 		return
@@ -60,12 +60,12 @@
 	state := s.state.committed()
 	next, released, err := t.plan(state, s.requiredCopies(), time.Now())
 	if err != nil {
-		s.log.Error(err, "the table stays as it is")
+		s.log.Error(err, "planning failed; the partition map stays unchanged")
 		return
 	}
 	if !next.equals(state) {
 		if err := s.commitTable(t, state.MapVersion, next); err != nil {
-			s.log.V(1).Info("the table was not changed", "error", err.Error())
+			s.log.V(1).Info("the new partition map was not committed", "error", err.Error())
 			t.requeue(released)
 			return
 		}
@@ -87,7 +87,7 @@
 	})
 }
 
-// plan works out the table that follows from what is known now. It returns the releases that it has taken up.
+// plan computes the next map from the state of the stores. It also returns the queued releases, all of which it has processed.
 func (t *term) plan(state *rpc.ControlState, copies int, now time.Time) (*table, []*release, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -105,14 +105,14 @@
 	return next, released, nil
 }
 
-// requeue keeps releases for the next plan.
+// requeue puts releases back at the front of the queue for the next plan.
 func (t *term) requeue(released []*release) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.releases = append(released, t.releases...)
 }
 
-// admitStores records the stores and incarnations that have come and are still there.
+// admitStores records the new stores and incarnations that renewed within the duration of a lease.
 func (t *term) admitStores(state *rpc.ControlState, next *table, now time.Time) {
 	for _, status := range t.stores {
 		isThere := now.Sub(status.renewedAt) < t.leases.duration()
@@ -124,7 +124,7 @@
 	}
 }
 
-// placePartitions releases, assigns and moves partitions.
+// placePartitions processes releases, then assigns and moves partitions. It does nothing before the first assignment is due.
 func (t *term) placePartitions(next *table, released []*release, copies int, now time.Time) error {
 	if len(next.partitions) == 0 && !t.mayAssignFirst(copies, now) {
 		return nil
@@ -145,11 +145,11 @@
 	return nil
 }
 
-// partitionGroups is the number of groups of partitions, by remainder: pinned messages go to even partitions and free ones to
-// odd ones, so each group is balanced for itself.
+// partitionGroups is the number of groups of partitions, by remainder of their index: pinned messages go to even partitions
+// and free ones to odd ones, so each group is balanced separately.
 const partitionGroups = 2
 
-// planGroups plans each group of partitions.
+// planGroups plans the groups of partitions separately.
 func planGroups(members []placement.Member, partitions []placement.Partition) ([]placement.Partition, error) {
 	planned := slices.Clone(partitions)
 	for group := range partitionGroups {
@@ -168,8 +168,8 @@
 	return planned, nil
 }
 
-// mayAssignFirst reports whether enough stores have come for the first assignment, so that each gets its share
-// at once.
+// mayAssignFirst reports whether the first assignment is due: enough stores hold a lease, and either all known stores do
+// after firstAssignmentDelay or maxFirstAssignmentDelay has passed. The delay avoids moving partitions right afterwards.
 func (t *term) mayAssignFirst(copies int, now time.Time) bool {
 	holding := 0
 	for _, status := range t.stores {
@@ -181,7 +181,7 @@
 	return holding >= copies && (waited >= maxFirstAssignmentDelay || waited >= firstAssignmentDelay && holding == len(t.stores))
 }
 
-// placementMembers lists what is known of the stores, and of former incarnations that still own partitions.
+// placementMembers returns the placement members for the recorded stores and for former incarnations that still own partitions.
 func (t *term) placementMembers(next *table, copies int, now time.Time) []placement.Member {
 	members := make([]placement.Member, 0, len(next.stores)+1)
 	movesOffImpaired := t.countImpaired(next, now) < copies
@@ -204,8 +204,8 @@
 	return append(members, formerOwners(next)...)
 }
 
-// countImpaired counts the stores whose disks keep them from accepting. Where there are more than may be lost at one time the cause
-// is none of a single machine, such as too much load, and moving partitions would add to it.
+// countImpaired counts the stores whose disks prevent them from accepting messages. If there are more than may fail at the same time, the
+// cause is not in single machines but, for example, overload, to which moving partitions would add.
 func (t *term) countImpaired(next *table, now time.Time) int {
 	count := 0
 	for _, store := range next.stores {
@@ -217,7 +217,7 @@
 	return count
 }
 
-// formerOwners lists incarnations that own partitions and have been replaced, which proves their end.
+// formerOwners returns the incarnations that own partitions but were replaced by a later one, which proves that they have ended.
 func formerOwners(next *table) []placement.Member {
 	var members []placement.Member
 	seen := make(map[string]bool)
@@ -239,7 +239,7 @@
 	return members
 }
 
-// applyReleases hands released partitions over. A release of an older epoch is done already.
+// applyReleases hands released partitions over. A release for an earlier epoch has taken effect already and is ignored.
 func applyReleases(members []placement.Member, partitions []placement.Partition, released []*release) ([]placement.Partition, error) {
 	for _, wanted := range released {
 		for partition, epoch := range wanted.epochs {
@@ -256,7 +256,7 @@
 	return partitions, nil
 }
 
-// isReleaseOf reports whether the process that released a partition is its owner.
+// isReleaseOf reports whether a release was requested by the current owner of the partition.
 func isReleaseOf(partitions []placement.Partition, partition int, wanted *release) bool {
 	if partition >= len(partitions) {
 		return false
@@ -265,7 +265,7 @@
 	return owned.Owner == wanted.node && owned.Incarnation == wanted.incarnation
 }
 
-// placementTable translates the owners; a table without any has partitions that nobody owns yet.
+// placementTable converts ownerships to partitions of package placement. Without ownerships, all partitions are unowned.
 func placementTable(ownerships []*rpc.Ownership) []placement.Partition {
 	partitions := make([]placement.Partition, partitionCount)
 	for index, ownership := range ownerships {
@@ -303,8 +303,8 @@
 	return false
 }
 
-// fencePreviousOwners bars each store that loses partitions because its lease ended from a new lease until it knows
-// the table that takes them away. A later incarnation of it believes in none of them.
+// fencePreviousOwners refuses a new lease to each store that loses partitions because its lease ended, until it knows
+// the map in which they are reassigned. A later incarnation of the store needs no fence, since it owns none of them.
 func (t *term) fencePreviousOwners(state *rpc.ControlState, next *table, now time.Time) {
 	for index, before := range state.Partitions {
 		after := next.partitions[index]
--- a/internal/controlplane/repair.go
+++ b/internal/controlplane/repair.go
@@ -6,25 +6,25 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// Times for which all owners must have reported enough copies of every message. A store counts its copies by a map before it
-// acknowledges that map, so one report beside the acknowledgement would do.
+// Times for which all owners must have reported enough copies of every message. A store counts its copies under a map before it
+// acknowledges that map, so a single report with the acknowledgement would be sufficient.
 const (
-	restoreConfirmTime = 300 * time.Millisecond // before a disk that was lost counts as whole again
-	retireConfirmTime  = time.Second            // before a machine that owns nothing may be taken away: no message is being accepted for so long
-	removalConfirmTime = 500 * time.Millisecond // before a store that has been away for long is given up
+	restoreConfirmTime = 300 * time.Millisecond // before a store on a new disk counts as whole
+	retireConfirmTime  = time.Second            // before a machine without partitions may be removed: accepting a message takes less time
+	removalConfirmTime = 500 * time.Millisecond // before a store without a lease is marked as removed
 )
 
-// leaselessTimeout is how long a store must have been without a lease until its copies count as missing. A machine that is gone for good
-// must have been made up for within the time that its successor is given (syncS).
+// leaselessTimeout is how long a store must have had no lease before its copies count as missing. The copies of a machine that is
+// permanently lost must be restored within syncS after its successor has started.
 const leaselessTimeout = 200 * time.Millisecond
 
-// moment is a point in time, and the first table of owners by which what began then is known.
+// startPoint is the time at which a condition began, and the first map version that reflects it.
 type startPoint struct {
 	at         time.Time
-	mapVersion uint64 // version
+	mapVersion uint64
 }
 
-// firstMapWithDisk returns the version of the first table that surely names the present disk of a store: the committed one does, or the next.
+// firstMapWithDisk returns the first map version that is certain to contain the current disk of a store: the committed one or the next.
 func firstMapWithDisk(state *rpc.ControlState, member *rpc.StoreMember) uint64 {
 	committed := findStore(state.Stores, member.Node)
 	if committed != nil && committed.Disk == member.Disk {
@@ -33,8 +33,8 @@
 	return state.MapVersion + 1
 }
 
-// markRestoredStores marks the stores whole whose lost copies have been restored: all owners have reported for restoreConfirmTime since they
-// joined that no message has too few copies.
+// markRestoredStores marks stores as whole once their lost copies are restored: for restoreConfirmTime since their disk was first seen, all
+// owners have reported that no message has too few copies.
 func (t *term) markRestoredStores(state *rpc.ControlState, next *table, now time.Time) {
 	for _, member := range activeMembers(next.stores, next.retirements) {
 		if member.Whole {
@@ -56,8 +56,8 @@
 	}
 }
 
-// completeRetirements ends the retirement of the stores that own nothing while the owners have restored the
-// copies that they held.
+// completeRetirements completes the retirement of stores that own no partition once the owners have restored the
+// copies that those stores held.
 func (t *term) completeRetirements(state *rpc.ControlState, next *table, now time.Time) {
 	for _, retirement := range next.retirements {
 		if retirement.Completed {
@@ -82,9 +82,9 @@
 	}
 }
 
-// removeSilentStores has the copies of stores restored elsewhere that have been away for long, and gives the stores
-// up once that is done: while they count, another machine may not be lost. Enough stores must be left. One that
-// comes back before counts again.
+// removeSilentStores marks stores that have had no lease for leaselessTimeout as leaving, so that their copies are
+// restored elsewhere, and marks them as removed once that is done. Until then they use up the fault tolerance.
+// Enough whole stores must remain. A store that renews before its removal counts again.
 func (t *term) removeSilentStores(state *rpc.ControlState, next *table, copies int, now time.Time) {
 	for _, member := range activeMembers(next.stores, next.retirements) {
 		if findRetirement(next.retirements, member.Node) != nil {
@@ -108,7 +108,7 @@
 			continue
 		}
 		if since.mapVersion == 0 {
-			since.mapVersion = state.MapVersion // whose stores take it for leaving
+			since.mapVersion = state.MapVersion // the first map that marks it as leaving
 			t.leaselessSince[member.Node] = since
 		}
 		if t.copiesRestoredSince(state, next, startPoint{at: since.at.Add(leaselessTimeout), mapVersion: since.mapVersion}, removalConfirmTime, now) {
@@ -118,7 +118,7 @@
 	}
 }
 
-// enoughStoresWithout reports whether enough whole stores hold a lease beside one.
+// enoughStoresWithout reports whether enough whole stores other than the given one hold a lease.
 func (t *term) enoughStoresWithout(next *table, node string, copies int, now time.Time) bool {
 	left := 0
 	for _, other := range activeMembers(next.stores, next.retirements) {
@@ -130,8 +130,8 @@
 	return left >= copies
 }
 
-// hasStoppedAccepting reports whether a store that is being emptied takes no copies any longer: it knows the newest table, or it
-// has been silent until its lease ended.
+// hasStoppedAccepting reports whether a retiring store accepts no more copies: it knows the latest map, or its lease
+// has certainly ended.
 func (t *term) hasStoppedAccepting(state *rpc.ControlState, next *table, node string, now time.Time) bool {
 	member := findStore(next.stores, node)
 	if member == nil {
@@ -143,7 +143,7 @@
 	return t.leases.ended(member.Node, member.Incarnation, now)
 }
 
-// recentStatus returns what the recorded incarnation of a store told within the length of a lease, nil for nothing.
+// recentStatus returns what the recorded incarnation of a store reported within the duration of a lease, or nil.
 func (t *term) recentStatus(member *rpc.StoreMember, now time.Time) *storeStatus {
 	status := t.stores[member.Node]
 	if status == nil || status.incarnation != member.Incarnation || now.Sub(status.renewedAt) >= t.leases.duration() {
@@ -152,9 +152,9 @@
 	return status
 }
 
-// copiesRestoredSince reports whether every partition has an owner, all owners know the newest table and have reported for so long
-// since a moment that no message has too few copies, and no other store that was heard lately has told of a copy that its
-// owner may not know.
+// copiesRestoredSince reports whether every partition has an owner, all owners know the latest map and have reported for
+// confirmTime after since that no message has too few copies, and no other store with a recent status has reported a copy
+// that the owner may not know of.
 func (t *term) copiesRestoredSince(state *rpc.ControlState, next *table, since startPoint, confirmTime time.Duration, now time.Time) bool {
 	for _, member := range next.stores {
 		if status := t.recentStatus(member, now); status != nil && !status.replicatedFor(since, confirmTime) {
@@ -177,9 +177,9 @@
 	return true
 }
 
-// replicatedFor reports whether the store has reported for so long since a moment that it has enough copies of every message of its partitions,
-// and tells of no copy that a dispatcher began to place under an earlier table and its owner may not know: one that was begun later has
-// no copy on a disk that was gone by then.
+// replicatedFor reports whether the store has reported for confirmTime after since that every message of its partitions has enough copies,
+// and reports no copy that a dispatcher began to place under an earlier map and that the owner may not know of. A message whose placement
+// began under since.mapVersion or later has no copy on a disk that was lost by then.
 func (s *storeStatus) replicatedFor(since startPoint, confirmTime time.Duration) bool {
 	if s.replicatedSince.IsZero() || s.unconfirmed && s.unconfirmedUnder < since.mapVersion {
 		return false
--- a/internal/controlplane/request_error.go
+++ b/internal/controlplane/request_error.go
@@ -5,10 +5,10 @@
 	"net/http"
 )
 
-// Refusal is a clear answer that an order was not taken and never will be in this form.
+// RequestError reports that a request was not applied and never will be in its present form.
 type RequestError struct {
-	Status int    // of HTTP
-	Reason string // names the fault and its remedy
+	Status int    // HTTP status
+	Reason string // the cause and its remedy
 }
 
 func (r *RequestError) Error() string {
@@ -19,8 +19,8 @@
 	return &RequestError{Status: status, Reason: fmt.Sprintf(format, arguments...)}
 }
 
-// versionMismatch refuses an order that builds on another version than the current one.
+// versionMismatch rejects a change request that is not based on the current version.
 func versionMismatch(wanted, current uint64) *RequestError {
 	return reject(http.StatusPreconditionFailed,
-		"X-If-Version is %d and the current version is %d: read the configuration and build on it", wanted, current)
+		"X-If-Version is %d but the current version is %d: read the configuration and base the change on it", wanted, current)
 }
--- a/internal/controlplane/responses.go
+++ b/internal/controlplane/responses.go
@@ -13,12 +13,12 @@
 
 const (
 	jsonType       = "application/json"
-	retryAfterS    = "1"        // seconds, in Retry-After
-	maxBodyBytes   = 8 << 20    // of an order
-	headerLocation = "Location" // where a caller is to go
+	retryAfterS    = "1"     // seconds, for the Retry-After header
+	maxBodyBytes   = 8 << 20 // of a request
+	headerLocation = "Location"
 )
 
-// errorResponse is the body of an answer that is not a success.
+// errorResponse is the body of a response other than a success.
 type errorResponse struct {
 	Error string `json:"error"`
 }
@@ -28,11 +28,11 @@
 	Version uint64 `json:"version,omitempty"`
 }
 
-// writeJSON answers with a JSON body.
+// writeJSON writes a response with a JSON body.
 func writeJSON(writer http.ResponseWriter, status int, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		panic(errors.Wrap(err, "an answer can't be encoded: report this as a defect"))
+		panic(errors.Wrap(err, "encode a response: report this as a defect"))
 	}
 	writeRaw(writer, status, encoded)
 }
@@ -40,7 +40,7 @@
 func writeRaw(writer http.ResponseWriter, status int, body []byte) {
 	writer.Header().Set("Content-Type", jsonType)
 	writer.WriteHeader(status)
-	_, _ = writer.Write(body) // a caller that is gone asks again
+	_, _ = writer.Write(body) // a disconnected caller sends its request again
 }
 
 func writeError(writer http.ResponseWriter, status int, reason string) {
@@ -50,21 +50,21 @@
 	writeJSON(writer, status, errorResponse{Error: reason})
 }
 
-// redirectToLeader answers a caller that this process can't serve: 307 where the leader is known, else 503.
-// The body is read first, because a connection closed with unread bytes may lose the answer.
+// redirectToLeader responds to a caller that only the leader can serve: 307 if the leader is known, else 503.
+// It reads the request body first, because closing a connection with unread data may discard the response.
 func (s *Server) redirectToLeader(writer http.ResponseWriter, request *http.Request) {
 	_, _ = io.Copy(io.Discard, http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	leader := s.remoteLeader()
 	if leader == "" {
-		writeError(writer, http.StatusServiceUnavailable, "no leader is known: try again or try another control process")
+		writeError(writer, http.StatusServiceUnavailable, "no leader is known: retry or use another control process")
 		return
 	}
 	writer.Header().Set(watch.LeaderHeader, leader)
 	writer.Header().Set(headerLocation, "http://"+leader+request.URL.RequestURI())
-	writeJSON(writer, http.StatusTemporaryRedirect, errorResponse{Error: "not the leader: ask " + leader})
+	writeJSON(writer, http.StatusTemporaryRedirect, errorResponse{Error: "not the leader: use " + leader})
 }
 
-// leaderOnly sends callers on unless this process leads.
+// leaderOnly wraps a handler so that callers are redirected unless this process leads.
 func (s *Server) leaderOnly(handler http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		if !s.state.leading() {
@@ -75,8 +75,8 @@
 	}
 }
 
-// answer gives the outcome of an order or a read. A clear one was confirmed by a majority after the request came (see
-// replicatedState.newest and change); that the lease is valid now is a second guard.
+// respond writes the outcome of a change or a read. A majority has confirmed a definite outcome after the request arrived
+// (see replicatedState.readLatest and change); the check of the lease is an additional safeguard.
 func (s *Server) respond(writer http.ResponseWriter, request *http.Request, err error, success any) {
 	var requestError *RequestError
 	var notLeader failover.NotLeader
@@ -88,14 +88,14 @@
 	case errors.As(err, &requestError) && s.state.leading():
 		writeError(writer, requestError.Status, requestError.Reason)
 	default:
-		s.log.V(1).Info("an order has no clear outcome", "error", errorText(err))
-		writeError(writer, http.StatusGatewayTimeout, "the outcome is not known: send the same order again")
+		s.log.V(1).Info("the outcome of a request is unknown", "error", errorText(err))
+		writeError(writer, http.StatusGatewayTimeout, "the outcome is unknown: send the same request again")
 	}
 }
 
 func errorText(err error) string {
 	if err == nil {
-		return "the lease ended"
+		return "the leader's lease ended"
 	}
 	return err.Error()
 }
--- a/internal/controlplane/retire.go
+++ b/internal/controlplane/retire.go
@@ -6,18 +6,18 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// Words of the operator's API for the progress of a retirement.
+// Values of retirementResponse.State.
 const (
 	retirementRunning   = "running"
 	retirementCompleted = "completed"
 )
 
-// retirementResponse tells how far the emptying of a machine is.
+// retirementResponse is the progress of a retirement: the machine's partitions and copies are moved to other stores.
 type retirementResponse struct {
 	State string `json:"state"`
 }
 
-// handleRetireStart takes the order to empty a store machine. A repeated order is acknowledged again.
+// handleRetireStart starts the retirement of a store machine. A repeated request is acknowledged again.
 func (s *Server) handleRetireStart(writer http.ResponseWriter, request *http.Request) {
 	if _, err := readBody(writer, request); err != nil {
 		s.respond(writer, request, err, nil)
@@ -31,14 +31,15 @@
 	s.respond(writer, request, err, okResponse{})
 }
 
-// startRetirement marks a store as leaving: its partitions move, and its copies count as missing.
+// startRetirement marks a store as leaving: its partitions are moved, and its copies count as missing. It returns a
+// RequestError if the store is unknown or fewer than copies whole stores would remain.
 func startRetirement(state *rpc.ControlState, node string, copies int) error {
 	if findRetirement(state.Retirements, node) != nil {
 		return nil
 	}
 	store := findStore(state.Stores, node)
 	if store == nil || isRemoved(store) {
-		return reject(http.StatusNotFound, "no store machine is called %q: give the name of one that takes part", node)
+		return reject(http.StatusNotFound, "there is no store machine %q: give the name of an active one", node)
 	}
 	left := 0
 	for _, other := range activeStores(state) {
@@ -48,7 +49,7 @@
 	}
 	if left < copies {
 		return reject(http.StatusConflict,
-			"%d whole stores would be left and %d are needed: add store machines first", left, copies)
+			"%d whole stores would remain and %d are needed: add store machines first", left, copies)
 	}
 	store.Leaving = true
 	state.Retirements = append(state.Retirements, &rpc.Retirement{Node: node})
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// handleRetireRead tells how far the emptying of a machine is.
+// handleRetireRead responds with the progress of a retirement.
 func (s *Server) handleRetireRead(writer http.ResponseWriter, request *http.Request) {
 	node := request.PathValue("node")
 	state, err := s.state.readLatest()
@@ -66,7 +67,7 @@
 	}
 	retirement := findRetirement(state.Retirements, node)
 	if retirement == nil {
-		s.respond(writer, request, reject(http.StatusNotFound, "%q was never asked to retire: start it first", node), nil)
+		s.respond(writer, request, reject(http.StatusNotFound, "%q has no retirement: start it first", node), nil)
 		return
 	}
 	s.respond(writer, request, nil, retirementResponse{State: retirementState(retirement)})
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -24,41 +24,41 @@
 
 const (
 	minStreams          = 256
-	reservedDescriptors = 512 // for other connections and files
-	maxStreamLinkShare  = 0.5 // of the machine's link, at most, for long frames of the stream
+	reservedDescriptors = 512 // file descriptors for other connections and files
+	maxStreamLinkShare  = 0.5 // of the machine's link bandwidth, for large frames of the stream
 	bytesPerMegabit     = 1e6 / 8
-	headerTimeout       = 5 * time.Second // for the head of a request
-	idleTimeout         = time.Minute     // of a connection without a request
+	headerTimeout       = 5 * time.Second // for reading request headers
+	idleTimeout         = time.Minute     // for a connection without a request
 	maxHeaderBytes      = 16 << 10
-	closeTimeout        = 500 * time.Millisecond // for answers under way at the end
-	resignGracePeriod   = 50 * time.Millisecond  // for the resignation to leave
-	recordFileName      = "control"              // of the files in dataDir
+	closeTimeout        = 500 * time.Millisecond // for requests in progress at shutdown
+	resignGracePeriod   = 50 * time.Millisecond  // lets the resignation reach the other voters
+	recordFileName      = "control"              // prefix of the file names in dataDir
 	dataDirPermissions  = 0o755
 )
 
-// Options are what a Server is told at its start.
+// Options configures a Server.
 type Options struct {
-	Settings *settings.Settings // read and checked
+	Settings *settings.Settings // parsed and validated
 	Log      logr.Logger
-	Timing   failover.Timing // the zero value for the defaults
-	// StoreLease is the longest lease that this process grants to a store; 0 for the default.
+	Timing   failover.Timing // the zero value selects the defaults
+	// StoreLease is the longest lease that this process grants to a store; 0 selects the default.
 	StoreLease time.Duration
-	// RoundTripper reaches the other control processes; nil for TCP.
+	// RoundTripper carries calls to the other control processes; nil selects TCP.
 	RoundTripper http.RoundTripper
-	// Platform reaches the platform; nil for TCP.
+	// Platform carries calls to the platform API; nil selects TCP.
 	Platform http.RoundTripper
 }
 
 // Server is the control role of one process. Create it with New and run it with Run.
 type Server struct {
-	address string // host:port of this process, as the others reach it
+	address string // host:port at which other processes reach this one
 	zone    string
 	hasDisk bool
 	log     logr.Logger
 
-	storeLease time.Duration // longest that this process grants to a store
+	storeLease time.Duration // longest lease that this process grants to a store
 
-	platform http.RoundTripper // nil for TCP
+	platform http.RoundTripper // nil selects TCP
 
 	currentSettings atomic.Pointer[settings.Settings]
 	node            node
@@ -68,7 +68,7 @@
 	peers           *peerTable
 	clients         *clients
 	leaderHint      atomic.Pointer[leaderHint]
-	term            atomic.Pointer[term] // nil while another process leads
+	term            atomic.Pointer[term] // nil while this process does not lead
 
 	callCounts     callCounters
 	requestSlots   chan struct{}
@@ -78,12 +78,12 @@
 	published      publishedVersions
 }
 
-// New opens the data folder and starts the node of this process. It fails where the settings name no control
-// address, or where the folder can't be read.
+// New opens the data directory and starts the consensus node of this process. It returns an error if the settings
+// contain no control address or the data directory can't be read.
 func New(options Options) (*Server, error) {
 	initial := options.Settings
 	if initial.Listen.Control == "" {
-		return nil, errors.New("listen.control is empty: give this role an address to serve control on")
+		return nil, errors.New("listen.control is empty: set the address on which the control role listens")
 	}
 	server := &Server{
 		address:        initial.Listen.Control,
@@ -108,7 +108,7 @@
 	return server, nil
 }
 
-// openNode starts the node on the disk; a process without one gets a stand-in.
+// openNode starts the consensus node on the files in dataDir; a process without a disk gets a disklessNode.
 func (s *Server) openNode(timing failover.Timing) error {
 	if !s.hasDisk {
 		s.node = disklessNode{}
@@ -116,11 +116,11 @@
 	}
 	configured := s.settings()
 	if err := os.MkdirAll(configured.DataDir, dataDirPermissions); err != nil {
-		return errors.Wrap(err, "create the data folder: check dataDir in the settings")
+		return errors.Wrap(err, "create the data directory: check dataDir in the settings")
 	}
 	store, err := failover.OpenFileStore(filepath.Clean(configured.DataDir), recordFileName)
 	if err != nil {
-		return errors.Wrap(err, "open the data folder: check dataDir in the settings")
+		return errors.Wrap(err, "open the data directory: check dataDir in the settings")
 	}
 	node, err := startNode(failover.Config{
 		Address:   s.address,
@@ -141,23 +141,23 @@
 	return nil
 }
 
-// settings returns the newest settings.
+// settings returns the settings that were loaded last.
 func (s *Server) settings() *settings.Settings {
 	return s.currentSettings.Load()
 }
 
-// copies is the number of copies that a message needs.
+// requiredCopies returns the number of copies that each message must have.
 func (s *Server) requiredCopies() int {
 	return toleratedFailures(s.settings()) + 1
 }
 
-// tolerated is the largest number of machines, zones or regions that may be lost at one time.
+// toleratedFailures returns the largest number of machines, zones or regions that may fail at the same time.
 func toleratedFailures(settings *settings.Settings) int {
 	tolerance := settings.FaultTolerance
 	return max(tolerance.Machines, tolerance.Zones, tolerance.Regions)
 }
 
-// identity names the disk of this process; empty without one.
+// identity returns the ID of the disk of this process, empty if it has none.
 func (s *Server) identity() string {
 	return s.node.Status().Identity
 }
@@ -166,7 +166,7 @@
 	return s.clients.get(address)
 }
 
-// Handler serves everything that this role serves.
+// Handler returns the handler for the control service, the View stream, the status, the metrics and the operator's API.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(rpc.ControlPathPrefix, rpc.NewControlServer(&service{server: s}))
@@ -182,8 +182,8 @@
 	return mux
 }
 
-// Run serves until the context ends, then gives the leadership up and closes. It returns the error that ended
-// it, nil after the end of the context.
+// Run serves until the context ends, then resigns the leadership and closes. It returns the error that stopped
+// it, or nil if the context ended.
 func (s *Server) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp4", s.address)
 	if err != nil {
@@ -192,7 +192,7 @@
 	return s.Serve(ctx, listener)
 }
 
-// Serve is Run on a listener of the caller's, which it closes.
+// Serve is like Run but uses the given listener, which it closes.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	running, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -226,7 +226,7 @@
 	return err
 }
 
-// start starts what runs at every control process.
+// start starts the goroutines that run in every control process.
 func (s *Server) start(ctx context.Context) {
 	s.background.Add(2)
 	go func() {
@@ -239,7 +239,7 @@
 	}()
 }
 
-// closeServer lets answers under way finish for a moment.
+// closeServer lets requests in progress finish within closeTimeout.
 func (s *Server) closeServer(server *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
@@ -248,7 +248,7 @@
 	}
 }
 
-// close ends the node, after its resignation had time to leave, and the files.
+// close closes the node, once its resignation had time to be sent, and the files.
 func (s *Server) close() {
 	time.Sleep(resignGracePeriod)
 	s.node.Close()
@@ -258,8 +258,8 @@
 	}
 }
 
-// Reload takes newer settings: seeds, the platform's address and the fault tolerance. What a process listens on
-// and where it keeps its state stay as they were at its start.
+// Reload applies updated settings: seeds, the platform's address and the fault tolerance. Listen addresses and
+// the data directory stay as they were at the start of the process.
 func (s *Server) Reload(updated *settings.Settings) {
 	s.currentSettings.Store(updated)
 }
--- a/internal/controlplane/service.go
+++ b/internal/controlplane/service.go
@@ -9,16 +9,16 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// Roles of members, as renewals name them.
+// Roles of members in RenewRequest.Role.
 const (
 	roleStore      = "store"
 	roleDispatcher = "dispatcher"
 )
 
-// releaseTimeout bounds the wait of a caller for the new table.
+// releaseTimeout bounds the wait of a Release call for the new map to be committed.
 const releaseTimeout = time.Second
 
-// service is the Control service of this process.
+// service implements rpc.Control on a Server.
 type service struct {
 	server *Server
 }
@@ -79,8 +79,8 @@
 	if term != nil && server.state.leading() {
 		outcome = server.renew(term, request)
 	}
-	// The lease is looked at again after the grant was counted and the version read: a later leader begins after it has ended, so until
-	// now nobody else has acknowledged a configuration.
+	// The leader's lease is checked again after the grant was recorded and the version was read: a later leader starts
+	// only after this lease has ended, so no other process has acknowledged a configuration until now.
 	newest := server.state.committed().ConfigVersion
 	leading := server.state.leading()
 	reply := &rpc.RenewReply{
@@ -118,7 +118,7 @@
 	}
 }
 
-// Release implements rpc.Control. It answers once the new table is committed.
+// Release implements rpc.Control. It replies once the new map is committed, or with Ok unset after releaseTimeout.
 func (s *service) Release(ctx context.Context, request *rpc.ReleaseRequest) (*rpc.ReleaseReply, error) {
 	term := s.server.currentTerm()
 	if term == nil || !s.server.state.leading() {
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -13,17 +13,17 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// What the state keeps of the orders that were taken.
+// Bounds of the digests of applied change requests that the state holds.
 const (
-	maxAppliedDigests = 1024 // orders, the newest
-	digestBytes       = 16   // of the digest of each
+	maxAppliedDigests = 1024 // the oldest are dropped
+	digestBytes       = 16   // size of each
 )
 
-// readTimeout bounds the wait for a majority to confirm that the state of this process is the newest. Callers move on after
-// about a second.
+// readTimeout bounds the wait for a majority to confirm that the state of this process is the latest. Callers give up
+// after about 1 s.
 const readTimeout = 800 * time.Millisecond
 
-// replica is what this package uses of failover.Node.
+// replica is the part of failover.Node that gives access to the replicated state.
 type replica interface {
 	Propose(ctx context.Context, change func(old []byte) ([]byte, error)) error
 	Read(ctx context.Context) error
@@ -31,12 +31,12 @@
 	LeaseValid() bool
 }
 
-// replicatedState gives typed access to the replicated state.
+// replicatedState gives access to the replicated state as a ControlState. It caches the decoded state.
 type replicatedState struct {
 	replica replica
 
 	mutex    sync.Mutex
-	epoch    uint64 // version of the state that is decoded
+	epoch    uint64 // with sequence, the version of the decoded state
 	sequence uint64
 	decoded  *rpc.ControlState
 }
@@ -45,8 +45,8 @@
 	return &replicatedState{replica: replica, decoded: &rpc.ControlState{}}
 }
 
-// newest returns the committed state once a majority has confirmed, after the call began, that this process leads: it
-// holds all that was acknowledged by then. The caller must not change it. Errors are those of failover.Node.Read.
+// readLatest returns the committed state once a majority has confirmed, after the call began, that this process leads: it
+// includes every change acknowledged before the call. The caller must not modify it. Errors are those of failover.Node.Read.
 func (s *replicatedState) readLatest() (*rpc.ControlState, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
@@ -56,8 +56,8 @@
 	return s.committed(), nil
 }
 
-// committed returns the newest committed state that this process knows, which may not be the newest of all: see newest.
-// The caller must not change it.
+// committed returns the latest committed state that this process knows. Other processes may know a later one: see
+// readLatest. The caller must not modify it.
 func (s *replicatedState) committed() *rpc.ControlState {
 	status := s.replica.Status()
 	s.mutex.Lock()
@@ -67,7 +67,7 @@
 	}
 	decoded := &rpc.ControlState{}
 	if err := proto.Unmarshal(status.State, decoded); err != nil {
-		panic(errors.Wrap(err, "the committed state can't be read: restore the data folder of this process"))
+		panic(errors.Wrap(err, "the committed state can't be decoded: restore the data directory of this process"))
 	}
 	s.epoch = status.StateEpoch
 	s.sequence = status.StateSeq
@@ -75,19 +75,19 @@
 	return decoded
 }
 
-// leading reports whether this process holds the leader's lease at this moment.
+// leading reports whether this process holds a valid leader lease now.
 func (s *replicatedState) leading() bool {
 	return s.replica.LeaseValid()
 }
 
-// change commits a change of the state. The change gets a copy of its own; an error of it stops the proposal
-// and is returned, once a majority has confirmed that the copy was the newest state. It may run while others read the
-// committed state, and must not block.
+// change commits a change of the state. The function gets a private copy of the state; if it returns an error, nothing is
+// proposed, and the error is returned once a majority has confirmed that the copy was the latest state. The function may
+// run while others read the committed state, and must not block.
 func (s *replicatedState) change(ctx context.Context, change func(*rpc.ControlState) error) error {
 	return s.replica.Propose(ctx, func(old []byte) ([]byte, error) {
 		state := &rpc.ControlState{}
 		if err := proto.Unmarshal(old, state); err != nil {
-			return nil, errors.Wrap(err, "read the state: restore the data folder of this process")
+			return nil, errors.Wrap(err, "decode the state: restore the data directory of this process")
 		}
 		before := versionsOf(state)
 		if err := change(state); err != nil {
@@ -98,7 +98,7 @@
 	})
 }
 
-// figures are the versions of a state that may only rise.
+// versions are the versions of a state that must never decrease.
 type versions struct {
 	config uint64
 	table  uint64
@@ -108,18 +108,19 @@
 	return versions{config: state.ConfigVersion, table: state.MapVersion}
 }
 
-// check panics where a change broke an invariant of the state.
+// check panics if a change violated an invariant of the state: a version decreased, or there are too many digests.
 func (f versions) check(state *rpc.ControlState) {
 	if state.ConfigVersion < f.config || state.MapVersion < f.table {
-		panic(errors.Errorf("a change lowered a version (config %d to %d, map %d to %d): report this as a defect",
+		panic(errors.Errorf("a change decreased a version (config %d to %d, map %d to %d): report this as a defect",
 			f.config, state.ConfigVersion, f.table, state.MapVersion))
 	}
 	if len(state.Taken) > maxAppliedDigests {
-		panic(errors.New("more digests are kept than allowed: report this as a defect"))
+		panic(errors.New("the state holds more digests than the bound: report this as a defect"))
 	}
 }
 
-// wasApplied reports whether an order with this digest has been taken. Digests in older states are longer.
+// wasApplied reports whether a change request with this digest was applied. Digests stored by earlier versions are
+// longer, so only their first bytes are compared.
 func wasApplied(state *rpc.ControlState, digest []byte) bool {
 	for _, taken := range state.Taken {
 		if bytes.HasPrefix(taken.Digest, digest) {
@@ -129,13 +130,13 @@
 	return false
 }
 
-// digestMayBeDropped reports whether an order that builds on a version may have been taken so long ago that its digest was
-// dropped. The configuration that it led to was then older than that of every order that is still known.
+// digestMayBeDropped reports whether a change request based on ifVersion may have been applied so long ago that its
+// digest was dropped. The configuration that resulted from it was then older than that of every digest still held.
 func digestMayBeDropped(state *rpc.ControlState, ifVersion uint64) bool {
 	return len(state.Taken) >= maxAppliedDigests && ifVersion < state.Taken[0].Version
 }
 
-// recordApplied adds a digest and drops the oldest above the bound.
+// recordApplied adds a digest and drops the oldest ones beyond maxAppliedDigests.
 func recordApplied(state *rpc.ControlState, digest []byte) {
 	state.Taken = append(state.Taken, &rpc.Taken{Digest: digest, Version: state.ConfigVersion})
 	if excess := len(state.Taken) - maxAppliedDigests; excess > 0 {
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Status is what GET /internal/status answers.
+// Status is the response of GET /internal/status. A process that does not lead fills in only what it knows.
 type Status struct {
 	Address          string             `json:"address"`
 	Identity         string             `json:"identity"`
@@ -18,19 +18,20 @@
 	MapVersion       uint64             `json:"mapVersion"`
 	Streams          int                `json:"streams"`
 	Voters           []string           `json:"voters"`
-	VotersWanted     int                `json:"votersWanted"`     // for the fault tolerance of the settings
-	VotersExchanging bool               `json:"votersExchanging"` // until this ends, a further loss counts for the voters before as well
+	VotersWanted     int                `json:"votersWanted"`     // required by the fault tolerance in the settings
+	VotersExchanging bool               `json:"votersExchanging"` // a change of the voters is in progress; until it ends, majorities of the old voters are needed as well
 	ControlAddresses []string           `json:"controlAddresses"`
 	Stores           []StoreStatus      `json:"stores"`
 	Dispatchers      []DispatcherStatus `json:"dispatchers"`
-	Partitions       map[string]int     `json:"partitions"` // number owned by each machine
-	Ownerships       []OwnershipStatus  `json:"ownerships"` // in the order of the partitions
+	Partitions       map[string]int     `json:"partitions"` // number of owned partitions by machine
+	Ownerships       []OwnershipStatus  `json:"ownerships"` // by partition
 	Retirements      map[string]string  `json:"retirements"`
-	FaultTolerance   int                `json:"faultTolerance"` // stores that may be lost at one time
+	FaultTolerance   int                `json:"faultTolerance"` // stores that may fail at the same time
 }
 
-// Waiting returns how many partitions have an owner that does not yet know what other stores hold of them, and the stores that hold no
-// lease. Where those are more than may be lost, the partitions wait until some come back or are abandoned.
+// Waiting returns the number of partitions whose owner has not completed the takeover, and the active stores that hold no lease. An owner
+// must first learn which copies the other stores hold. If more stores hold no lease than may fail at the same time, takeovers wait until
+// some of them return or are abandoned.
 func (s *Status) Waiting() (partitions int, silent []string) {
 	for _, store := range s.Stores {
 		switch {
@@ -43,7 +44,8 @@
 	return partitions, silent
 }
 
-// OwnershipStatus tells who owns a partition. Node is empty for none, Successor where it is not being handed over.
+// OwnershipStatus describes the owner of a partition. Node is empty if there is none, Successor if the partition is not
+// being handed over.
 type OwnershipStatus struct {
 	Partition int    `json:"partition"`
 	Node      string `json:"node"`
@@ -52,7 +54,8 @@
 	Successor string `json:"successor"`
 }
 
-// StoreStatus is what the leader knows of a store. AgeMs is the time since its newest renewal, -1 for never.
+// StoreStatus describes a store. AgeMs is the time since its latest renewal in this term, -1 if there was none. The
+// versions, counts and flags other than Whole and Leaving are known only at the leader.
 type StoreStatus struct {
 	Node          string `json:"node"`
 	Zone          string `json:"zone"`
@@ -60,7 +63,7 @@
 	Incarnation   string `json:"incarnation"`
 	Whole         bool   `json:"whole"`
 	Leaving       bool   `json:"leaving"`
-	Impaired      bool   `json:"impaired"` // its disk was full or did not answer lately
+	Impaired      bool   `json:"impaired"` // its disk was full or did not respond within the last seconds
 	Lease         bool   `json:"lease"`
 	AgeMs         int64  `json:"ageMs"`
 	MapVersion    uint64 `json:"mapVersion"`
@@ -71,7 +74,7 @@
 	UnderCopied   uint64 `json:"underCopied"`
 }
 
-// DispatcherStatus is what the leader knows of a dispatcher.
+// DispatcherStatus describes a dispatcher that renewed in this term. AgeMs is the time since its latest renewal.
 type DispatcherStatus struct {
 	Node          string `json:"node"`
 	Zone          string `json:"zone"`
@@ -85,7 +88,7 @@
 	writeJSON(writer, http.StatusOK, s.Status())
 }
 
-// Status describes this process and, at the leader, the members of the system.
+// Status returns the status of this process and, at the leader, of the members of the system.
 func (s *Server) Status() Status {
 	known := s.node.Status()
 	state := s.state.committed()
@@ -139,7 +142,7 @@
 	return status
 }
 
-// describe adds what only the leader knows.
+// describe adds what only the leader knows to a status.
 func (t *term) describe(status *Status, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/controlplane/table.go
+++ b/internal/controlplane/table.go
@@ -8,20 +8,21 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// partitionCount is the number of partitions that messages are spread over.
+// partitionCount is the number of partitions that messages are distributed over.
 const partitionCount = 64
 
-// maxReplacedDisks is how many earlier disks of a machine are remembered.
+// maxReplacedDisks is the number of replaced disks that are recorded for a machine.
 const maxReplacedDisks = 2
 
-// table is the part of the state that the planner changes: stores, owners and retirements.
+// table is the part of the replicated state that the planner changes: stores, partition owners and retirements. MapVersion
+// is its version.
 type table struct {
 	stores      []*rpc.StoreMember
 	partitions  []*rpc.Ownership
 	retirements []*rpc.Retirement
 }
 
-// copyTable returns a copy of a state's table that may be changed.
+// copyTable returns a deep copy of the table of a state.
 func copyTable(state *rpc.ControlState) *table {
 	copied := proto.CloneOf(&rpc.ControlState{
 		Stores:      state.Stores,
@@ -31,14 +32,14 @@
 	return &table{stores: copied.Stores, partitions: copied.Partitions, retirements: copied.Retirements}
 }
 
-// equals reports whether a state has this very table.
+// equals reports whether the table of a state has the same contents.
 func (t *table) equals(state *rpc.ControlState) bool {
 	ours := &rpc.ControlState{Stores: t.stores, Partitions: t.partitions, Retirements: t.retirements}
 	theirs := &rpc.ControlState{Stores: state.Stores, Partitions: state.Partitions, Retirements: state.Retirements}
 	return proto.Equal(ours, theirs)
 }
 
-// put replaces the table of a state and raises its version.
+// writeTo replaces the table of a state and increments its version.
 func (t *table) writeTo(state *rpc.ControlState) {
 	state.Stores = t.stores
 	state.Partitions = t.partitions
@@ -46,7 +47,7 @@
 	state.MapVersion++
 }
 
-// findStore returns the member on a machine, nil if there is none.
+// findStore returns the store on a machine, nil if there is none.
 func findStore(stores []*rpc.StoreMember, node string) *rpc.StoreMember {
 	for _, store := range stores {
 		if store.Node == node {
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// findRetirement returns the order to empty a machine, nil if there is none.
+// findRetirement returns the retirement of a machine, nil if there is none.
 func findRetirement(retirements []*rpc.Retirement, node string) *rpc.Retirement {
 	for _, retirement := range retirements {
 		if retirement.Node == node {
@@ -66,33 +67,33 @@
 	return nil
 }
 
-// isRetired reports whether a machine has been emptied. Its member stays in the table, so that its disk is
-// known and can't join again, but takes no part any more.
+// isRetired reports whether the retirement of a machine is complete. Its store stays in the table, so that its disk
+// is known and can't join again, but it is no longer active.
 func isRetired(retirements []*rpc.Retirement, node string) bool {
 	retirement := findRetirement(retirements, node)
 	return retirement != nil && retirement.Completed
 }
 
-// isRemoved reports whether a store was given up after it had been away for long and its copies had been restored
-// elsewhere. It stays in the table without an address, so that its disk and incarnation are known when it comes
-// back.
+// isRemoved reports whether a store was removed, either because it held no lease and its copies were restored
+// elsewhere, or because the operator abandoned it. It stays in the table without an address, so that its disk and
+// incarnation are known when it returns.
 func isRemoved(store *rpc.StoreMember) bool {
 	return store.Leaving && store.Address == ""
 }
 
-// markRemoved makes a store one that is gone.
+// markRemoved turns a store into a removed one: see isRemoved.
 func markRemoved(store *rpc.StoreMember) {
 	store.Leaving = true
 	store.Whole = false
 	store.Address = ""
 }
 
-// activeStores returns the stores that take part: all but those that have been emptied or are gone.
+// activeStores returns the stores of a state that are neither retired nor removed.
 func activeStores(state *rpc.ControlState) []*rpc.StoreMember {
 	return activeMembers(state.Stores, state.Retirements)
 }
 
-// publishedStores returns the active stores without what control processes alone need.
+// publishedStores returns the active stores without the fields that only control processes need.
 func publishedStores(state *rpc.ControlState) []*rpc.StoreMember {
 	published := activeStores(state)
 	for i, store := range published {
@@ -104,6 +105,7 @@
 	return published
 }
 
+// activeMembers returns the stores that are neither retired nor removed.
 func activeMembers(stores []*rpc.StoreMember, retirements []*rpc.Retirement) []*rpc.StoreMember {
 	active := make([]*rpc.StoreMember, 0, len(stores))
 	for _, store := range stores {
@@ -114,16 +116,16 @@
 	return active
 }
 
-// admission tells what a renewal asks of the table.
+// admission is how the store of a renewal relates to the recorded one of its machine.
 type admission int
 
 const (
-	admissionKnown   admission = iota // the incarnation is the one recorded
-	admissionNew                      // the table has to record it first
-	admissionRetired                  // the machine was emptied; its disk can't join again
+	admissionKnown   admission = iota // the incarnation is recorded
+	admissionNew                      // the incarnation must be recorded first
+	admissionRetired                  // the machine is retired; its disk can't join again
 )
 
-// admissionOf compares a store with what is recorded of its machine.
+// admissionOf compares the status of a store with the recorded store of its machine.
 func admissionOf(state *rpc.ControlState, status *storeStatus) admission {
 	member := findStore(state.Stores, status.node)
 	switch {
@@ -138,11 +140,10 @@
 	}
 }
 
-// admit records a store, and reports whether its incarnation was never recorded before. A machine that is added
-// is whole, since it never held what could be lost, and so is one that comes back after it was given up, since
-// all that it held has copies elsewhere. A new disk in the place of a machine's old one stands for what that one
-// held, and is not whole until the copies are restored. A machine that is being emptied goes on being so; one
-// that was emptied and comes back with a new disk is a new one.
+// admit records a store, and reports whether its incarnation differs from the recorded one. An added machine is
+// whole, since no copies were lost with it, and so is one that returns after its removal, since its copies were
+// restored elsewhere. A new disk that replaces a machine's known one is not whole until the copies on the replaced
+// disk are restored. A retiring machine remains retiring; a retired one that returns with a new disk counts as added.
 func (t *table) admit(status *storeStatus) bool {
 	member := findStore(t.stores, status.node)
 	heldNothing := member == nil || isRemoved(member) || isRetired(t.retirements, status.node) || len(t.partitions) == 0
@@ -170,7 +171,8 @@
 	return isNew
 }
 
-// recordReplacedDisk notes that another disk takes the place of a machine's present one.
+// recordReplacedDisk adds the current disk of a machine to its replaced disks, because next replaces it. It keeps the
+// latest maxReplacedDisks.
 func recordReplacedDisk(member *rpc.StoreMember, next string) {
 	if member.Disk == "" {
 		return
--- a/internal/controlplane/term.go
+++ b/internal/controlplane/term.go
@@ -9,22 +9,22 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// Timing of leases and members.
+// Timing of leases and of store admission.
 const (
-	leaseMargin = 250 * time.Millisecond // by which the leader waits longer for the end of a lease; bounds the drift of clocks
-	// diskReplacementDelay is how long a disk must have been silent before another of the same machine takes its
-	// place: a renewal of an ended process that was held up on its way tells of no newer disk.
+	leaseMargin = 250 * time.Millisecond // added to the duration of a lease before it counts as over; bounds the drift of clocks
+	// diskReplacementDelay is how long a disk must not have renewed before another disk of the same machine
+	// replaces it: a delayed renewal from a process that has ended must not be taken for a newer disk.
 	diskReplacementDelay = 900 * time.Millisecond
-	// replacedDiskReturnDelay is the same for a disk that was replaced before: the one in its place may be starting anew.
+	// replacedDiskReturnDelay is the same for a disk that was replaced before: its successor may only be restarting.
 	replacedDiskReturnDelay = 10 * time.Second
-	firstAssignmentDelay    = 1500 * time.Millisecond // from the first store to the first assignment
-	maxFirstAssignmentDelay = 3 * time.Second         // the first assignment waits for more stores until then
-	// impairedHoldTime is how long a store counts as impaired after it last said so: a disk that comes and goes is not to move
-	// partitions to and fro.
+	firstAssignmentDelay    = 1500 * time.Millisecond // from the first renewal of a store to the first assignment
+	maxFirstAssignmentDelay = 3 * time.Second         // bound of the wait for further stores
+	// impairedHoldTime is how long a store counts as impaired after its last report of it, so that a disk with
+	// intermittent faults does not move partitions back and forth.
 	impairedHoldTime = 3 * time.Second
 )
 
-// storeStatus is what the newest renewals of a store have told. It belongs to its term.
+// storeStatus holds what the latest renewals of a store reported. It is guarded by the mutex of its term.
 type storeStatus struct {
 	node        string
 	incarnation string
@@ -33,24 +33,24 @@
 	zone        string
 
 	renewedAt       time.Time
-	admittedAt      time.Time // when its incarnation was recorded in this term, so that no older table names it
-	granted         bool      // it was granted a lease in this term
+	admittedAt      time.Time // when its incarnation was recorded in this term; no earlier map contains it. Zero if it was recorded before
+	granted         bool      // a lease was granted to it in this term
 	leaving         bool
-	impairedUntil   time.Time // its disk kept it from accepting lately
+	impairedUntil   time.Time // end of the time in which it counts as impaired
 	mapVersion      uint64
 	configVersion   uint64
 	listVersion     uint64
-	readyCount      int // partitions that it has taken over
-	backlog         uint64
-	underCopied     uint64
-	replicatedSince time.Time // since when it has reported no message of its partitions with too few copies; zero if it has some
-	// unconfirmed is whether it holds copies that their owners may not know; unconfirmedUnder is the lowest table under which a dispatcher
-	// began to place one of them.
+	readyCount      int       // owned partitions whose takeover is complete
+	backlog         uint64    // messages
+	underCopied     uint64    // messages with too few copies
+	replicatedSince time.Time // since when every message of its partitions has had enough copies; zero if some has too few
+	// unconfirmed is whether it holds copies that their owners may not know of; unconfirmedUnder is the lowest map version
+	// under which a dispatcher began to place one of them.
 	unconfirmed      bool
 	unconfirmedUnder uint64
 }
 
-// dispatcherStatus is what the newest renewal of a dispatcher has told.
+// dispatcherStatus holds what the latest renewal of a dispatcher reported.
 type dispatcherStatus struct {
 	incarnation   string
 	zone          string
@@ -60,36 +60,36 @@
 	listVersion   uint64
 }
 
-// release is the giving up of partitions by their owner.
+// release is an owner's request to release partitions.
 type release struct {
 	node        string
 	incarnation string
 	epochs      map[uint32]uint64 // by partition
-	done        chan struct{}     // closed once the planner has taken it up
+	done        chan struct{}     // closed once the map without these ownerships is committed
 }
 
-// term is what a leader knows besides the replicated state. It begins with the leader's lease and is dropped
-// when the lease ends.
+// term holds what a leader knows beyond the replicated state. It begins with the leader's lease and is dropped
+// when that lease ends.
 type term struct {
 	epoch   uint64
 	started time.Time
-	context context.Context // ends with the term
+	context context.Context // canceled at the end of the term
 	cancel  context.CancelFunc
 
 	mutex          sync.Mutex
 	stores         map[string]*storeStatus      // by machine
 	dispatchers    map[string]*dispatcherStatus // by machine
 	leases         *storeLeases
-	fences         map[string]uint64     // by machine: the map version it must know to be granted a lease
-	firstStore     time.Time             // when the first store renewed
-	restoringSince map[string]startPoint // by disk: since when a disk that is not whole has been known
-	drainedSince   map[string]startPoint // by machine that retires: since when it has owned nothing
-	leaselessSince map[string]startPoint // by machine: since when its store has held no lease, and the table by which it was first leaving
+	fences         map[string]uint64     // by machine: lowest map version that it must know to be granted a lease
+	firstStore     time.Time             // when the first store renewed; zero before
+	restoringSince map[string]startPoint // by disk that is not whole: when it was first seen
+	drainedSince   map[string]startPoint // by retiring machine: since when it has owned no partition
+	leaselessSince map[string]startPoint // by machine: since when its store has held no lease, and the map in which it was first marked as leaving
 	releases       []*release
-	listVersion    uint64 // of the list of workers
+	listVersion    uint64 // version of the list of workers
 }
 
-// newTerm begins the term of a leader that grants leases to stores of no more than a length.
+// newTerm begins the term of a leader that grants leases of at most storeLease to stores.
 func newTerm(epoch uint64, state *rpc.ControlState, storeLease time.Duration, now time.Time) *term {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &term{
@@ -110,12 +110,12 @@
 // renewal is the outcome of a renewal.
 type renewal struct {
 	granted     bool
-	duration    time.Duration // of the lease, where it is granted
-	wakePlanner bool          // the planner has something to do
+	duration    time.Duration // of the lease, if granted
+	wakePlanner bool          // the renewal reported something that the planner must act on
 }
 
-// renewStore takes the renewal of a store. A lease is granted to the recorded incarnation alone, and only
-// while the store can't act on a table that is out of date.
+// renewStore handles the renewal of a store. It grants a lease only to the recorded incarnation, and only if the
+// store can't act on an outdated map.
 func (t *term) renewStore(state *rpc.ControlState, request *rpc.RenewRequest, now time.Time) renewal {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -137,7 +137,8 @@
 	return renewal{granted: true, duration: t.leases.duration(), wakePlanner: changed}
 }
 
-// updateStore records what a store tells. It returns nil for an incarnation that can't be the newest.
+// updateStore records what a store reports, and whether the planner must act on it. It returns nil if the incarnation
+// can't be the newest one. Callers hold the lock.
 func (t *term) updateStore(state *rpc.ControlState, request *rpc.RenewRequest, now time.Time) (*storeStatus, bool) {
 	status := t.stores[request.Node]
 	isNew := status == nil || status.incarnation != request.Incarnation
@@ -154,8 +155,8 @@
 	return status, status.update(request, now) || isNew
 }
 
-// mayBeNewest reports whether an incarnation may take the place of those known of its machine. Incarnations of
-// one disk are in order. Those of different disks are not: the older one must have been silent for a while.
+// mayBeNewest reports whether an incarnation may replace those known of its machine. Incarnations of one disk are
+// ordered. Those of different disks are not, so the known one must have been silent for requiredSilence.
 func (t *term) mayBeNewest(state *rpc.ControlState, request *rpc.RenewRequest, now time.Time) bool {
 	member := findStore(state.Stores, request.Node)
 	silence := requiredSilence(member, request.Disk)
@@ -176,7 +177,7 @@
 	return now.Sub(t.started) >= silence
 }
 
-// requiredSilence returns how long the present disk of a machine must have been silent before this one takes its place.
+// requiredSilence returns how long the current disk of a machine must have been silent before the given one replaces it.
 func requiredSilence(member *rpc.StoreMember, disk string) time.Duration {
 	if member != nil && slices.Contains(member.ReplacedDisks, disk) {
 		return replacedDiskReturnDelay
@@ -184,7 +185,7 @@
 	return diskReplacementDelay
 }
 
-// note records a renewal and reports whether it tells anything that the planner acts on.
+// update records a renewal and reports whether it contains a change that the planner must act on.
 func (s *storeStatus) update(request *rpc.RenewRequest, now time.Time) bool {
 	changed := s.leaving != request.Leaving || request.Impaired && !s.impaired(now)
 	s.disk = request.Disk
@@ -211,12 +212,12 @@
 	return changed
 }
 
-// impaired reports whether the disk of the store kept it from accepting lately.
+// impaired reports whether the store could not accept messages within impairedHoldTime because its disk was full or did not respond.
 func (s *storeStatus) impaired(now time.Time) bool { return now.Before(s.impairedUntil) }
 
-// mayGrant reports whether a lease can't make the store act for a partition that was given to another. A
-// store whose lease went on all the time knows what it owns, and one that was recorded in this term is named by
-// no older table. Any other must know the newest table.
+// mayGrant reports whether a lease can't make the store act for a partition that was assigned to another. A store
+// whose lease never lapsed knows what it owns, and one that was recorded in this term is in no earlier map. Any
+// other store must know the latest map.
 func (t *term) mayGrant(state *rpc.ControlState, status *storeStatus, now time.Time) bool {
 	if status.mapVersion < t.fences[status.node] {
 		return false
@@ -232,8 +233,8 @@
 	return !s.admittedAt.IsZero() && !s.granted
 }
 
-// isAlive reports whether a recorded incarnation may be given partitions: it holds a lease, or it was recorded
-// just now and is about to.
+// isAlive reports whether a recorded incarnation may be assigned partitions: it holds a lease, or it was recorded
+// less than the duration of a lease ago and awaits its first one.
 func (t *term) isAlive(member *rpc.StoreMember, now time.Time) bool {
 	if t.leases.alive(member.Node, member.Incarnation, now) {
 		return true
@@ -245,7 +246,7 @@
 	return status.awaitsFirstLease() && now.Sub(status.admittedAt) < t.leases.duration()
 }
 
-// renewDispatcher takes the renewal of a dispatcher. Nothing depends on its lease but what is shown.
+// renewDispatcher handles the renewal of a dispatcher. Its lease is only shown in the status.
 func (t *term) renewDispatcher(request *rpc.RenewRequest, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -264,7 +265,7 @@
 	}
 }
 
-// addRelease queues a release for the planner.
+// addRelease queues a release for the planner and returns it.
 func (t *term) addRelease(request *rpc.ReleaseRequest) *release {
 	epochs := make(map[uint32]uint64, len(request.Partitions))
 	for _, partition := range request.Partitions {
--- a/internal/controlplane/transport.go
+++ b/internal/controlplane/transport.go
@@ -17,11 +17,11 @@
 
 const (
 	peerDialTimeout     = 250 * time.Millisecond
-	peerUserTimeout     = 2 * time.Second // after which a connection ends whose peer acknowledges nothing
-	maxIdleConnsPerPeer = 2               // kept to each control process
+	peerUserTimeout     = 2 * time.Second // TCP_USER_TIMEOUT: closes a connection whose peer acknowledges no data
+	maxIdleConnsPerPeer = 2               // idle connections to each control process
 )
 
-// clients holds one client for each control process that is called.
+// clients holds one RPC client per control process.
 type clients struct {
 	http *http.Client
 
@@ -29,7 +29,7 @@
 	byAddress map[string]rpc.Control
 }
 
-// newClients returns clients that reach others as given, or over TCP where that is nil.
+// newClients returns clients that use the given round tripper, or TCP if it is nil.
 func newClients(roundTripper http.RoundTripper) *clients {
 	if roundTripper == nil {
 		roundTripper = newPeerTransport()
@@ -37,7 +37,7 @@
 	return &clients{http: &http.Client{Transport: roundTripper}, byAddress: make(map[string]rpc.Control)}
 }
 
-// newPeerTransport returns a transport whose connections end soon where the other side has fallen silent.
+// newPeerTransport returns an HTTP transport that closes connections within peerUserTimeout if the peer stops responding.
 func newPeerTransport() *http.Transport {
 	dialer := &net.Dialer{Timeout: peerDialTimeout}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// get returns the client of the process at host:port.
+// get returns the client for the process at host:port.
 func (c *clients) get(address string) rpc.Control {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -67,7 +67,7 @@
 	return client
 }
 
-// close ends idle connections.
+// close closes idle connections.
 func (c *clients) close() {
 	c.http.CloseIdleConnections()
 }
@@ -147,7 +147,7 @@
 	}
 	state := &rpc.ControlState{}
 	if err := proto.Unmarshal(request.Contents.State, state); err != nil {
-		return nil, errors.Wrap(err, "the state to send can't be read: restore the data folder of this process")
+		return nil, errors.Wrap(err, "decode the state to replicate: restore the data directory of this process")
 	}
 	state.Members = membersToWire(request.Contents.Members)
 	state.OldMembers = membersToWire(request.Contents.OldMembers)
@@ -179,7 +179,7 @@
 	request.State.Members, request.State.OldMembers = nil, nil
 	encoded, err := proto.Marshal(request.State)
 	if err != nil {
-		return decoded, errors.Wrap(err, "the state that came can't be kept: have the leader send it again")
+		return decoded, errors.Wrap(err, "encode the received state: have the leader send it again")
 	}
 	contents.State = encoded
 	decoded.Contents = contents
--- a/internal/controlplane/view.go
+++ b/internal/controlplane/view.go
@@ -11,7 +11,7 @@
 	"foldlb.example/foldlb/internal/workerlist"
 )
 
-// Parts of the stream.
+// Indexes of the parts of the stream.
 const (
 	partHeader    = rpc.StreamHeader
 	partConfig    = rpc.StreamConfig
@@ -25,17 +25,17 @@
 func encodeView(part int, view *rpc.View) watch.Part {
 	encoded, err := rpc.EncodeView(view)
 	if err != nil {
-		panic(errors.Wrap(err, "a part of the stream can't be encoded: report this as a defect"))
+		panic(errors.Wrap(err, "encode a part of the stream: report this as a defect"))
 	}
 	return watch.Part{Index: part, Data: encoded}
 }
 
-// headerPart names the epoch of the leader that streams.
+// headerPart returns the part that contains the epoch of the streaming leader.
 func headerPart(epoch uint64) watch.Part {
 	return encodeView(partHeader, &rpc.View{LeaderEpoch: epoch})
 }
 
-// configPart is the configuration in force. It has no content before the first one was taken.
+// configPart returns the part with the committed configuration. It is empty if there is none yet.
 func configPart(state *rpc.ControlState) watch.Part {
 	if state.ConfigVersion == 0 {
 		return watch.Part{Index: partConfig}
@@ -46,11 +46,11 @@
 	return part
 }
 
-// configDelta encodes what leads from one configuration to another.
+// configDelta encodes the difference between two configurations.
 func configDelta(from, to *catalog.Config) []byte {
 	change, err := json.Marshal(catalog.Difference(from, to))
 	if err != nil {
-		panic(errors.Wrap(err, "a change can't be encoded: report this as a defect"))
+		panic(errors.Wrap(err, "encode a configuration change: report this as a defect"))
 	}
 	part := encodeView(partConfig, &rpc.View{ConfigChanges: []*rpc.ConfigChange{{
 		Base:    from.Version,
@@ -61,7 +61,8 @@
 	return part.Data
 }
 
-// mapPart holds the stores that take part and the owners of the partitions.
+// mapPart returns the part with the active stores and the owners of the partitions. copies is the number of copies that
+// each message must have.
 func mapPart(state *rpc.ControlState, copies int) watch.Part {
 	view := &rpc.MapView{
 		Version:    state.MapVersion,
@@ -74,7 +75,8 @@
 	return part
 }
 
-// workersPart is the platform's list, with what is new against the one streamed before; nil for none.
+// workersPart returns the part with the platform's list of workers, with a delta to the previously streamed list if before
+// is not nil.
 func workersPart(before, list *rpc.WorkerList) watch.Part {
 	part := encodeView(partWorkers, &rpc.View{Workers: list})
 	part.Version = rpc.PartVersion(list.Epoch, list.Version)
@@ -87,7 +89,7 @@
 	return part
 }
 
-// addressesPart names the control processes.
+// addressesPart returns the part with the addresses of the control processes.
 func addressesPart(addresses []string) watch.Part {
 	return encodeView(partAddresses, &rpc.View{ControlAddresses: addresses})
 }
