--- a/internal/controlplane/abandon_test.go
+++ b/internal/controlplane/abandon_test.go
@@ -22,7 +22,7 @@
 
 func TestAbandonedStoreIsNotWaitedFor(t *testing.T) {
 	const second = int(time.Second / modelStep)
-	draw := drawsOf(1)
+	draw := seededDraws(1)
 	w := newModelWorld(3)
 	run(t, w, 10*second, draw)
 	lost := w.stores[:2] // with one copy beside the owner's, one more than may be lost
@@ -44,7 +44,7 @@
 }
 
 func TestStoreThatMayBeAliveIsNotAbandoned(t *testing.T) {
-	draw := drawsOf(1)
+	draw := seededDraws(1)
 	w := newModelWorld(3)
 	run(t, w, 200, draw)
 	statusOf := func(node string) int {
@@ -61,13 +61,13 @@
 	must.Eq(t, http.StatusConflict, statusOf(w.stores[0].node))
 }
 
-func TestAbandonIsAnOrderToTheLeader(t *testing.T) {
+func TestAbandonIsServedByTheLeader(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	newest := follow(t, c.leader())
 	stores := []*testStore{newTestStore(c, 0), newTestStore(c, 1), newTestStore(c, 2)}
-	settleStores(t, stores, newest)
+	assignPartitions(t, stores, newest)
 	order := func(node string) int {
-		return c.callUntilClear(c.servers[0], http.MethodPost, "/internal/stores/"+node+"/abandon", "", "").status
+		return c.callUntilDefinite(c.servers[0], http.MethodPost, "/internal/stores/"+node+"/abandon", "", "").status
 	}
 	must.Eq(t, http.StatusConflict, order("store-0"))
 	must.Eq(t, http.StatusNotFound, order("none"))
--- a/internal/controlplane/catchup_test.go
+++ b/internal/controlplane/catchup_test.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	manyChanges  = 1000
-	slowestLink  = 30 << 17 // bytes a second: 30 Mbit/s
-	catchUpMost  = 2 * time.Second
-	largeCatchUp = 15 * time.Second // of the largest configuration over the slowest link
+	manyChanges          = 1000
+	slowestLinkBytesPerS = 30 << 17 // bytes a second: 30 Mbit/s
+	maxCatchUp           = 2 * time.Second
+	maxLargeCatchUp      = 15 * time.Second // of the largest configuration over the slowest link
 )
 
 // inGroup runs a scenario with three control processes that have a leader.
@@ -28,13 +28,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := newSimNetwork(t, 1, directory)
 		for range simVoters {
-			network.seeds = append(network.seeds, network.add().address)
+			network.seeds = append(network.seeds, network.addServer().address)
 		}
-		for _, server := range network.list() {
+		for _, server := range network.allServers() {
 			server.start(true)
 		}
 		time.Sleep(3 * time.Second)
-		defer network.endAndTell()
+		defer network.endAndLog()
 		scenario(t, network, &simOperator{network: network, history: &simHistory{}})
 	})
 }
@@ -46,9 +46,9 @@
 }
 
 // tryChange is change where a change may also stay without a clear answer.
-func (o *simOperator) tryChange(body func(version uint64) string) answerOf {
+func (o *simOperator) tryChange(body func(version uint64) string) apiResponse {
 	version := o.known + 1
-	answer := o.untilClear(http.MethodPost, replacePath, strconv.FormatUint(o.known, 10), body(version))
+	answer := o.callUntilDefinite(http.MethodPost, replacePath, strconv.FormatUint(o.known, 10), body(version))
 	if answer.status == http.StatusOK {
 		o.known = version
 	}
@@ -59,7 +59,7 @@
 
 // follower returns a server that runs and does not lead.
 func (n *simNetwork) follower() *simServer {
-	for _, server := range n.list() {
+	for _, server := range n.allServers() {
 		if process := server.running(); process != nil && !process.server.node.Status().Leader {
 			return server
 		}
@@ -68,10 +68,10 @@
 }
 
 // awaitCaughtUp waits until a server holds a configuration, and returns how long that took.
-func (s *simServer) awaitCaughtUp(version uint64, most time.Duration) time.Duration {
+func (s *simServer) awaitCaughtUp(version uint64, limit time.Duration) time.Duration {
 	began := time.Now()
 	for s.running().server.state.committed().ConfigVersion < version {
-		must.Less(s.network.t, most, time.Since(began), must.Sprint("it does not catch up"))
+		must.Less(s.network.t, limit, time.Since(began), must.Sprint("it does not catch up"))
 		time.Sleep(5 * time.Millisecond)
 	}
 	return time.Since(began)
@@ -91,13 +91,13 @@
 				sizes = append(sizes, len(network.leader().running().server.node.Status().State))
 			}
 		}
-		carried, earlier := network.came(off)
+		carried, earlier := network.received(off)
 		versionBefore := network.leader().running().server.node.Status().StateSeq
 		off.start(false)
-		took := off.awaitCaughtUp(operator.known, catchUpMost)
+		took := off.awaitCaughtUp(operator.known, maxCatchUp)
 		time.Sleep(time.Second) // what the leader has written is committed
 		written := network.leader().running().server.node.Status().StateSeq - versionBefore
-		carriedAfter, transfers := network.came(off)
+		carriedAfter, transfers := network.received(off)
 		transfers = transfers[len(earlier):]
 		t.Logf("caught up after %s with %d bytes in the transfers %v; the state has %v bytes after each quarter of %d changes",
 			took, carriedAfter-carried, transfers, sizes, manyChanges)
@@ -123,7 +123,7 @@
 		time.Sleep(time.Second)
 		before := network.leader().running().server.state.committed().ConfigVersion
 		off.start(false)
-		off.awaitCaughtUp(before, catchUpMost)
+		off.awaitCaughtUp(before, maxCatchUp)
 		close(stopped)
 		<-ended
 	})
@@ -142,7 +142,7 @@
 			off.start(false)
 			time.Sleep(network.between(time.Millisecond, 300*time.Millisecond))
 		}
-		off.awaitCaughtUp(operator.known, catchUpMost)
+		off.awaitCaughtUp(operator.known, maxCatchUp)
 		must.EqOp(t, 3, len(network.leader().running().server.node.Status().Members))
 	})
 }
@@ -154,13 +154,13 @@
 		off := network.follower()
 		off.kill(true)
 		network.mutex.Lock()
-		network.rate = slowestLink
+		network.rate = slowestLinkBytesPerS
 		network.mutex.Unlock()
 		operator.change(largestConfig)
 		time.Sleep(10 * time.Second) // no transfer is on its way any longer
 		began := time.Now()
 		off.start(false)
-		off.awaitCaughtUp(operator.known, largeCatchUp)
+		off.awaitCaughtUp(operator.known, maxLargeCatchUp)
 		t.Logf("%d bytes, caught up after %s", len(largestConfig(operator.known)), time.Since(began))
 	})
 }
@@ -186,7 +186,7 @@
 			operator.change(oneRoute)
 		}
 		var others []*simServer
-		for _, server := range network.list() {
+		for _, server := range network.allServers() {
 			if server != old {
 				others = append(others, server)
 				server.kill(true)
@@ -204,14 +204,14 @@
 }
 
 func readBackVersion(operator *simOperator) (uint64, int) {
-	answer := operator.untilClear(http.MethodGet, readPath, "", "")
+	answer := operator.callUntilDefinite(http.MethodGet, readPath, "", "")
 	version, order := readBack(answer.body)
 	return version, order
 }
 
-// TestMemberWhoseRecordIsTornJoinsAnew has both files of a record be broken: the process keeps nothing of its former votes, joins
+// TestMemberWithTornRecordJoinsUnderNewIdentity has both files of a record be broken: the process keeps nothing of its former votes, joins
 // under another identity, and is exchanged for the lost one.
-func TestMemberWhoseRecordIsTornJoinsAnew(t *testing.T) {
+func TestMemberWithTornRecordJoinsUnderNewIdentity(t *testing.T) {
 	inGroup(t, func(t *testing.T, network *simNetwork, operator *simOperator) {
 		operator.change(oneRoute)
 		torn := network.follower()
@@ -252,13 +252,13 @@
 			}
 			lost.kill(true)
 			network.mutex.Lock()
-			lost.gone = true
+			lost.removed = true
 			network.mutex.Unlock()
 			began := time.Now()
 			time.Sleep(time.Second)
 			network.seeds = network.addresses()
-			network.add().start(false)
-			for !network.isMadeUpFor() {
+			network.addServer().start(false)
+			for !network.hasRecovered() {
 				must.Less(t, time.Second+syncS+electionMost, time.Since(began), must.Sprint("round ", round))
 				time.Sleep(10 * time.Millisecond)
 			}
--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	patience = 20 * time.Second
-	pollGap  = 10 * time.Millisecond
+	eventuallyTimeout = 20 * time.Second
+	pollInterval      = 10 * time.Millisecond
 )
 
 // cluster is a control plane of several processes on loopback.
@@ -101,7 +101,7 @@
 // eventually waits until a condition holds.
 func eventually(t *testing.T, holds func() error) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.ErrorFunc(holds), wait.Timeout(patience), wait.Gap(pollGap)))
+	must.Wait(t, wait.InitialSuccess(wait.ErrorFunc(holds), wait.Timeout(eventuallyTimeout), wait.Gap(pollInterval)))
 }
 
 // leader waits for a process that leads, other than those excepted.
@@ -129,14 +129,14 @@
 	return false
 }
 
-// answerOf is the outcome of a call of the operator's.
-type answerOf struct {
+// apiResponse is the outcome of a call of the operator's.
+type apiResponse struct {
 	status int
 	body   string
 }
 
 // call makes a call of the operator's at a process; redirects are followed.
-func (c *cluster) call(server *testServer, method, path, ifVersion, body string) answerOf {
+func (c *cluster) call(server *testServer, method, path, ifVersion, body string) apiResponse {
 	request, err := http.NewRequest(method, "http://"+server.address+path, strings.NewReader(body))
 	must.NoError(c.t, err)
 	if ifVersion != "" {
@@ -144,17 +144,17 @@
 	}
 	response, err := c.caller.Do(request)
 	if err != nil {
-		return answerOf{body: err.Error()}
+		return apiResponse{body: err.Error()}
 	}
 	defer response.Body.Close()
 	content, _ := io.ReadAll(response.Body)
-	return answerOf{status: response.StatusCode, body: string(content)}
+	return apiResponse{status: response.StatusCode, body: string(content)}
 }
 
-// callUntilClear repeats an order until it has a clear answer, as the operator does.
-func (c *cluster) callUntilClear(server *testServer, method, path, ifVersion, body string) answerOf {
+// callUntilDefinite repeats an order until it has a clear answer, as the operator does.
+func (c *cluster) callUntilDefinite(server *testServer, method, path, ifVersion, body string) apiResponse {
 	c.t.Helper()
-	var answer answerOf
+	var answer apiResponse
 	eventually(c.t, func() error {
 		answer = c.call(server, method, path, ifVersion, body)
 		if answer.status == 0 || answer.status >= http.StatusInternalServerError {
--- a/internal/controlplane/config_request_test.go
+++ b/internal/controlplane/config_request_test.go
@@ -17,13 +17,13 @@
 	readPath    = "/api/config/read"
 )
 
-func TestRefusedOrdersAreNotTaken(t *testing.T) {
+func TestRejectedRequestsAreNotApplied(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	server := c.leader()
 	post := func(path, ifVersion, body string) int {
-		return c.callUntilClear(server, http.MethodPost, path, ifVersion, body).status
+		return c.callUntilDefinite(server, http.MethodPost, path, ifVersion, body).status
 	}
-	must.Eq(t, http.StatusNotFound, c.callUntilClear(server, http.MethodGet, readPath, "", "").status)
+	must.Eq(t, http.StatusNotFound, c.callUntilDefinite(server, http.MethodGet, readPath, "", "").status)
 	must.Eq(t, http.StatusOK, post(replacePath, "0", configWith(5, "a")))
 
 	must.Eq(t, http.StatusPreconditionFailed, post(replacePath, "0", configWith(6, "a")))
@@ -36,11 +36,11 @@
 	must.Eq(t, http.StatusBadRequest, post(replacePath, "", configWith(6, "a")))
 	must.Eq(t, http.StatusBadRequest, post(updatePath, "5", `{"version":5}`))
 	must.Eq(t, http.StatusRequestEntityTooLarge, post(replacePath, "5", strings.Repeat(" ", maxBodyBytes+1)))
-	must.Eq(t, configWith(5, "a"), c.callUntilClear(server, http.MethodGet, readPath, "", "").body)
+	must.Eq(t, configWith(5, "a"), c.callUntilDefinite(server, http.MethodGet, readPath, "", "").body)
 
 	update := fmt.Sprintf(`{"version":8,"upsert":{"routes":[%s]},"remove":{"routes":["a"]}}`, routeItem("c"))
 	must.Eq(t, http.StatusOK, post(updatePath, "5", update))
-	read := c.callUntilClear(server, http.MethodGet, readPath, "", "").body
+	read := c.callUntilDefinite(server, http.MethodGet, readPath, "", "").body
 	must.StrContains(t, read, `"c"`)
 	must.StrContains(t, read, `"version":8`)
 	must.StrNotContains(t, read, `"a"`)
@@ -50,15 +50,15 @@
 	c := newCluster(t, 3, nil)
 	first := c.leader()
 	old := configWith(5, "a")
-	must.Eq(t, http.StatusOK, c.callUntilClear(first, http.MethodPost, replacePath, "0", old).status)
-	must.Eq(t, http.StatusOK, c.callUntilClear(first, http.MethodPost, replacePath, "5", configWith(7, "b")).status)
+	must.Eq(t, http.StatusOK, c.callUntilDefinite(first, http.MethodPost, replacePath, "0", old).status)
+	must.Eq(t, http.StatusOK, c.callUntilDefinite(first, http.MethodPost, replacePath, "5", configWith(7, "b")).status)
 	first.end()
 
 	second := c.leader(first)
-	must.Eq(t, http.StatusOK, c.callUntilClear(second, http.MethodPost, replacePath, "0", old).status)
+	must.Eq(t, http.StatusOK, c.callUntilDefinite(second, http.MethodPost, replacePath, "0", old).status)
 	must.Eq(t, http.StatusPreconditionFailed,
-		c.callUntilClear(second, http.MethodPost, replacePath, "0", configWith(5, "z")).status)
-	must.Eq(t, configWith(7, "b"), c.callUntilClear(second, http.MethodGet, readPath, "", "").body)
+		c.callUntilDefinite(second, http.MethodPost, replacePath, "0", configWith(5, "z")).status)
+	must.Eq(t, configWith(7, "b"), c.callUntilDefinite(second, http.MethodGet, readPath, "", "").body)
 }
 
 func TestOneOfTheOrdersOnTheSameVersionWins(t *testing.T) {
@@ -73,7 +73,7 @@
 			bodies[operator] = configWith(round+1, fmt.Sprintf("r%d-%d", round, operator))
 			sending.Go(func() {
 				server := c.servers[operator%len(c.servers)]
-				answer := c.callUntilClear(server, http.MethodPost, replacePath, fmt.Sprint(round), bodies[operator])
+				answer := c.callUntilDefinite(server, http.MethodPost, replacePath, fmt.Sprint(round), bodies[operator])
 				statuses[operator] = answer.status
 			})
 		}
@@ -87,7 +87,7 @@
 			}
 			must.EqOp(t, http.StatusPreconditionFailed, status)
 		}
-		must.EqOp(t, winner, c.callUntilClear(c.servers[0], http.MethodGet, readPath, "", "").body)
+		must.EqOp(t, winner, c.callUntilDefinite(c.servers[0], http.MethodGet, readPath, "", "").body)
 	}
 }
 
@@ -119,7 +119,7 @@
 	})
 }
 
-func TestDigestsOfOrdersAreBounded(t *testing.T) {
+func TestAppliedDigestsAreBounded(t *testing.T) {
 	state := newReplicatedState(disklessNode{}).committed()
 	var last configRequest
 	for version := range maxAppliedDigests + 10 {
--- a/internal/controlplane/contacts.go
+++ b/internal/controlplane/contacts.go
@@ -50,7 +50,7 @@
 	var calls sync.WaitGroup
 	for _, address := range s.otherAddresses() {
 		index := slices.IndexFunc(recent, func(p peer) bool { return p.address == address })
-		if index >= 0 && now.Sub(recent[index].lastSeen) < contactSilenceTimeout {
+		if index >= 0 && now.Sub(recent[index].seenAt) < contactSilenceTimeout {
 			continue
 		}
 		calls.Go(func() {
@@ -81,7 +81,7 @@
 }
 
 // planContacts returns the contacts to save: the known ones without those silent for contactRetention, and the recent ones. Beyond
-// maxContacts, those silent for longest are dropped. It updates lastSeen.
+// maxContacts, those silent for longest are dropped. It updates seenAt.
 func planContacts(known []string, recent []peer, lastSeen map[string]time.Time, now time.Time) []string {
 	planned := slices.Clone(known)
 	for _, address := range known {
@@ -90,7 +90,7 @@
 		}
 	}
 	for _, announced := range recent {
-		lastSeen[announced.address] = announced.lastSeen
+		lastSeen[announced.address] = announced.seenAt
 		if !slices.Contains(planned, announced.address) {
 			planned = append(planned, announced.address)
 		}
--- a/internal/controlplane/contacts_test.go
+++ b/internal/controlplane/contacts_test.go
@@ -8,31 +8,31 @@
 	"github.com/shoenig/test/must"
 )
 
-func heardAt(at time.Time, addresses ...string) []peer {
-	var heard []peer
+func seenAt(at time.Time, addresses ...string) []peer {
+	var peers []peer
 	for _, address := range addresses {
-		heard = append(heard, peer{address: address, lastSeen: at})
+		peers = append(peers, peer{address: address, seenAt: at})
 	}
-	return heard
+	return peers
 }
 
 func TestContactsAreKeptThroughSilenceAndForgottenAfterLong(t *testing.T) {
 	start := time.Now()
 	last := make(map[string]time.Time)
-	known := planContacts([]string{"a", "b"}, heardAt(start, "b", "c"), last, start)
+	known := planContacts([]string{"a", "b"}, seenAt(start, "b", "c"), last, start)
 	must.Eq(t, []string{"a", "b", "c"}, known)
 	almost := start.Add(contactRetention - time.Nanosecond)
-	must.Eq(t, known, planContacts(known, heardAt(almost, "c"), last, almost))
+	must.Eq(t, known, planContacts(known, seenAt(almost, "c"), last, almost))
 	must.Eq(t, []string{"c"}, planContacts(known, nil, last, start.Add(contactRetention)))
 }
 
-func TestOfTooManyContactsTheOnesSilentForLongestGo(t *testing.T) {
+func TestContactsSilentForLongestAreDroppedBeyondTheBound(t *testing.T) {
 	start := time.Now()
 	last := make(map[string]time.Time)
 	var known []string
 	for number := range maxContacts + 2 {
 		at := start.Add(time.Duration(number) * time.Second)
-		known = planContacts(known, heardAt(at, fmt.Sprint(number)), last, at)
+		known = planContacts(known, seenAt(at, fmt.Sprint(number)), last, at)
 	}
 	must.SliceLen(t, maxContacts, known)
 	must.EqOp(t, "2", known[0])
--- a/internal/controlplane/corrupt_record_test.go
+++ b/internal/controlplane/corrupt_record_test.go
@@ -83,7 +83,7 @@
 func TestBrokenRecordOfAVoterIsReplaced(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	leader := c.leader()
-	must.Eq(t, http.StatusOK, c.callUntilClear(leader, http.MethodPost, replacePath, "0", configWith(5, "a")).status)
+	must.Eq(t, http.StatusOK, c.callUntilDefinite(leader, http.MethodPost, replacePath, "0", configWith(5, "a")).status)
 	position := 0
 	if c.servers[position] == leader {
 		position++
--- a/internal/controlplane/deploy_test.go
+++ b/internal/controlplane/deploy_layout_test.go
@@ -15,8 +15,8 @@
 
 const (
 	deployFile      = "../../deploy/system.toml"
-	settleTime      = 6 * time.Second // for the first voters
-	lostDiskBack    = 500 * time.Millisecond
+	startupTime     = 6 * time.Second // for the first voters
+	lostDiskRestart = 500 * time.Millisecond
 	cutAfterLoss    = 1200 * time.Millisecond
 	confirmedWithin = 4 * time.Second // after the second loss: the shortest ackMs of a deployment is 5 s
 )
@@ -40,9 +40,9 @@
 	return count
 }
 
-// TestDeployedControlBearsALostDiskAndACut starts as many control processes as the deploy file does. The leader loses its disk right after it
+// TestDeployedControlToleratesALostDiskAndACut starts as many control processes as the deploy file does. The leader loses its disk right after it
 // confirmed a change; then another voter is cut off, and stays so. Two machines may be lost at one time, so changes go on.
-func TestDeployedControlBearsALostDiskAndACut(t *testing.T) {
+func TestDeployedControlToleratesALostDiskAndACut(t *testing.T) {
 	count := controlsOfAZone(t)
 	for _, machines := range []layout{
 		{zones: 4, disksOfAZone: 2, tolerance: 2},
@@ -67,20 +67,20 @@
 	network := newSimNetwork(t, uint64(victim), directory)
 	network.tolerance = machines.tolerance
 	network.addLayout(machines, count)
-	for _, server := range network.list() {
+	for _, server := range network.allServers() {
 		server.start(true)
 	}
-	time.Sleep(settleTime)
+	time.Sleep(startupTime)
 	operator := &simOperator{network: network, history: &simHistory{}}
 	operator.tryChange(oneRoute)
 	first := network.leader()
 	other := network.voterBeside(first, victim)
 	first.kill(true)
 	first.newDisk()
-	time.Sleep(lostDiskBack)
+	time.Sleep(lostDiskRestart)
 	first.start(false)
-	time.Sleep(cutAfterLoss - lostDiskBack)
-	network.cut([]*simServer{other}, network.list(), true)
+	time.Sleep(cutAfterLoss - lostDiskRestart)
+	network.cut([]*simServer{other}, network.allServers(), true)
 	cutAt := time.Now()
 	operator.tryChange(oneRoute)
 	took := time.Since(cutAt)
@@ -93,7 +93,7 @@
 func (n *simNetwork) addLayout(machines layout, count int) {
 	for zone := range machines.zones {
 		for number := range min(count, machines.disksOfAZone) {
-			server := n.add()
+			server := n.addServer()
 			server.zone = fmt.Sprintf("zone-%d", zone)
 			if number == 0 && len(n.seeds) < minVoters {
 				n.seeds = append(n.seeds, server.address)
@@ -107,7 +107,7 @@
 	var others []*simServer
 	for _, voter := range leader.running().server.node.Status().Members {
 		if voter.Address != leader.address {
-			others = append(others, n.at(voter.Address))
+			others = append(others, n.serverAt(voter.Address))
 		}
 	}
 	return others[position%len(others)]
--- a/internal/controlplane/deployment_trouble_test.go
+++ b/internal/controlplane/deployment_faults_test.go
@@ -10,24 +10,24 @@
 // What goes wrong in a deployment while messages are sent: one trouble after another, some of which last on.
 
 // loseDisksInTurn has every store lose its disk, one after the other, so that none is left that was there at the start.
-func (c *simCourse) loseDisksInTurn() {
+func (c *simScenario) loseDisksInTurn() {
 	for _, store := range c.network.stores {
 		time.Sleep(restoreTime)
 		for !c.loseDisk(store) {
-			time.Sleep(searchLook)
+			time.Sleep(simPollInterval)
 		}
 	}
 }
 
-func (c *simCourse) meetTroubles() {
-	for end := time.Now().Add(deploymentTrouble); time.Now().Before(end); {
-		c.begin()
+func (c *simScenario) injectFaults() {
+	for end := time.Now().Add(deploymentFaultPhase); time.Now().Before(end); {
+		c.injectFault()
 		time.Sleep(c.network.between(200*time.Millisecond, 4*time.Second))
 	}
 }
 
 // begin draws one trouble: of a store, of a dispatcher, of all machines or of the control processes.
-func (c *simCourse) begin() {
+func (c *simScenario) injectFault() {
 	n := c.network
 	store := n.stores[n.intN(len(n.stores))]
 	switch n.intN(24) {
@@ -44,87 +44,87 @@
 	case 4:
 		c.cutOff(store)
 	case 5:
-		front := n.fronts[n.intN(len(n.fronts))]
-		front.kill()
+		dispatcher := n.dispatchers[n.intN(len(n.dispatchers))]
+		dispatcher.kill()
 		time.Sleep(n.between(10*time.Millisecond, 2*time.Second))
-		front.start()
+		dispatcher.start()
 	case 6:
-		n.note("all machines stop")
-		c.troubles.downAll()
+		n.logEvent("all machines stop")
+		c.faults.restartAll()
 	case 7, 8:
-		c.afterAcceptance()
+		c.cutPowerAfterAcceptance()
 	case 9:
 		heal := store.stall()
-		n.note("the disk of %s stalls", store.name)
+		n.logEvent("the disk of %s stalls", store.name)
 		time.Sleep(n.between(300*time.Millisecond, 5*time.Second))
 		heal()
 	case 10:
-		c.turnOver()
+		c.changeSeeds()
 	case 15:
-		c.holdUpSome()
+		c.stallSome()
 	case 16:
-		c.exchangeStore(store)
+		c.replaceStore(store)
 	case 17:
 		c.upgradeControl()
 	case 11:
 		c.configure()
 	case 12:
-		c.cutOffFront()
+		c.cutOffDispatcher()
 	case 13, 14:
 		c.cutOffFromControl(store)
 	default:
-		if time.Since(c.lostAt) > restoreTime {
-			c.troubles.begin()
+		if time.Since(c.diskLostAt) > restoreTime {
+			c.faults.inject()
 		}
 	}
 }
 
 // loseDisk takes a disk where all that was lost before has been made up for, at times at the moment when all others lose power.
-func (c *simCourse) loseDisk(store *simStore) (lost bool) {
+func (c *simScenario) loseDisk(store *simStore) (lost bool) {
 	n := c.network
-	if time.Since(c.lostAt) < restoreTime || !c.troubles.mayLoseDisk() || !c.allWhole() {
+	if time.Since(c.diskLostAt) < restoreTime || !c.faults.mayLoseDisk() || !c.allWhole() {
 		return false
 	}
 	store.loseDisk()
 	if n.chance(0.4) {
-		c.troubles.downAll()
+		c.faults.restartAll()
 	} else {
 		time.Sleep(n.between(100*time.Millisecond, 3*time.Second))
 		store.start()
 	}
-	c.lostAt = time.Now()
+	c.diskLostAt = time.Now()
 	return true
 }
 
 // cutOffFromControl cuts a store off from all control processes alone, until its partitions have gone to others: dispatchers go on sending
 // to it what they take for its own.
-func (c *simCourse) cutOffFromControl(store *simStore) {
+func (c *simScenario) cutOffFromControl(store *simStore) {
 	n := c.network
 	n.cutLinks([]string{store.address}, n.addresses())
 	n.cutLinks(n.addresses(), []string{store.address})
-	n.note("%s is cut off from control", store.name)
+	n.logEvent("%s is cut off from control", store.name)
 	time.Sleep(n.between(defaultStoreLease+leaseMargin, 2*defaultStoreLease))
-	c.troubles.heal()
+	c.faults.heal()
 }
 
-// cutOffFront cuts a dispatcher off from all control processes while the configuration changes.
-func (c *simCourse) cutOffFront() {
+// cutOffDispatcher cuts a dispatcher off from all control processes while the configuration changes.
+func (c *simScenario) cutOffDispatcher() {
 	n := c.network
-	front := n.fronts[n.intN(len(n.fronts))]
-	n.cutLinks([]string{front.name}, n.addresses())
-	n.cutLinks(n.addresses(), []string{front.name})
-	n.note("%s is cut off from control", front.name)
+	dispatcher := n.dispatchers[n.intN(len(n.dispatchers))]
+	n.cutLinks([]string{dispatcher.name}, n.addresses())
+	n.cutLinks(n.addresses(), []string{dispatcher.name})
+	n.logEvent("%s is cut off from control", dispatcher.name)
 	c.configure()
 	time.Sleep(n.between(simApplyMs*time.Millisecond, 3*simApplyMs*time.Millisecond))
-	c.troubles.heal()
+	c.faults.heal()
 }
 
-// afterAcceptance takes the power of all machines, or of a store, right after a message was accepted.
-func (c *simCourse) afterAcceptance() {
+// cutPowerAfterAcceptance takes the power of all machines, or of a store, right after a message was accepted.
+func (c *simScenario) cutPowerAfterAcceptance() {
 	n := c.network
 	c.awaitAcceptance()
 	if n.chance(0.7) {
-		n.stopAll()
+		n.powerOffAll()
 		c.startAll("")
 		return
 	}
@@ -135,21 +135,21 @@
 }
 
 // awaitAcceptance returns at the moment when a client learns that its message was accepted, or after a time without one.
-func (c *simCourse) awaitAcceptance() {
-	acceptances := c.network.judge.acceptances
+func (c *simScenario) awaitAcceptance() {
+	acceptances := c.network.checker.acceptances
 	select {
 	case <-acceptances:
 	default:
 	}
 	select {
 	case <-acceptances:
-		c.network.note("right after a 202")
+		c.network.logEvent("right after a 202")
 	case <-time.After(restoreTime):
 	}
 }
 
-// turnOver puts other seeds into the settings of all machines: at times those that do not vote.
-func (c *simCourse) turnOver() {
+// setSeeds puts other seeds into the settings of all machines: at times those that do not vote.
+func (c *simScenario) changeSeeds() {
 	n := c.network
 	var seeds []string
 	if n.leader() != nil && n.chance(0.7) {
@@ -160,12 +160,12 @@
 			seeds = append(seeds, address)
 		}
 	}
-	n.turnOverAll(seeds[:simVoters])
+	n.setAllSeeds(seeds[:simVoters])
 }
 
-// holdUpSome has nothing leave or reach some machines for a time, while their own time goes on: half of the stores, all control processes
+// stallSome has nothing leave or reach some machines for a time, while their own time goes on: half of the stores, all control processes
 // but one, or any machines.
-func (c *simCourse) holdUpSome() {
+func (c *simScenario) stallSome() {
 	n := c.network
 	var held []string
 	switch n.intN(3) {
@@ -183,41 +183,41 @@
 		}
 	}
 	length := n.between(300*time.Millisecond, 3*time.Second)
-	n.note("%v are held up for %s", held, length)
-	n.holdUp(length, held...)
+	n.logEvent("%v are held up for %s", held, length)
+	n.stallLinks(length, held...)
 	time.Sleep(length)
 }
 
-// exchangeStore adds a store, has another one emptied, and takes that machine away once it is said to be empty.
-func (c *simCourse) exchangeStore(leaving *simStore) {
+// replaceStore adds a store, has another one emptied, and takes that machine away once it is said to be empty.
+func (c *simScenario) replaceStore(leaving *simStore) {
 	n := c.network
-	if c.leaving != nil || !c.allWhole() {
-		c.takeEmptiedAway()
+	if c.retiring != nil || !c.allWhole() {
+		c.removeRetired()
 		return
 	}
 	n.addStore().start()
 	operator := &simOperator{network: n, history: &simHistory{}}
-	for end := time.Now().Add(emptiedWithin); c.leaving == nil && time.Now().Before(end); time.Sleep(searchLook) {
-		answer := operator.untilClear(http.MethodPost, retirePath(leaving.name, "start"), "", `{"deadlineS":10}`)
+	for end := time.Now().Add(retirementTimeout); c.retiring == nil && time.Now().Before(end); time.Sleep(simPollInterval) {
+		answer := operator.callUntilDefinite(http.MethodPost, retirePath(leaving.name, "start"), "", `{"deadlineS":10}`)
 		if answer.status == http.StatusOK {
-			c.leaving = leaving
-			n.note("%s is to be emptied", leaving.name)
+			c.retiring = leaving
+			n.logEvent("%s is to be emptied", leaving.name)
 		}
 	}
-	c.takeEmptiedAway()
+	c.removeRetired()
 }
 
-// takeEmptiedAway takes the machine of the store that was ordered to be emptied away once it is said to be empty, if that is soon.
-func (c *simCourse) takeEmptiedAway() {
+// removeRetired takes the machine of the store that was ordered to be emptied away once it is said to be empty, if that is soon.
+func (c *simScenario) removeRetired() {
 	n := c.network
 	operator := &simOperator{network: n, history: &simHistory{}}
-	for end := time.Now().Add(emptiedWithin); c.leaving != nil && time.Now().Before(end); time.Sleep(searchLook) {
-		answer := operator.untilClear(http.MethodGet, retirePath(c.leaving.name, "read"), "", "")
+	for end := time.Now().Add(retirementTimeout); c.retiring != nil && time.Now().Before(end); time.Sleep(simPollInterval) {
+		answer := operator.callUntilDefinite(http.MethodGet, retirePath(c.retiring.name, "read"), "", "")
 		if answer.status == http.StatusOK && strings.Contains(answer.body, retirementCompleted) {
-			n.note("%s is empty", c.leaving.name)
-			c.leaving.takeAway()
-			c.leaving = nil
-			c.emptied++
+			n.logEvent("%s is empty", c.retiring.name)
+			c.retiring.remove()
+			c.retiring = nil
+			c.retired++
 			c.loseDisk(n.stores[n.intN(len(n.stores))]) // all that the emptied one held is elsewhere
 		}
 	}
@@ -226,10 +226,10 @@
 func retirePath(node, verb string) string { return "/api/retire/" + node + "/" + verb }
 
 // upgradeControl restarts the control processes in turn, each as any of the versions where there are several.
-func (c *simCourse) upgradeControl() {
+func (c *simScenario) upgradeControl() {
 	n := c.network
-	n.note("control is upgraded")
-	for _, server := range n.list() {
+	n.logEvent("control is upgraded")
+	for _, server := range n.allServers() {
 		if server.running() == nil {
 			continue
 		}
@@ -243,7 +243,7 @@
 }
 
 // allWhole reports whether the leader counts every store as whole.
-func (c *simCourse) allWhole() bool {
+func (c *simScenario) allWhole() bool {
 	leader := c.network.leader()
 	if leader == nil || leader.running() == nil {
 		return false
@@ -256,7 +256,7 @@
 }
 
 // cutOff cuts a store off from all others for a time.
-func (c *simCourse) cutOff(store *simStore) {
+func (c *simScenario) cutOff(store *simStore) {
 	n := c.network
 	outward, inward := n.chance(0.7), n.chance(0.7)
 	if outward {
@@ -265,7 +265,7 @@
 	if inward {
 		n.cutLinks(n.allAddresses(), []string{store.address})
 	}
-	n.note("%s is cut off, outward %t, inward %t", store.name, outward, inward)
+	n.logEvent("%s is cut off, outward %t, inward %t", store.name, outward, inward)
 	time.Sleep(n.between(300*time.Millisecond, 5*time.Second))
-	c.troubles.heal()
+	c.faults.heal()
 }
--- a/internal/controlplane/deployment_test.go
+++ b/internal/controlplane/deployment_test.go
@@ -21,14 +21,14 @@
 	deploymentSeedVariable  = "DEPLOYMENT_SEED"  // plays this one
 	deploymentSeeds         = 4
 	deploymentSeedsRace     = 2 // with the race detector
-	deploymentTrouble       = 40 * time.Second
-	deploymentFinish        = 60 * time.Second // within which all accepted messages end once the faults are over
+	deploymentFaultPhase    = 40 * time.Second
+	deploymentDrainTimeout  = 60 * time.Second // within which all accepted messages end once the faults are over
 	deploymentSendEvery     = 60 * time.Millisecond
-	deploymentStartGap      = 500 * time.Millisecond // between two machines that come back after a loss of power, at most
-	deploymentCalm          = 5 * time.Second
+	deploymentMaxStartGap   = 500 * time.Millisecond // between two machines that come back after a loss of power, at most
+	deploymentQuietPhase    = 5 * time.Second
 	servedShare             = 0.25 // of the requests, once the time to recover has passed
 	keptRoutes              = 8
-	emptiedWithin           = 20 * time.Second // how long the course waits for a retirement to end
+	retirementTimeout       = 20 * time.Second // how long the course waits for a retirement to end
 	restoreTime             = 8 * time.Second  // from one lost disk to the next
 )
 
@@ -59,57 +59,57 @@
 
 func playDeployment(t *testing.T, seed uint64, directory string, group simGroup) {
 	network := newGroupNetwork(t, seed, directory, group)
-	network.judge = newSimJudge(network)
+	network.checker = newSimChecker(network)
 	network.addStores(group.tolerance + 3)
-	network.addFronts(simDispatchers)
-	for number, server := range network.list() {
+	network.addDispatchers(simDispatchers)
+	for number, server := range network.allServers() {
 		if seed%2 == 1 {
 			server.version = deploymentVersions[number%len(deploymentVersions)]
 		}
 		server.start(true)
 	}
 	network.startMembers()
-	course := &simCourse{network: network, over: make(chan struct{}), troubles: &simTroubles{network: network, group: group}, startGap: deploymentStartGap}
-	must.Eq(t, http.StatusOK, course.configure())
+	scenario := &simScenario{network: network, stopSending: make(chan struct{}), faults: &simFaults{network: network, group: group}, maxStartGap: deploymentMaxStartGap}
+	must.Eq(t, http.StatusOK, scenario.configure())
 	time.Sleep(3 * time.Second)
-	network.judge.requests.Go(course.sendOn)
+	network.checker.requests.Go(scenario.sendMessages)
 	for _, store := range network.stores {
-		course.cutOffFromControl(store)
+		scenario.cutOffFromControl(store)
 	}
 	if seed%4 == 1 {
-		course.loseDisksInTurn()
+		scenario.loseDisksInTurn()
 	} else {
-		course.meetTroubles()
+		scenario.injectFaults()
 	}
-	course.finish()
+	scenario.finish()
 	network.end()
-	course.report()
+	scenario.report()
 }
 
-// simCourse is the load of a deployment, and what goes wrong in it.
-type simCourse struct {
-	network  *simNetwork
-	troubles *simTroubles
-	lostAt   time.Time     // when a disk was lost last
-	routes   []string      // all that were ordered, the newest last
-	leaving  *simStore     // the store that is being emptied; nil for none
-	emptied  int           // stores that were emptied and taken away
-	startGap time.Duration // between two machines that come back after a loss of power, at most
-	over     chan struct{} // closed when no more messages are sent
+// simScenario is the load of a deployment, and what goes wrong in it.
+type simScenario struct {
+	network     *simNetwork
+	faults      *simFaults
+	diskLostAt  time.Time     // when a disk was lost last
+	routes      []string      // all that were ordered, the newest last
+	retiring    *simStore     // the store that is being emptied; nil for none
+	retired     int           // stores that were emptied and taken away
+	maxStartGap time.Duration // between two machines that come back after a loss of power, at most
+	stopSending chan struct{} // closed when no more messages are sent
 }
 
 // configure replaces the configuration by one with another route, on which messages are sent from the time on that it is to be in force.
 // The routes before it stay for as long as messages may be sent on them.
-func (c *simCourse) configure() (status int) {
+func (c *simScenario) configure() (status int) {
 	n := c.network
 	operator := &simOperator{network: n, history: &simHistory{}}
 	operator.read()
 	c.routes = append(c.routes, fmt.Sprintf("work-%d", len(c.routes)))
 	route, kept := c.routes[len(c.routes)-1], c.routes[max(0, len(c.routes)-keptRoutes):]
 	version := int(operator.known) + 1
-	status = operator.untilClear(http.MethodPost, replacePath, fmt.Sprint(operator.known), configWith(version, kept...)).status
+	status = operator.callUntilDefinite(http.MethodPost, replacePath, fmt.Sprint(operator.known), configWith(version, kept...)).status
 	if status == http.StatusOK {
-		n.note("configuration %d with %s", version, route)
+		n.logEvent("configuration %d with %s", version, route)
 		time.AfterFunc(simApplyMs*time.Millisecond, func() {
 			n.mutex.Lock()
 			n.route = route
@@ -119,61 +119,61 @@
 	return status
 }
 
-// sendOn sends messages until the course is over.
-func (c *simCourse) sendOn() {
+// sendMessages sends messages until the course is over.
+func (c *simScenario) sendMessages() {
 	n := c.network
 	for number := 0; ; number++ {
 		select {
-		case <-c.over:
+		case <-c.stopSending:
 			return
 		case <-time.After(n.between(deploymentSendEvery/2, 3*deploymentSendEvery/2)):
 		}
-		n.judge.send(number)
+		n.checker.send(number)
 	}
 }
 
 // startAll starts all machines but one, one by one and in any order.
-func (c *simCourse) startAll(absent string) {
+func (c *simScenario) startAll(absent string) {
 	n := c.network
 	starts := map[string]func(){}
-	for _, server := range n.list() {
-		if !server.gone {
+	for _, server := range n.allServers() {
+		if !server.removed {
 			starts[server.address] = func() { server.start(false) }
 		}
 	}
 	for _, store := range n.stores {
 		starts[store.address] = store.start
 	}
-	for _, front := range n.fronts {
-		starts[front.name] = front.start
+	for _, dispatcher := range n.dispatchers {
+		starts[dispatcher.name] = dispatcher.start
 	}
 	delete(starts, absent)
 	for _, address := range c.shuffle(slices.Sorted(maps.Keys(starts))) {
-		time.Sleep(n.between(time.Millisecond, c.startGap))
+		time.Sleep(n.between(time.Millisecond, c.maxStartGap))
 		starts[address]()
 	}
 }
 
-func (c *simCourse) shuffle(addresses []string) []string {
+func (c *simScenario) shuffle(addresses []string) []string {
 	random := rand.New(rand.NewPCG(uint64(c.network.intN(1<<20)), 0))
 	random.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	return addresses
 }
 
 // finish ends the trouble with a loss of power everywhere, and checks that service is back and that every message has ended.
-func (c *simCourse) finish() {
-	n, j := c.network, c.network.judge
-	c.troubles.heal()
-	c.darken()
+func (c *simScenario) finish() {
+	n, j := c.network, c.network.checker
+	c.faults.heal()
+	c.powerCycle()
 	time.Sleep(servedWithin)
 	back := time.Now()
-	time.Sleep(deploymentCalm)
+	time.Sleep(deploymentQuietPhase)
 	accepted, sent := j.acceptedSince(back)
 	if float64(accepted) < servedShare*float64(sent) {
 		j.violate("RECOVER", &simMessage{sentAt: back}, "%s after the machines were back %d of %d messages were accepted\n%s", servedWithin, accepted, sent,
 			strings.Join(n.describe(), "\n"))
 	}
-	c.troubles.endAll()
+	c.faults.clearAll()
 	n.startMembers()
 	time.Sleep(servedWithin)
 	if status := c.configure(); status != http.StatusOK {
@@ -181,42 +181,42 @@
 	}
 	time.Sleep(simApplyMs * time.Millisecond)
 	j.mutex.Lock()
-	j.calmFrom = time.Now()
+	j.faultFreeSince = time.Now()
 	j.mutex.Unlock()
-	time.Sleep(deploymentCalm)
-	close(c.over)
+	time.Sleep(deploymentQuietPhase)
+	close(c.stopSending)
 	j.requests.Wait()
-	for end := time.Now().Add(deploymentFinish); j.unfinished() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(deploymentDrainTimeout); j.unfinished() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Second)
 	}
-	time.Sleep(deploymentCalm)
+	time.Sleep(deploymentQuietPhase)
 	j.checkStates()
 }
 
 // darken takes the power of all machines at once. Where nothing is missing one store or one control process does not come back.
-func (c *simCourse) darken() {
+func (c *simScenario) powerCycle() {
 	n := c.network
-	bears := time.Since(c.lostAt) > restoreTime && c.troubles.mayLoseDisk() && c.allWhole()
+	bears := time.Since(c.diskLostAt) > restoreTime && c.faults.mayLoseDisk() && c.allWhole()
 	if n.chance(0.5) {
-		c.turnOver()
-		time.Sleep(deploymentCalm)
+		c.changeSeeds()
+		time.Sleep(deploymentQuietPhase)
 	}
 	c.awaitAcceptance()
-	n.stopAll()
+	n.powerOffAll()
 	absent := ""
 	if bears && n.chance(0.7) {
 		absent = n.stores[n.intN(len(n.stores))].address
 		if servers := n.addresses(); n.chance(0.5) {
 			absent = servers[n.intN(len(servers))]
 		}
-		n.note("%s does not come back", absent)
+		n.logEvent("%s does not come back", absent)
 	}
 	c.startAll(absent)
 }
 
 // report fails the test where a rule was broken.
-func (c *simCourse) report() {
-	j := c.network.judge
+func (c *simScenario) report() {
+	j := c.network.checker
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	accepted, refused, starts := 0, 0, 0
@@ -230,7 +230,7 @@
 		}
 	}
 	c.network.t.Logf("%d messages, %d accepted, %d refused, %d runs, %d stores emptied, %d violations", len(j.messages), accepted, refused, starts,
-		c.emptied, len(j.violations))
+		c.retired, len(j.violations))
 	if len(j.violations) > 0 {
 		c.network.t.Fatalf("%s\n%s", strings.Join(j.violations[:min(12, len(j.violations))], "\n"), strings.Join(c.network.trace, "\n"))
 	}
--- a/internal/controlplane/holdup_test.go
+++ b/internal/controlplane/holdup_test.go
@@ -123,13 +123,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := newGroupNetwork(t, 1, directory, simGroup{tolerance: 2, processes: 8})
 		network.addManyMembers(holdUpStores, holdUpDispatchers)
-		network.calm = true
-		for _, server := range network.list() {
+		network.noDelays = true
+		for _, server := range network.allServers() {
 			server.version = version
 			server.start(true)
 		}
 		network.startMembers()
-		time.Sleep(darkControls)
+		time.Sleep(simWarmUp)
 		for range plays {
 			time.Sleep(network.between(holdUpRest, holdUpRest+time.Second))
 			network.playHoldUp(scenario.targets(network), length, &cost)
@@ -145,7 +145,7 @@
 	for _, target := range targets {
 		isHeld[target] = true
 	}
-	n.holdUp(length, targets...)
+	n.stallLinks(length, targets...)
 	without := map[string]time.Duration{}
 	for began := time.Now(); time.Since(began) < holdUpWatched; time.Sleep(holdUpLook) {
 		for _, member := range n.members {
@@ -171,7 +171,7 @@
 // owners lists the owner of each partition.
 func (n *simNetwork) owners() []string {
 	var owners []string
-	for _, owned := range n.newestTable().Partitions {
+	for _, owned := range n.latestState().Partitions {
 		owners = append(owners, owned.Node)
 	}
 	return owners
--- a/internal/controlplane/join.go
+++ b/internal/controlplane/join.go
@@ -12,13 +12,13 @@
 	joinInterval      = 500 * time.Millisecond
 	joinRetryInterval = 500 * time.Millisecond // while no leader is known
 	joinTimeout       = 700 * time.Millisecond
-	hintExpiry        = 5 * time.Second // of a leaderHint
+	hintExpiry        = 5 * time.Second // of a hint
 
 	// searchLogDelay is how long this process must have found no leader before it logs that.
 	searchLogDelay = 3 * time.Second
 )
 
-// leaderHint is the leader's address as received from another process.
+// hint is the leader's address as received from another process.
 type leaderHint struct {
 	address    string
 	receivedAt time.Time
@@ -104,13 +104,13 @@
 	if address == "" {
 		return
 	}
-	s.leaderHint.Store(&leaderHint{address: address, receivedAt: time.Now()})
+	s.hint.Store(&leaderHint{address: address, receivedAt: time.Now()})
 }
 
 // clearLeaderHint drops the hint if it names the given address, which does not respond.
 func (s *Server) clearLeaderHint(address string) {
-	if hint := s.leaderHint.Load(); hint != nil && hint.address == address {
-		s.leaderHint.CompareAndSwap(hint, nil)
+	if hint := s.hint.Load(); hint != nil && hint.address == address {
+		s.hint.CompareAndSwap(hint, nil)
 	}
 }
 
@@ -118,7 +118,7 @@
 func (s *Server) remoteLeader() string {
 	address := s.node.Status().LeaderAddress
 	if address == "" {
-		if hint := s.leaderHint.Load(); hint != nil && time.Since(hint.receivedAt) < hintExpiry {
+		if hint := s.hint.Load(); hint != nil && time.Since(hint.receivedAt) < hintExpiry {
 			address = hint.address
 		}
 	}
--- a/internal/controlplane/large_deployment_test.go
+++ b/internal/controlplane/large_deployment_test.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	largeVariable  = "LARGE_DEPLOYMENT" // plays the whole size
-	largeZones     = 6
-	largeZoneAway  = 4 * time.Second
-	largeRaces     = 3
-	largeAskedEach = 2 // dispatchers that are asked for the state of each message
-	largeRest      = 6 * time.Second
-	largeStartGap  = 3 * time.Millisecond // between two machines that come back after a loss of power, at most
+	largeVariable          = "LARGE_DEPLOYMENT" // plays the whole size
+	largeZones             = 6
+	largeZoneAway          = 4 * time.Second
+	largeRaces             = 3
+	largeQueriesPerMessage = 2 // dispatchers that are asked for the state of each message
+	largeRest              = 6 * time.Second
+	largeMaxStartGap       = 3 * time.Millisecond // between two machines that come back after a loss of power, at most
 )
 
 // largeSize is a number of machines in six zones.
-type largeSize struct{ controls, stores, fronts int }
+type largeSize struct{ controls, stores, dispatchers int }
 
 var (
-	largeWhole = largeSize{controls: 12, stores: 60, fronts: 240}
-	largeShort = largeSize{controls: 12, stores: 18, fronts: 36}
-	largeRace  = largeSize{controls: 6, stores: 12, fronts: 18} // with the race detector
+	largeWhole = largeSize{controls: 12, stores: 60, dispatchers: 240}
+	largeShort = largeSize{controls: 12, stores: 18, dispatchers: 36}
+	largeRace  = largeSize{controls: 6, stores: 12, dispatchers: 18} // with the race detector
 )
 
 // TestLargeDeploymentKeepsMessages takes the power of a zone, kills leaders while hundreds renew and the configuration is changed by two
@@ -49,48 +49,48 @@
 	group := simGroup{tolerance: 2, processes: size.controls}
 	network := newGroupNetwork(t, 1, directory, group)
 	defer network.end()
-	network.links = newSimLinks(darkLinkMbps * bytesPerMegabit)
-	network.judge = newSimJudge(network)
-	network.judge.askedEach = largeAskedEach
+	network.links = newSimLinks(simLinkMbps * bytesPerMegabit)
+	network.checker = newSimChecker(network)
+	network.checker.queriesPerMessage = largeQueriesPerMessage
 	network.addStores(size.stores)
-	network.addFronts(size.fronts)
+	network.addDispatchers(size.dispatchers)
 	network.spreadOverZones(largeZones)
-	for _, server := range network.list() {
+	for _, server := range network.allServers() {
 		server.start(true)
 	}
 	network.startMembers()
-	course := &simCourse{network: network, over: make(chan struct{}), troubles: &simTroubles{network: network, group: group}, startGap: largeStartGap}
+	scenario := &simScenario{network: network, stopSending: make(chan struct{}), faults: &simFaults{network: network, group: group}, maxStartGap: largeMaxStartGap}
 	time.Sleep(largeRest)
-	must.Eq(t, http.StatusOK, course.configure())
+	must.Eq(t, http.StatusOK, scenario.configure())
 	time.Sleep(largeRest)
-	network.judge.requests.Go(course.sendOn)
-	course.loseZone(zoneName(1))
+	network.checker.requests.Go(scenario.sendMessages)
+	scenario.loseZone(zoneName(1))
 	time.Sleep(largeRest)
 	for range largeRaces {
-		course.raceWithoutLeader()
+		scenario.raceWithoutLeader()
 	}
-	course.finish()
-	course.report()
+	scenario.finish()
+	scenario.report()
 }
 
 // spreadOverZones puts all machines into a few zones.
 func (n *simNetwork) spreadOverZones(zones int) {
-	for number, server := range n.list() {
+	for number, server := range n.allServers() {
 		server.zone = zoneName(number % zones)
 	}
 	for number, store := range n.stores {
 		store.zone = zoneName(number % zones)
 	}
-	for number, front := range n.fronts {
-		front.zone = zoneName(number % zones)
+	for number, dispatcher := range n.dispatchers {
+		dispatcher.zone = zoneName(number % zones)
 	}
 }
 
 // loseZone takes the power of all machines of a zone. They come back after a time.
-func (c *simCourse) loseZone(zone string) {
+func (c *simScenario) loseZone(zone string) {
 	n := c.network
-	n.note("%s loses power", zone)
-	for _, server := range n.list() {
+	n.logEvent("%s loses power", zone)
+	for _, server := range n.allServers() {
 		if server.zone == zone {
 			server.kill(true)
 		}
@@ -100,9 +100,9 @@
 			store.kill(true)
 		}
 	}
-	for _, front := range n.fronts {
-		if front.zone == zone {
-			front.kill()
+	for _, dispatcher := range n.dispatchers {
+		if dispatcher.zone == zone {
+			dispatcher.kill()
 		}
 	}
 	time.Sleep(largeZoneAway)
@@ -111,11 +111,11 @@
 }
 
 // raceWithoutLeader has two operators change the configuration on top of the same one while the leader is killed.
-func (c *simCourse) raceWithoutLeader() {
+func (c *simScenario) raceWithoutLeader() {
 	n := c.network
 	leader := n.leader()
 	for leader == nil {
-		time.Sleep(searchLook)
+		time.Sleep(simPollInterval)
 		leader = n.leader()
 	}
 	rival := &simOperator{network: n, history: &simHistory{}}
@@ -129,6 +129,6 @@
 	leader.kill(false)
 	status := c.configure()
 	leader.start(false)
-	n.note("two operators were told %d and %d", status, <-statuses)
+	n.logEvent("two operators were told %d and %d", status, <-statuses)
 	time.Sleep(largeRest)
 }
--- a/internal/controlplane/search_test.go
+++ b/internal/controlplane/leader_discovery_test.go
@@ -18,7 +18,7 @@
 	searchZones         = 4
 	foundWithin         = 4 * time.Second  // the shortest contactMs of a deployment
 	servedWithin        = 12 * time.Second // the shortest recoveryS of a deployment
-	searchLook          = 50 * time.Millisecond
+	simPollInterval     = 50 * time.Millisecond
 )
 
 // newSearchNetwork starts as many control processes in each of four zones as the deploy file does: the first on a machine with a disk, the
@@ -27,20 +27,20 @@
 	network := newSimNetwork(t, seed, directory)
 	for zone := range searchZones {
 		for number := range controlsOfAZone(t) {
-			server := network.add()
+			server := network.addServer()
 			server.zone = fmt.Sprintf("zone-%d", zone)
-			server.outside = number > 0
+			server.diskless = number > 0
 			if number == 0 && len(network.seeds) < minVoters {
 				network.seeds = append(network.seeds, server.address)
 			}
 		}
 	}
 	network.addMembers()
-	for _, server := range network.list() {
+	for _, server := range network.allServers() {
 		server.start(true)
 	}
 	network.startMembers()
-	time.Sleep(settleTime)
+	time.Sleep(startupTime)
 	return network
 }
 
@@ -48,30 +48,30 @@
 func (n *simNetwork) nonVoters() []string {
 	voters := n.leader().running().server.node.Status().Members
 	var addresses []string
-	for _, server := range n.list() {
+	for _, server := range n.allServers() {
 		votes := false
 		for _, voter := range voters {
 			votes = votes || voter.Address == server.address
 		}
-		if !votes && !server.gone {
+		if !votes && !server.removed {
 			addresses = append(addresses, server.address)
 		}
 	}
 	return addresses
 }
 
-// turnOverAll puts the same seeds into the settings of all machines. Members read them at their next start.
-func (n *simNetwork) turnOverAll(seeds []string) {
+// setAllSeeds puts the same seeds into the settings of all machines. Members read them at their next start.
+func (n *simNetwork) setAllSeeds(seeds []string) {
 	n.seeds = seeds
-	for _, server := range n.list() {
-		server.turnOver(seeds)
+	for _, server := range n.allServers() {
+		server.setSeeds(seeds)
 	}
 }
 
-// turnOver puts other seeds into the settings of a process that runs.
-func (s *simServer) turnOver(seeds []string) {
+// setSeeds puts other seeds into the settings of a process that runs.
+func (s *simServer) setSeeds(seeds []string) {
 	s.seeds = seeds
-	s.network.note("%s has the seeds %v", s.address, seeds)
+	s.network.logEvent("%s has the seeds %v", s.address, seeds)
 	if process := s.running(); process != nil {
 		process.server.Reload(s.settings())
 	}
@@ -79,9 +79,9 @@
 
 // restartAll takes the power from all machines for a moment.
 func (n *simNetwork) restartAll() {
-	n.stopAll()
-	for _, server := range n.list() {
-		if !server.gone {
+	n.powerOffAll()
+	for _, server := range n.allServers() {
+		if !server.removed {
 			server.start(false)
 		}
 	}
@@ -90,27 +90,27 @@
 
 // strangers lists the processes that run and have not named the leader at any moment while the time to find it lasted. A process may forget
 // the leader for a moment: one announcement that is lost does that.
-func (n *simNetwork) strangers() []string {
+func (n *simNetwork) withoutLeader() []string {
 	found := make(map[*simServer]bool)
-	var strangers []string
+	var withoutLeader []string
 	for end := time.Now().Add(foundWithin); time.Now().Before(end); {
-		time.Sleep(searchLook)
-		strangers = n.namesNoLeader(found)
-		if len(strangers) == 0 {
+		time.Sleep(simPollInterval)
+		withoutLeader = n.stillWithoutLeader(found)
+		if len(withoutLeader) == 0 {
 			return nil
 		}
 	}
-	return append(strangers, n.describe()...)
+	return append(withoutLeader, n.describe()...)
 }
 
-// namesNoLeader looks once at the processes that have not been found to name the leader, and lists those that still do not.
-func (n *simNetwork) namesNoLeader(found map[*simServer]bool) []string {
+// stillWithoutLeader looks once at the processes that have not been found to name the leader, and lists those that still do not.
+func (n *simNetwork) stillWithoutLeader(found map[*simServer]bool) []string {
 	leader := n.leader()
 	if leader == nil {
 		return []string{"nobody leads"}
 	}
-	var strangers []string
-	for _, server := range n.list() {
+	var withoutLeader []string
+	for _, server := range n.allServers() {
 		process := server.running()
 		if process == nil || found[server] {
 			continue
@@ -118,45 +118,45 @@
 		named := process.server.leaderAddress()
 		found[server] = named == leader.address
 		if !found[server] {
-			strangers = append(strangers, fmt.Sprintf("%s names %q, %s leads", server.address, named, leader.address))
+			withoutLeader = append(withoutLeader, fmt.Sprintf("%s names %q, %s leads", server.address, named, leader.address))
 		}
 	}
-	return strangers
+	return withoutLeader
 }
 
 // playSearch plays a course of events in virtual time and returns who does not know the leader in the end, and the trace.
-func playSearch(t *testing.T, seed uint64, course func(*simNetwork) []string) {
+func playSearch(t *testing.T, seed uint64, scenario func(*simNetwork) []string) {
 	directory := t.TempDir()
-	var strangers, trace []string
+	var withoutLeader, trace []string
 	synctest.Test(t, func(t *testing.T) {
 		network := newSearchNetwork(t, seed, directory)
-		strangers = network.awaitService(servedWithin)
-		if len(strangers) == 0 {
-			strangers = course(network)
+		withoutLeader = network.awaitService(servedWithin)
+		if len(withoutLeader) == 0 {
+			withoutLeader = scenario(network)
 		}
 		trace = network.trace
 		network.end()
 	})
-	must.SliceEmpty(t, strangers, must.Sprint(strings.Join(strangers, "\n")+"\n"+strings.Join(trace, "\n")))
+	must.SliceEmpty(t, withoutLeader, must.Sprint(strings.Join(withoutLeader, "\n")+"\n"+strings.Join(trace, "\n")))
 }
 
 // TestLeaderIsFoundAfterAPowerLossThroughSeedsThatDoNotVote guards against a leader that nobody finds (incident 0011).
 func TestLeaderIsFoundAfterAPowerLossThroughSeedsThatDoNotVote(t *testing.T) {
 	playSearch(t, 1, func(network *simNetwork) []string {
-		network.turnOverAll(network.nonVoters()[:minVoters])
+		network.setAllSeeds(network.nonVoters()[:minVoters])
 		network.restartAll()
-		return append(network.strangers(), network.awaitService(servedWithin)...)
+		return append(network.withoutLeader(), network.awaitService(servedWithin)...)
 	})
 }
 
 // TestNewLeaderIsFoundThroughSeedsThatDoNotVote has the leader end while the seeds name processes that do not vote.
 func TestNewLeaderIsFoundThroughSeedsThatDoNotVote(t *testing.T) {
 	playSearch(t, 1, func(network *simNetwork) []string {
-		network.turnOverAll(network.nonVoters()[:minVoters])
+		network.setAllSeeds(network.nonVoters()[:minVoters])
 		network.leader().kill(true)
 		network.stopMembers(true)
 		network.startMembers()
-		return append(network.strangers(), network.awaitService(servedWithin)...)
+		return append(network.withoutLeader(), network.awaitService(servedWithin)...)
 	})
 }
 
@@ -164,15 +164,15 @@
 func TestLeaderIsFoundThroughSeedsThatItDoesNotHave(t *testing.T) {
 	playSearch(t, 1, func(network *simNetwork) []string {
 		outside := network.nonVoters()
-		for _, server := range network.list() {
+		for _, server := range network.allServers() {
 			if slices.Contains(outside, server.address) {
-				server.turnOver(outside[:2])
+				server.setSeeds(outside[:2])
 			} else {
-				server.turnOver(outside[2:])
+				server.setSeeds(outside[2:])
 			}
 		}
 		network.restartAll()
-		return network.strangers()
+		return network.withoutLeader()
 	})
 }
 
@@ -182,35 +182,35 @@
 	for _, seed := range seedsToPlay(searchSeedsVariable, simSeedVariable, searchSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playSearch(t, seed, searchCourse)
+			playSearch(t, seed, searchScenario)
 		})
 	}
 }
 
-// searchCourse draws what happens, round by round, until a process does not find the leader.
-func searchCourse(network *simNetwork) []string {
-	troubles := &simTroubles{network: network, group: simGroups[0]}
+// searchScenario draws what happens, round by round, until a process does not find the leader.
+func searchScenario(network *simNetwork) []string {
+	faults := &simFaults{network: network, group: simGroups[0]}
 	for range searchRounds {
 		network.drawSeeds()
-		switch target := network.list()[network.intN(len(network.list()))]; network.intN(6) {
+		switch target := network.allServers()[network.intN(len(network.allServers()))]; network.intN(6) {
 		case 0, 1:
 			network.restartAll()
 		case 2:
-			troubles.down(network.leader(), true, network.between(100*time.Millisecond, 2*time.Second))
+			faults.restart(network.leader(), true, network.between(100*time.Millisecond, 2*time.Second))
 		case 3:
-			troubles.down(target, network.chance(0.5), network.between(100*time.Millisecond, 2*time.Second))
+			faults.restart(target, network.chance(0.5), network.between(100*time.Millisecond, 2*time.Second))
 		case 4:
-			if !target.outside {
-				troubles.loseDisk(target)
+			if !target.diskless {
+				faults.loseDisk(target)
 			}
 		case 5:
 			member := network.members[network.intN(len(network.members))]
-			network.note("%s is killed", member.name)
+			network.logEvent("%s is killed", member.name)
 			member.kill()
 		}
 		network.startMembers()
-		if strangers := append(network.strangers(), network.awaitService(servedWithin)...); len(strangers) > 0 {
-			return strangers
+		if withoutLeader := append(network.withoutLeader(), network.awaitService(servedWithin)...); len(withoutLeader) > 0 {
+			return withoutLeader
 		}
 	}
 	return nil
@@ -218,18 +218,18 @@
 
 // drawSeeds gives each process seeds of its own, at times the same to all.
 func (n *simNetwork) drawSeeds() {
-	n.turnOverAll(n.drawnSeeds())
+	n.setAllSeeds(n.drawnSeeds())
 	if n.chance(0.5) {
 		return
 	}
-	for _, server := range n.list() {
-		server.turnOver(n.drawnSeeds())
+	for _, server := range n.allServers() {
+		server.setSeeds(n.drawnSeeds())
 	}
 }
 
 // drawnSeeds returns the addresses of one to three processes.
 func (n *simNetwork) drawnSeeds() []string {
-	servers := n.list()
+	servers := n.allServers()
 	var seeds []string
 	for range 1 + n.intN(minVoters) {
 		seeds = append(seeds, servers[n.intN(len(servers))].address)
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -134,7 +134,7 @@
 
 // publishedVersions describes what was streamed last. Only the goroutine of runLeadership accesses it.
 type publishedVersions struct {
-	initialized   bool
+	any           bool // whether anything was published in this term
 	configVersion uint64
 	catalog       *catalog.Config // the configuration of that version; nil if it can't be parsed
 	mapVersion    uint64
@@ -145,19 +145,19 @@
 func (s *Server) publishState() {
 	state := s.state.committed()
 	last := &s.published
-	if !last.initialized || last.configVersion != state.ConfigVersion {
+	if !last.any || last.configVersion != state.ConfigVersion {
 		s.publishConfig(state)
 	}
-	if !last.initialized || last.mapVersion != state.MapVersion {
+	if !last.any || last.mapVersion != state.MapVersion {
 		s.hub.Publish(mapPart(state, s.requiredCopies()))
 		last.mapVersion = state.MapVersion
 	}
 	addresses := s.controlAddresses()
-	if !last.initialized || !slices.Equal(last.addresses, addresses) {
+	if !last.any || !slices.Equal(last.addresses, addresses) {
 		s.hub.Publish(addressesPart(addresses))
 		last.addresses = addresses
 	}
-	last.initialized = true
+	last.any = true
 }
 
 // publishConfig publishes the configuration, with a delta for subscribers that hold the previous one.
--- a/internal/controlplane/lease_duration_test.go
+++ b/internal/controlplane/lease_duration_test.go
@@ -12,24 +12,24 @@
 
 func TestLongestLeaseOfThoseThatMayLeadIsRecorded(t *testing.T) {
 	const own, recorded = 1500 * time.Millisecond, 1700 * time.Millisecond
-	heard := func(id string, disk bool, told int64) peer {
+	recent := func(id string, disk bool, told int64) peer {
 		table := newPeerTable()
 		table.record(&rpc.JoinRequest{Id: id, Address: id, Disk: disk, StoreLeaseMs: told}, time.Now())
 		return table.recent(time.Now())[0]
 	}
 	for name, c := range map[string]struct {
-		heard  []peer
+		recent []peer
 		wanted time.Duration
 	}{
-		"all have one length":                  {[]peer{heard("a", true, 1500), heard("b", true, 1500)}, own},
-		"a voter counts on more":               {[]peer{heard("a", true, 2000), heard("b", true, 1500)}, 2 * time.Second},
-		"one that may become a voter does":     {[]peer{heard("a", true, 1500), heard("b", true, 1500), heard("c", true, 3000)}, 3 * time.Second},
-		"one that can't become a voter does":   {[]peer{heard("a", true, 1500), heard("b", true, 1500), heard("c", false, 3000)}, own},
-		"a voter tells none":                   {[]peer{heard("a", true, 0), heard("b", true, 1000)}, unspecifiedStoreLease},
-		"a voter is not heard":                 {[]peer{heard("a", true, 1500)}, recorded},
-		"another counts on more than recorded": {[]peer{heard("a", true, 2500)}, 2500 * time.Millisecond},
+		"all have one length":                  {[]peer{recent("a", true, 1500), recent("b", true, 1500)}, own},
+		"a voter counts on more":               {[]peer{recent("a", true, 2000), recent("b", true, 1500)}, 2 * time.Second},
+		"one that may become a voter does":     {[]peer{recent("a", true, 1500), recent("b", true, 1500), recent("c", true, 3000)}, 3 * time.Second},
+		"one that can't become a voter does":   {[]peer{recent("a", true, 1500), recent("b", true, 1500), recent("c", false, 3000)}, own},
+		"a voter tells none":                   {[]peer{recent("a", true, 0), recent("b", true, 1000)}, unspecifiedStoreLease},
+		"a voter is not heard":                 {[]peer{recent("a", true, 1500)}, recorded},
+		"another counts on more than recorded": {[]peer{recent("a", true, 2500)}, 2500 * time.Millisecond},
 	} {
-		must.Eq(t, c.wanted, requiredStoreLease(recorded, own, []failover.Member{{ID: "a"}, {ID: "b"}}, c.heard), must.Sprint(name))
+		must.Eq(t, c.wanted, requiredStoreLease(recorded, own, []failover.Member{{ID: "a"}, {ID: "b"}}, c.recent), must.Sprint(name))
 	}
 }
 
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -83,7 +83,7 @@
 
 // recentPeers returns the peers that joined within voterSilenceTimeout. Only those may stay or become voters.
 func recentPeers(peers []peer, now time.Time) []peer {
-	return slices.DeleteFunc(peers, func(p peer) bool { return now.Sub(p.lastSeen) >= voterSilenceTimeout })
+	return slices.DeleteFunc(peers, func(p peer) bool { return now.Sub(p.seenAt) >= voterSilenceTimeout })
 }
 
 // planVoters returns the next change of the voters. leaderID is this process, which remains a voter; recent are the
--- a/internal/controlplane/membership_test.go
+++ b/internal/controlplane/membership_test.go
@@ -12,7 +12,7 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-func votersOf(ids ...string) []failover.Member {
+func testVoters(ids ...string) []failover.Member {
 	var voters []failover.Member
 	for _, id := range ids {
 		voters = append(voters, failover.Member{ID: id, Address: "address-" + id[:1], Zone: "zone-" + id[:1]})
@@ -20,32 +20,32 @@
 	return voters
 }
 
-func heardOf(ids ...string) []peer {
-	var heard []peer
+func peersOf(ids ...string) []peer {
+	var peers []peer
 	for _, id := range ids {
-		heard = append(heard, peer{id: id, address: "address-" + id[:1], zone: "zone-" + id[:1], disk: true})
+		peers = append(peers, peer{id: id, address: "address-" + id[:1], zone: "zone-" + id[:1], disk: true})
 	}
-	return heard
+	return peers
 }
 
-func TestVotersStayWhileAllAreHeard(t *testing.T) {
-	change := planVoters(votersOf("a", "b", "c"), "a", heardOf("a", "b", "c", "d"), 3, time.Hour)
+func TestVotersStayWhileAllJoin(t *testing.T) {
+	change := planVoters(testVoters("a", "b", "c"), "a", peersOf("a", "b", "c", "d"), 3, time.Hour)
 	must.True(t, change.isEmpty())
 }
 
-func TestRebornVoterIsExchangedAtOnce(t *testing.T) {
-	change := planVoters(votersOf("a", "b", "c"), "a", heardOf("a", "b2", "c", "d"), 3, 0)
+func TestVoterWithNewIdentityIsReplacedAtOnce(t *testing.T) {
+	change := planVoters(testVoters("a", "b", "c"), "a", peersOf("a", "b2", "c", "d"), 3, 0)
 	must.EqOp(t, "b", change.removeID)
 	must.EqOp(t, "b2", change.add.ID)
 }
 
 func TestSilentVoterIsExchangedForAStandby(t *testing.T) {
-	heard := heardOf("a", "c", "d")
-	must.True(t, planVoters(votersOf("a", "b", "c"), "a", heard, 3, voterSilenceTimeout-1).isEmpty())
-	change := planVoters(votersOf("a", "b", "c"), "a", heard, 3, voterSilenceTimeout)
+	heard := peersOf("a", "c", "d")
+	must.True(t, planVoters(testVoters("a", "b", "c"), "a", heard, 3, voterSilenceTimeout-1).isEmpty())
+	change := planVoters(testVoters("a", "b", "c"), "a", heard, 3, voterSilenceTimeout)
 	must.EqOp(t, "b", change.removeID)
 	must.EqOp(t, "d", change.add.ID)
-	must.True(t, planVoters(votersOf("a", "b", "c"), "a", heardOf("a", "c"), 3, time.Hour).isEmpty())
+	must.True(t, planVoters(testVoters("a", "b", "c"), "a", peersOf("a", "c"), 3, time.Hour).isEmpty())
 }
 
 // A machine may be lost as soon as the successor of an earlier loss has run for syncS. Until then the voters must be
@@ -67,7 +67,7 @@
 			}
 		}
 		heard := recentPeers(table.recent(now), now)
-		if change := planVoters(votersOf("a", "b", "c"), "b", heard, 3, now.Sub(began)); !change.isEmpty() {
+		if change := planVoters(testVoters("a", "b", "c"), "b", heard, 3, now.Sub(began)); !change.isEmpty() {
 			must.EqOp(t, "a", change.removeID)
 			must.EqOp(t, "d", change.add.ID)
 			return
@@ -78,31 +78,31 @@
 
 func TestSilentProcessBecomesNoVoter(t *testing.T) {
 	now := time.Now()
-	peers := heardOf("a", "c", "d")
+	peers := peersOf("a", "c", "d")
 	for index := range peers {
-		peers[index].lastSeen = now
+		peers[index].seenAt = now
 	}
-	peers[2].lastSeen = now.Add(-voterSilenceTimeout)
+	peers[2].seenAt = now.Add(-voterSilenceTimeout)
 	heard := recentPeers(peers, now)
-	must.True(t, planVoters(votersOf("a", "b", "c"), "a", heard, 3, time.Hour).isEmpty())
-	must.True(t, planVoters(votersOf("a", "c"), "a", heard, 3, time.Hour).isEmpty())
+	must.True(t, planVoters(testVoters("a", "b", "c"), "a", heard, 3, time.Hour).isEmpty())
+	must.True(t, planVoters(testVoters("a", "c"), "a", heard, 3, time.Hour).isEmpty())
 }
 
 func TestProcessWithoutADiskIsNoVoter(t *testing.T) {
-	heard := heardOf("a", "b", "c")
+	heard := peersOf("a", "b", "c")
 	heard[2].disk = false
-	must.True(t, planVoters(votersOf("a", "b"), "a", heard, 3, time.Hour).isEmpty())
+	must.True(t, planVoters(testVoters("a", "b"), "a", heard, 3, time.Hour).isEmpty())
 }
 
 func TestZoneWithFewestVotersIsChosen(t *testing.T) {
-	heard := heardOf("a", "b", "c", "d")
+	heard := peersOf("a", "b", "c", "d")
 	heard[2].zone = "zone-a"
-	change := planVoters(votersOf("a", "b"), "a", heard, 3, 0)
+	change := planVoters(testVoters("a", "b"), "a", heard, 3, 0)
 	must.EqOp(t, "d", change.add.ID)
 	must.EqOp(t, "", change.removeID)
 }
 
-func TestVotersSettleOnThoseThatAreHeard(t *testing.T) {
+func TestVotersConvergeOnRecentPeers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const wanted = 3
 		var voters []failover.Member
@@ -111,10 +111,10 @@
 		for index := range processes {
 			id := fmt.Sprintf("%c", 'a'+index)
 			if index == 0 || rapid.Bool().Draw(t, "is a voter") {
-				voters = append(voters, votersOf(id)...)
+				voters = append(voters, testVoters(id)...)
 			}
 			if index < wanted || rapid.Bool().Draw(t, "is heard") {
-				heard = append(heard, heardOf(id)...)
+				heard = append(heard, peersOf(id)...)
 			}
 		}
 		for range 2*processes + wanted {
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -14,7 +14,7 @@
 }
 
 // Metrics returns the metrics of this process. Only the leader counts dispatchers.
-func (s *Server) Metrics() []metrics.Figure {
+func (s *Server) Figures() []metrics.Figure {
 	status := s.Status()
 	leader := uint64(0)
 	if status.Leader {
--- a/internal/controlplane/model_test.go
+++ b/internal/controlplane/model_test.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	modelStep   = 50 * time.Millisecond
-	modelCopies = 2
-	renewEvery  = 8 // steps
-	commitMost  = 6 // steps that a commit may take
-	eventKinds  = 8
-	streamMost  = 12 // one in so many steps carries the newest table to a store
+	modelStep       = 50 * time.Millisecond
+	modelCopies     = 2
+	renewalSteps    = 8 // steps
+	maxCommitSteps  = 6 // steps that a commit may take
+	eventKinds      = 8
+	streamOneStepIn = 12 // one in so many steps carries the newest table to a store
 )
 
 // modelStore is a store process on a virtual clock. It acts for a partition while its lease is valid and the
 // table that it knows names its incarnation.
 type modelStore struct {
-	node     string
-	run      int // counts the starts
-	running  bool
-	cut      bool // nothing reaches it
-	leaving  bool
-	impaired bool
-	known    *rpc.ControlState
-	leaseEnd time.Time
-	released map[uint32]uint64 // epochs under which it stopped to act
-	renewIn  int               // steps
-	lost     *rpc.RenewRequest // of an earlier run, held up on its way
-	streamIn int               // steps until the newest table reaches it; 0 where it has it
+	node           string
+	run            int // counts the starts
+	running        bool
+	cut            bool // nothing reaches it
+	leaving        bool
+	impaired       bool
+	knownState     *rpc.ControlState
+	leaseEnd       time.Time
+	released       map[uint32]uint64 // epochs under which it stopped to act
+	renewIn        int               // steps
+	delayedRenewal *rpc.RenewRequest // of an earlier run, held up on its way
+	streamIn       int               // steps until the newest table reaches it; 0 where it has it
 }
 
 func (s *modelStore) incarnation() string {
@@ -45,10 +45,10 @@
 
 // acts reports whether the store would act for a partition now.
 func (s *modelStore) acts(partition int, now time.Time) bool {
-	if !s.running || !now.Before(s.leaseEnd) || partition >= len(s.known.Partitions) {
+	if !s.running || !now.Before(s.leaseEnd) || partition >= len(s.knownState.Partitions) {
 		return false
 	}
-	ownership := s.known.Partitions[partition]
+	ownership := s.knownState.Partitions[partition]
 	mine := ownership.Node == s.node && ownership.Incarnation == s.incarnation()
 	return mine && s.released[uint32(partition)] != ownership.Epoch
 }
@@ -56,7 +56,7 @@
 func (s *modelStore) request() *rpc.RenewRequest {
 	return &rpc.RenewRequest{
 		Node: s.node, Incarnation: s.incarnation(), Zone: s.node, Role: roleStore,
-		Disk: "disk-" + s.node, Address: s.node, Leaving: s.leaving, Impaired: s.impaired, MapVersion: s.known.MapVersion,
+		Disk: "disk-" + s.node, Address: s.node, Leaving: s.leaving, Impaired: s.impaired, MapVersion: s.knownState.MapVersion,
 	}
 }
 
@@ -71,32 +71,32 @@
 	base      uint64 // map version that it was made on
 	releases  []*release
 	commitIn  int // steps
-	settling  bool
+	faultFree bool
 
-	own      time.Duration   // longest lease that the leader grants
-	versions []time.Duration // those that leaders may grant; nil for one
-	unkept   bool            // no leader tells or counts any length but its own
+	ownLease        time.Duration   // longest lease that the leader grants
+	leaseDurations  []time.Duration // those that leaders may grant; nil for one
+	ignoresRecorded bool            // no leader tells or counts any length but its own
 }
 
-// ownLength draws the version of the next leader.
-func (w *modelWorld) ownLength(draw func(below int) int) time.Duration {
-	if w.versions == nil {
+// drawLease draws the version of the next leader.
+func (w *modelWorld) drawLease(draw func(below int) int) time.Duration {
+	if w.leaseDurations == nil {
 		return defaultStoreLease
 	}
-	return w.versions[draw(len(w.versions))]
+	return w.leaseDurations[draw(len(w.leaseDurations))]
 }
 
-// keepLength records the length of leases, given that some of the versions were heard, the leader's among them.
-func (w *modelWorld) keepLength(draw func(below int) int) {
-	heard := []peer{{id: "leader", disk: true, storeLease: w.own}}
-	for _, length := range w.versions {
+// recordLease records the length of leases, given that some of the versions were heard, the leader's among them.
+func (w *modelWorld) recordLease(draw func(below int) int) {
+	recent := []peer{{id: "leader", disk: true, storeLease: w.ownLease}}
+	for _, length := range w.leaseDurations {
 		if draw(2) == 0 {
-			heard = append(heard, peer{id: length.String(), disk: true, storeLease: length})
+			recent = append(recent, peer{id: length.String(), disk: true, storeLease: length})
 		}
 	}
 	recorded := recordedStoreLease(w.committed)
-	wanted := requiredStoreLease(recorded, w.own, []failover.Member{{ID: "leader"}}, heard)
-	if !w.unkept && w.term.mayRecordStoreLease(recorded, wanted, w.now) {
+	wanted := requiredStoreLease(recorded, w.ownLease, []failover.Member{{ID: "leader"}}, recent)
+	if !w.ignoresRecorded && w.term.mayRecordStoreLease(recorded, wanted, w.now) {
 		w.committed = proto.CloneOf(w.committed)
 		w.committed.StoreLeaseMs = wanted.Milliseconds()
 	}
@@ -107,7 +107,7 @@
 	for index := range size {
 		w.stores = append(w.stores, &modelStore{
 			node: fmt.Sprintf("s%d", index), run: 1, running: true,
-			known: &rpc.ControlState{}, released: make(map[uint32]uint64),
+			knownState: &rpc.ControlState{}, released: make(map[uint32]uint64),
 		})
 	}
 	w.changeLeader(func(int) int { return 0 })
@@ -118,12 +118,12 @@
 func (w *modelWorld) changeLeader(draw func(below int) int) {
 	w.epoch++
 	w.proposed = nil
-	w.own = w.ownLength(draw)
-	if w.unkept {
+	w.ownLease = w.drawLease(draw)
+	if w.ignoresRecorded {
 		w.committed = proto.CloneOf(w.committed)
-		w.committed.StoreLeaseMs = w.own.Milliseconds()
+		w.committed.StoreLeaseMs = w.ownLease.Milliseconds()
 	}
-	w.term = newTerm(w.epoch, w.committed, w.own, w.now)
+	w.term = newTerm(w.epoch, w.committed, w.ownLease, w.now)
 }
 
 func (w *modelWorld) step(t *rapid.T, draw func(below int) int) {
@@ -155,7 +155,7 @@
 		panic(err)
 	}
 	w.proposed, w.base, w.releases = next, w.committed.MapVersion, released
-	w.commitIn = draw(commitMost)
+	w.commitIn = draw(maxCommitSteps)
 	if next.equals(w.committed) {
 		w.proposed = nil
 	}
@@ -174,16 +174,16 @@
 }
 
 func (w *modelWorld) stepStore(store *modelStore, draw func(int) int) {
-	if store.lost != nil && draw(streamMost) == 0 {
-		w.term.renewStore(w.committed, store.lost, w.now)
+	if store.delayedRenewal != nil && draw(streamOneStepIn) == 0 {
+		w.term.renewStore(w.committed, store.delayedRenewal, w.now)
 	}
 	if !store.running || store.cut {
 		return
 	}
 	if store.streamIn > 0 {
-		store.streamIn = draw(streamMost)
+		store.streamIn = draw(streamOneStepIn)
 		if store.streamIn == 0 {
-			store.known = w.committed
+			store.knownState = w.committed
 			store.renewIn = 0
 		}
 	}
@@ -192,9 +192,9 @@
 	if store.renewIn > 0 {
 		return
 	}
-	store.renewIn = renewEvery
+	store.renewIn = renewalSteps
 	outcome := w.term.renewStore(w.committed, store.request(), w.now)
-	isAnswerLost := !w.settling && draw(5) == 0
+	isAnswerLost := !w.faultFree && draw(5) == 0
 	if outcome.granted && !isAnswerLost {
 		store.leaseEnd = w.now.Add(outcome.duration)
 	}
@@ -202,7 +202,7 @@
 
 // release gives up what the store is asked for.
 func (w *modelWorld) release(store *modelStore) {
-	for partition, ownership := range store.known.Partitions {
+	for partition, ownership := range store.knownState.Partitions {
 		mine := ownership.Node == store.node && ownership.Incarnation == store.incarnation()
 		if !mine || !ownership.Releasing {
 			continue
@@ -233,7 +233,7 @@
 }
 
 // disturb changes the fortune of one store, or of the leader. Only the first kinds of events happen.
-func (w *modelWorld) disturb(draw func(int) int, kinds int) {
+func (w *modelWorld) injectFault(draw func(int) int, kinds int) {
 	store := w.stores[draw(len(w.stores))]
 	switch draw(kinds) {
 	case 0:
@@ -260,10 +260,10 @@
 		return
 	}
 	s.running = true
-	s.lost = s.request()
+	s.delayedRenewal = s.request()
 	s.run++
 	s.leaving = false
-	s.known = &rpc.ControlState{}
+	s.knownState = &rpc.ControlState{}
 	s.leaseEnd = time.Time{}
 	s.released = make(map[uint32]uint64)
 	s.streamIn = 1
@@ -284,7 +284,7 @@
 
 // settle ends all trouble and waits for balance.
 func (w *modelWorld) settle(t *rapid.T, draw func(int) int) {
-	w.settling = true
+	w.faultFree = true
 	for _, store := range w.stores {
 		store.start()
 		store.cut = false
@@ -363,20 +363,20 @@
 }
 
 // playVersions returns what was seen of two stores that act for a partition, and how many lengths of leases were recorded.
-func playVersions(seed uint64, unkept bool) (double string, lengths int) {
+func playVersions(seed uint64, ignoresRecorded bool) (double string, lengths int) {
 	const steps, calm = 1000, 25
-	draw := drawsOf(seed)
+	draw := seededDraws(seed)
 	w := newModelWorld(4)
-	w.versions, w.unkept = modelVersions, unkept
+	w.leaseDurations, w.ignoresRecorded = modelVersions, ignoresRecorded
 	recorded := map[int64]bool{}
 	for range steps {
 		switch draw(calm) {
 		case 0:
-			w.disturb(draw, eventKinds)
+			w.injectFault(draw, eventKinds)
 		case 1:
 			w.changeLeader(draw)
 		default:
-			w.keepLength(draw)
+			w.recordLease(draw)
 		}
 		recorded[w.committed.StoreLeaseMs] = true
 		w.advance(draw)
@@ -390,13 +390,13 @@
 func TestNoTwoStoresActForAPartition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64Range(0, 1<<20).Draw(t, "seed")
-		draw := drawsOf(seed)
+		draw := seededDraws(seed)
 		calm := rapid.IntRange(5, 200).Draw(t, "steps between events")
 		kinds := rapid.IntRange(4, eventKinds).Draw(t, "kinds of events")
 		w := newModelWorld(rapid.IntRange(2, 5).Draw(t, "stores"))
 		for range rapid.IntRange(0, 1200).Draw(t, "steps") {
 			if draw(calm) == 0 {
-				w.disturb(draw, kinds)
+				w.injectFault(draw, kinds)
 			}
 			w.step(t, draw)
 		}
@@ -415,7 +415,7 @@
 
 func TestStoreThatStaysAwayIsGivenUpUntilItComesBack(t *testing.T) {
 	for seed := range uint64(10) {
-		loseAndRegainStore(t, drawsOf(seed))
+		loseAndRegainStore(t, seededDraws(seed))
 	}
 }
 
@@ -444,7 +444,7 @@
 }
 
 func TestStoreIsNotGivenUpWhereTooFewWouldBeLeft(t *testing.T) {
-	draw := drawsOf(1)
+	draw := seededDraws(1)
 	w := newModelWorld(2)
 	run(t, w, 200, draw)
 	w.stores[0].cut = true
@@ -464,7 +464,7 @@
 
 func TestImpairedStoreHandsItsPartitionsOverUntilItIsWell(t *testing.T) {
 	const second = int(time.Second / modelStep)
-	draw := drawsOf(1)
+	draw := seededDraws(1)
 	w := newModelWorld(4)
 	run(t, w, 10*second, draw)
 	ill := w.stores[0]
@@ -479,7 +479,7 @@
 }
 
 func TestPartitionsStayWhereMoreStoresAreImpairedThanMayBeLost(t *testing.T) {
-	draw := drawsOf(1)
+	draw := seededDraws(1)
 	w := newModelWorld(4)
 	run(t, w, 200, draw)
 	before := w.owned()
--- a/internal/controlplane/peers.go
+++ b/internal/controlplane/peers.go
@@ -13,11 +13,11 @@
 
 // peer is a control process that has sent a Join.
 type peer struct {
-	id       string // identity of its disk; empty if it has none
-	address  string
-	zone     string
-	disk     bool
-	lastSeen time.Time
+	id      string // identity of its disk; empty if it has none
+	address string
+	zone    string
+	disk    bool
+	seenAt  time.Time
 
 	storeLease time.Duration // longest lease that it would grant to a store
 }
@@ -38,11 +38,11 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.peers[request.Address] = peer{
-		id:       request.Id,
-		address:  request.Address,
-		zone:     request.Zone,
-		disk:     request.Disk,
-		lastSeen: now,
+		id:      request.Id,
+		address: request.Address,
+		zone:    request.Zone,
+		disk:    request.Disk,
+		seenAt:  now,
 
 		storeLease: storeLeaseFromWire(request.StoreLeaseMs),
 	}
@@ -54,7 +54,7 @@
 	defer p.mutex.Unlock()
 	recent := make([]peer, 0, len(p.peers))
 	for address, known := range p.peers {
-		if now.Sub(known.lastSeen) > peerExpiry {
+		if now.Sub(known.seenAt) > peerExpiry {
 			delete(p.peers, address)
 			continue
 		}
--- a/internal/controlplane/planner.go
+++ b/internal/controlplane/planner.go
@@ -20,7 +20,7 @@
 // errTableChanged reports that the map changed after a plan was made on it.
 var errTableChanged = errors.New("the partition map changed after this plan was made: plan again")
 
-// wakePlanner triggers a plan.
+// notifyPlanner triggers a plan.
 func (s *Server) wakePlanner() {
 	select {
 	case s.plannerWake <- struct{}{}:
--- a/internal/controlplane/planner_test.go
+++ b/internal/controlplane/planner_test.go
@@ -9,8 +9,8 @@
 )
 
 // The planner looks at the moment when a lease is certainly over, since its partitions have no other way to an owner that runs.
-func TestPlannerLooksWhenALeaseIsOver(t *testing.T) {
-	w := newSettleWorld(t)
+func TestPlannerRunsWhenALeaseIsOver(t *testing.T) {
+	w := newTermFixture(t)
 	for _, request := range w.requests {
 		must.True(t, w.term.renewStore(w.state, request, w.now).granted)
 	}
@@ -50,12 +50,12 @@
 				}
 				member.kill()
 				killed := time.Now()
-				for copyTable(network.newestTable()).ownsAny(member.name) {
+				for copyTable(network.latestState()).ownsAny(member.name) {
 					time.Sleep(time.Millisecond)
 				}
 				must.Less(t, defaultStoreLease+leaseMargin+planned, time.Since(killed))
 				member.start()
-				time.Sleep(settleTime)
+				time.Sleep(startupTime)
 			}
 		}
 	})
--- a/internal/controlplane/power_loss_test.go
+++ b/internal/controlplane/power_loss_test.go
@@ -14,50 +14,50 @@
 )
 
 const (
-	darkMembersVariable = "DARK_MEMBERS" // plays so many stores and dispatchers
-	darkMembers         = 300
-	darkMembersRace     = 60 // with the race detector
-	darkStoreShare      = 5  // one of so many members is a store
-	darkRoutes          = 1440
-	darkLinkMbps        = 100
-	darkControls        = 14 * time.Second       // from the start to the dark
-	darkSettled         = 5 * time.Second        // that the leader must last once all are served
-	darkHeartbeatWait   = 175 * time.Millisecond // a quarter of the leader's lease
-	darkElection        = 2 * time.Second        // until somebody leads, and all have found it
+	powerLossMembersVariable = "DARK_MEMBERS" // plays so many stores and dispatchers
+	powerLossMembers         = 300
+	powerLossMembersRace     = 60 // with the race detector
+	membersPerStore          = 5  // one of so many members is a store
+	powerLossRoutes          = 1440
+	simLinkMbps              = 100
+	simWarmUp                = 14 * time.Second       // from the start to the dark
+	stableLeaderTime         = 5 * time.Second        // that the leader must last once all are served
+	maxHeartbeatWait         = 175 * time.Millisecond // a quarter of the leader's lease
+	electionTime             = 2 * time.Second        // until somebody leads, and all have found it
 )
 
 // manyRoutes is a configuration whose routes have names as different as an operator's.
 func manyRoutes(version uint64) string {
 	random := rand.New(rand.NewPCG(1, 1))
-	names := make([]string, darkRoutes)
+	names := make([]string, powerLossRoutes)
 	for number := range names {
 		names[number] = fmt.Sprintf("route-%x", random.Uint64())
 	}
 	return configWith(int(version), names...)
 }
 
-// TestAllComeBackFromTheDarkAtOnce has all machines lose power and come back at one moment, and again a leader alone. All of them need the
+// TestAllMachinesReturnFromPowerLossAtOnce has all machines lose power and come back at one moment, and again a leader alone. All of them need the
 // configuration of the leader, over links of which heartbeats must take their part: the first to lead stays the leader, and all are served
 // within twice the time that the bytes need on one link.
-func TestAllComeBackFromTheDarkAtOnce(t *testing.T) {
+func TestAllMachinesReturnFromPowerLossAtOnce(t *testing.T) {
 	directory := t.TempDir()
-	members := darkMembers
+	members := powerLossMembers
 	if raceEnabled {
-		members = darkMembersRace
+		members = powerLossMembersRace
 	}
-	if count, err := strconv.Atoi(os.Getenv(darkMembersVariable)); err == nil {
+	if count, err := strconv.Atoi(os.Getenv(powerLossMembersVariable)); err == nil {
 		members = count
 	}
 	synctest.Test(t, func(t *testing.T) {
 		network := newGroupNetwork(t, 1, directory, simGroup{tolerance: 2, processes: 8})
-		network.calm = true
-		network.links = newSimLinks(darkLinkMbps * bytesPerMegabit)
-		network.addManyMembers(members/darkStoreShare, members-members/darkStoreShare)
-		for _, server := range network.list() {
+		network.noDelays = true
+		network.links = newSimLinks(simLinkMbps * bytesPerMegabit)
+		network.addManyMembers(members/membersPerStore, members-members/membersPerStore)
+		for _, server := range network.allServers() {
 			server.start(true)
 		}
 		network.startMembers()
-		time.Sleep(darkControls)
+		time.Sleep(simWarmUp)
 		operator := &simOperator{network: network, history: &simHistory{}}
 		operator.read()
 		operator.change(manyRoutes)
@@ -66,10 +66,10 @@
 			t.Fatalf("not served before the dark:\n%s", strings.Join(unserved, "\n"))
 		}
 		needed := network.bytesForAll()
-		within := darkElection + time.Duration(2*float64(needed)/network.links.rate*float64(time.Second))
-		network.stopAll()
+		within := electionTime + time.Duration(2*float64(needed)/network.links.rate*float64(time.Second))
+		network.powerOffAll()
 		time.Sleep(time.Second)
-		for _, server := range network.list() {
+		for _, server := range network.allServers() {
 			server.start(false)
 		}
 		network.startMembers()
@@ -95,8 +95,8 @@
 	n.links.longestHeartbeatWait()
 	sent := n.links.streamedBytes()
 	served := time.Duration(0)
-	for time.Since(began) < within+darkSettled {
-		time.Sleep(searchLook)
+	for time.Since(began) < within+stableLeaderTime {
+		time.Sleep(simPollInterval)
 		if leader := n.leader(); leader != nil {
 			epochs[leader.running().server.node.Status().Epoch] = true
 		}
@@ -111,6 +111,6 @@
 	must.Positive(n.t, served)
 	must.LessEq(n.t, within, served)
 	must.Eq(n.t, 1, len(epochs), must.Sprint(moment))
-	must.Less(n.t, darkHeartbeatWait, waited)
+	must.Less(n.t, maxHeartbeatWait, waited)
 	return sent
 }
--- a/internal/controlplane/repair.go
+++ b/internal/controlplane/repair.go
@@ -20,8 +20,8 @@
 
 // startPoint is the time at which a condition began, and the first map version that reflects it.
 type startPoint struct {
-	at         time.Time
-	mapVersion uint64
+	at    time.Time
+	table uint64
 }
 
 // firstMapWithDisk returns the first map version that is certain to contain the current disk of a store: the committed one or the next.
@@ -47,7 +47,7 @@
 		}
 		since, known := t.restoringSince[member.Disk]
 		if !known {
-			since = startPoint{at: now, mapVersion: firstMapWithDisk(state, member)}
+			since = startPoint{at: now, table: firstMapWithDisk(state, member)}
 			t.restoringSince[member.Disk] = since
 		}
 		if t.copiesRestoredSince(state, next, since, restoreConfirmTime, now) {
@@ -73,7 +73,7 @@
 		}
 		since, known := t.drainedSince[retirement.Node]
 		if !known {
-			since = startPoint{at: now, mapVersion: state.MapVersion}
+			since = startPoint{at: now, table: state.MapVersion}
 			t.drainedSince[retirement.Node] = since
 		}
 		if t.copiesRestoredSince(state, next, since, retireConfirmTime, now) {
@@ -107,11 +107,11 @@
 			member.Leaving = true
 			continue
 		}
-		if since.mapVersion == 0 {
-			since.mapVersion = state.MapVersion // the first map that marks it as leaving
+		if since.table == 0 {
+			since.table = state.MapVersion // the first map that marks it as leaving
 			t.leaselessSince[member.Node] = since
 		}
-		if t.copiesRestoredSince(state, next, startPoint{at: since.at.Add(leaselessTimeout), mapVersion: since.mapVersion}, removalConfirmTime, now) {
+		if t.copiesRestoredSince(state, next, startPoint{at: since.at.Add(leaselessTimeout), table: since.table}, removalConfirmTime, now) {
 			markRemoved(member)
 			delete(t.leaselessSince, member.Node)
 		}
@@ -179,9 +179,9 @@
 
 // replicatedFor reports whether the store has reported for confirmTime after since that every message of its partitions has enough copies,
 // and reports no copy that a dispatcher began to place under an earlier map and that the owner may not know of. A message whose placement
-// began under since.mapVersion or later has no copy on a disk that was lost by then.
+// began under since.table or later has no copy on a disk that was lost by then.
 func (s *storeStatus) replicatedFor(since startPoint, confirmTime time.Duration) bool {
-	if s.replicatedSince.IsZero() || s.unconfirmed && s.unconfirmedUnder < since.mapVersion {
+	if s.replicatedSince.IsZero() || s.unconfirmed && s.unconfirmedUnder < since.table {
 		return false
 	}
 	from := since.at
--- a/internal/controlplane/settle_test.go
+++ b/internal/controlplane/repair_test.go
@@ -9,8 +9,8 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// settleWorld is a term with three stores that hold leases, of which the last is being emptied and owns nothing.
-type settleWorld struct {
+// termFixture is a term with three stores that hold leases, of which the last is being emptied and owns nothing.
+type termFixture struct {
 	t        *testing.T
 	now      time.Time
 	state    *rpc.ControlState
@@ -18,8 +18,8 @@
 	requests []*rpc.RenewRequest
 }
 
-func newSettleWorld(t *testing.T) *settleWorld {
-	w := &settleWorld{t: t, now: time.Now(), state: &rpc.ControlState{MapVersion: 5}}
+func newTermFixture(t *testing.T) *termFixture {
+	w := &termFixture{t: t, now: time.Now(), state: &rpc.ControlState{MapVersion: 5}}
 	for _, node := range []string{"store-0", "store-1", "store-2"} {
 		w.state.Stores = append(w.state.Stores, &rpc.StoreMember{
 			Node: node, Disk: "disk-" + node, Incarnation: "1-" + node, Address: node, Zone: node, Whole: true,
@@ -39,7 +39,7 @@
 }
 
 // run renews all stores and plans for a time, and reports whether the retirement has completed.
-func (w *settleWorld) run(length time.Duration) bool {
+func (w *termFixture) run(length time.Duration) bool {
 	const step = 100 * time.Millisecond
 	for end := w.now.Add(length); w.now.Before(end); w.now = w.now.Add(step) {
 		for _, request := range w.requests {
@@ -55,14 +55,14 @@
 }
 
 func TestRetirementCompletes(t *testing.T) {
-	w := newSettleWorld(t)
+	w := newTermFixture(t)
 	must.False(t, w.run(retireConfirmTime))
 	must.True(t, w.run(time.Second))
 }
 
 // A store that does not know yet that it is being emptied may still take copies that count.
 func TestRetirementWaitsUntilTheStoreKnowsOfIt(t *testing.T) {
-	w := newSettleWorld(t)
+	w := newTermFixture(t)
 	w.requests[2].MapVersion = 4
 	must.False(t, w.run(5*time.Second))
 	w.requests[2].MapVersion = 5
@@ -73,7 +73,7 @@
 // A holder tells of copies that their owner may not know; so does the store that is being emptied.
 func TestRetirementWaitsForCopiesThatTheOwnerMayNotKnow(t *testing.T) {
 	for _, holder := range []int{1, 2} {
-		w := newSettleWorld(t)
+		w := newTermFixture(t)
 		for _, ownership := range w.state.Partitions {
 			ownership.Node, ownership.Incarnation = "store-0", "1-store-0"
 		}
@@ -87,7 +87,7 @@
 // It waits for those alone that were begun to be placed before the store was known to leave, or nobody knows when.
 func TestRetirementWaitsForUnconfirmedCopiesByTheirTable(t *testing.T) {
 	for _, holder := range []int{1, 2} {
-		w := newSettleWorld(t)
+		w := newTermFixture(t)
 		for _, ownership := range w.state.Partitions {
 			ownership.Node, ownership.Incarnation = "store-0", "1-store-0"
 		}
@@ -103,15 +103,15 @@
 
 // Copies that were begun to be placed once the store was known to leave have no copy there, also where they come all the time.
 func TestRetirementDoesNotWaitForLaterCopies(t *testing.T) {
-	w := newSettleWorld(t)
+	w := newTermFixture(t)
 	w.requests[1].UnderCopied, w.requests[1].Unconfirmed, w.requests[1].UnconfirmedUnder = 3, 3, 5
 	must.False(t, w.run(retireConfirmTime))
 	must.True(t, w.run(time.Second))
 }
 
-// newWholeWorld is a settleWorld whose last store has lost its disk; the first one owns all partitions.
-func newWholeWorld(t *testing.T) *settleWorld {
-	w := newSettleWorld(t)
+// newLostDiskFixture is a termFixture whose last store has lost its disk; the first one owns all partitions.
+func newLostDiskFixture(t *testing.T) *termFixture {
+	w := newTermFixture(t)
 	w.state.Retirements, w.state.Stores[2].Leaving = nil, false
 	w.state.Stores[2].Whole = false
 	for _, ownership := range w.state.Partitions {
@@ -121,7 +121,7 @@
 }
 
 // isWhole renews all stores for a time, and reports whether the lost disk counts as made up for.
-func (w *settleWorld) isWhole(length time.Duration) bool {
+func (w *termFixture) isWhole(length time.Duration) bool {
 	const step = 100 * time.Millisecond
 	for end := w.now.Add(length); w.now.Before(end); w.now = w.now.Add(step) {
 		for _, request := range w.requests {
@@ -138,7 +138,7 @@
 
 // A disk that replaces a lost one is not whole while a holder tells of copies that their owner may not know.
 func TestDiskIsNotWholeWhileAHolderTellsOfUnknownCopies(t *testing.T) {
-	w := newWholeWorld(t)
+	w := newLostDiskFixture(t)
 	w.requests[1].UnderCopied = 2
 	must.False(t, w.isWhole(3*time.Second))
 	w.requests[1].UnderCopied = 0
@@ -147,7 +147,7 @@
 
 // Those that were begun to be placed under a table with the new disk have no copy on the lost one.
 func TestDiskIsNotWholeWhileCopiesOfBeforeItsTableAreUnconfirmed(t *testing.T) {
-	w := newWholeWorld(t)
+	w := newLostDiskFixture(t)
 	w.requests[1].UnderCopied, w.requests[1].Unconfirmed = 2, 2
 	for _, earlier := range []uint64{4, 0} {
 		w.requests[1].UnconfirmedUnder = earlier
@@ -160,7 +160,7 @@
 // A store that is away for long is given up once owners know the copies that were begun to be placed before it was known to be leaving.
 func TestSilentStoreIsGivenUpBesideLaterCopies(t *testing.T) {
 	for _, placedUnder := range []uint64{4, 5} {
-		w := newSettleWorld(t)
+		w := newTermFixture(t)
 		w.state.Retirements = nil
 		w.state.Stores[2].Leaving = true // as an earlier look has left it
 		w.requests[0].MapVersion, w.requests[1].MapVersion = 5, 5
@@ -182,7 +182,7 @@
 }
 
 // What a disk may have lost was begun under tables before the first one that names its successor.
-func TestTableThatNamesADisk(t *testing.T) {
+func TestFirstMapWithDisk(t *testing.T) {
 	state := &rpc.ControlState{MapVersion: 5, Stores: []*rpc.StoreMember{{Node: "store-0", Disk: "disk-0"}}}
 	must.EqOp(t, 5, firstMapWithDisk(state, &rpc.StoreMember{Node: "store-0", Disk: "disk-0"}))
 	must.EqOp(t, 6, firstMapWithDisk(state, &rpc.StoreMember{Node: "store-0", Disk: "disk-1"}))
--- a/internal/controlplane/retire_test.go
+++ b/internal/controlplane/retire_test.go
@@ -10,8 +10,8 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// releaseAsked gives up what the newest map asks a store for.
-func (s *testStore) releaseAsked(newest *newestView) {
+// releaseRequested gives up what the newest map asks a store for.
+func (s *testStore) releaseRequested(newest *receivedView) {
 	var asked []*rpc.PartitionEpoch
 	_ = newest.check(func(view *rpc.View) error {
 		for partition, ownership := range view.Map.GetPartitions() {
@@ -27,8 +27,8 @@
 	}
 }
 
-// settleStores renews stores until all partitions have owners among them.
-func settleStores(t *testing.T, stores []*testStore, newest *newestView) {
+// assignPartitions renews stores until all partitions have owners among them.
+func assignPartitions(t *testing.T, stores []*testStore, newest *receivedView) {
 	t.Helper()
 	eventually(t, func() error {
 		for _, store := range stores {
@@ -47,12 +47,12 @@
 	c := newCluster(t, 3, nil)
 	newest := follow(t, c.leader())
 	stores := []*testStore{newTestStore(c, 0), newTestStore(c, 1), newTestStore(c, 2)}
-	settleStores(t, stores, newest)
+	assignPartitions(t, stores, newest)
 	start := func(node string) int {
-		return c.callUntilClear(c.servers[0], http.MethodPost, "/api/retire/"+node+"/start", "", `{"deadlineS":10}`).status
+		return c.callUntilDefinite(c.servers[0], http.MethodPost, "/api/retire/"+node+"/start", "", `{"deadlineS":10}`).status
 	}
-	read := func(node string) answerOf {
-		return c.callUntilClear(c.servers[0], http.MethodGet, "/api/retire/"+node+"/read", "", "")
+	read := func(node string) apiResponse {
+		return c.callUntilDefinite(c.servers[0], http.MethodGet, "/api/retire/"+node+"/read", "", "")
 	}
 	must.EqOp(t, http.StatusNotFound, start("none"))
 	must.EqOp(t, http.StatusNotFound, read("store-0").status)
@@ -88,12 +88,12 @@
 }
 
 // awaitEmpty plays stores until one owns nothing.
-func awaitEmpty(t *testing.T, stores []*testStore, newest *newestView, node string) {
+func awaitEmpty(t *testing.T, stores []*testStore, newest *receivedView, node string) {
 	t.Helper()
 	eventually(t, func() error {
 		for _, store := range stores {
 			store.renew(newest)
-			store.releaseAsked(newest)
+			store.releaseRequested(newest)
 		}
 		return newest.check(func(view *rpc.View) error {
 			for _, ownership := range view.Map.GetPartitions() {
@@ -110,7 +110,7 @@
 	c := newCluster(t, 3, nil)
 	newest := follow(t, c.leader())
 	stores := []*testStore{newTestStore(c, 0), newTestStore(c, 1), newTestStore(c, 2)}
-	settleStores(t, stores, newest)
+	assignPartitions(t, stores, newest)
 	stores[0].request.Disk = "disk-new"
 	stores[0].request.Incarnation = "store-0/2"
 	stores[1].request.UnderCopied = 1
--- a/internal/controlplane/slope_bench_test.go
+++ b/internal/controlplane/scaling_bench_test.go
@@ -11,18 +11,18 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// slopeMachines are sizes of a fleet, of which one machine in darkStoreShare is a store.
-var slopeMachines = []int{30, 300, 3000}
+// scalingMachines are sizes of a fleet, of which one machine in membersPerStore is a store.
+var scalingMachines = []int{30, 300, 3000}
 
 const (
-	slopeCopies  = 3
-	slopeWorkers = 2 // listed for each machine
+	scalingCopies  = 3
+	scalingWorkers = 2 // listed for each machine
 )
 
-// slopeState is the replicated state of a fleet whose stores own the partitions in turn.
-func slopeState(machines int) *rpc.ControlState {
+// scalingState is the replicated state of a fleet whose stores own the partitions in turn.
+func scalingState(machines int) *rpc.ControlState {
 	state := &rpc.ControlState{MapVersion: 1}
-	stores := machines / darkStoreShare
+	stores := machines / membersPerStore
 	random := rand.New(rand.NewPCG(1, 1)) // what compresses no better than in service
 	for number := range stores {
 		renewal := budgetRenewal(number, roleStore)
@@ -37,11 +37,11 @@
 	return state
 }
 
-// slopeList is a platform's list of workers, of which the last one has another capacity where changed.
-func slopeList(machines int, changed bool) *rpc.WorkerList {
+// scalingList is a platform's list of workers, of which the last one has another capacity where changed.
+func scalingList(machines int, changed bool) *rpc.WorkerList {
 	list := &rpc.WorkerList{Epoch: 1, Version: 1}
 	random := rand.New(rand.NewPCG(1, 2))
-	for number := range slopeWorkers * machines {
+	for number := range scalingWorkers * machines {
 		list.Workers = append(list.Workers, &rpc.Worker{Id: fmt.Sprintf("i-%08x", random.Uint32()), Service: "service",
 			Address: fmt.Sprintf("10.0.%d.%d:8080", number>>8, number&0xff), Capacity: 8})
 	}
@@ -55,14 +55,14 @@
 // BenchmarkFleetSlopes is what grows with the machines of a fleet: the bytes of what one newcomer needs and of a change, the time to encode
 // a table, and the time in which the leader takes the renewals of all.
 func BenchmarkFleetSlopes(b *testing.B) {
-	for _, machines := range slopeMachines {
-		state, list := slopeState(machines), slopeList(machines, false)
-		change := workersPart(list, slopeList(machines, true)).Delta
+	for _, machines := range scalingMachines {
+		state, list := scalingState(machines), scalingList(machines, false)
+		change := workersPart(list, scalingList(machines, true)).Delta
 		b.Run(fmt.Sprintf("table/%d", machines), func(b *testing.B) {
 			for b.Loop() {
-				mapPart(state, slopeCopies)
+				mapPart(state, scalingCopies)
 			}
-			b.ReportMetric(float64(len(mapPart(state, slopeCopies).Data)), "table-B")
+			b.ReportMetric(float64(len(mapPart(state, scalingCopies).Data)), "table-B")
 			b.ReportMetric(float64(len(workersPart(nil, list).Data)), "list-B")
 			b.ReportMetric(float64(len(change)), "list-change-B")
 		})
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -67,7 +67,7 @@
 	hub             *watch.Hub
 	peers           *peerTable
 	clients         *clients
-	leaderHint      atomic.Pointer[leaderHint]
+	hint            atomic.Pointer[leaderHint]
 	term            atomic.Pointer[term] // nil while this process does not lead
 
 	callCounts     callCounters
@@ -173,7 +173,7 @@
 	mux.HandleFunc("GET /internal/watch", s.handleWatch)
 	mux.HandleFunc("GET /internal/status", s.handleStatus)
 	mux.HandleFunc("POST /internal/stores/{node}/abandon", s.leaderOnly(s.handleAbandon))
-	mux.Handle("GET "+metrics.Path, metrics.Handler(s.Metrics))
+	mux.Handle("GET "+metrics.Path, metrics.Handler(s.Figures))
 	mux.HandleFunc("POST /api/config/replace", s.leaderOnly(s.handleReplace))
 	mux.HandleFunc("POST /api/config/update", s.leaderOnly(s.handleUpdate))
 	mux.HandleFunc("GET /api/config/read", s.leaderOnly(s.handleRead))
@@ -198,7 +198,7 @@
 	defer cancel()
 	s.start(running)
 	stalls := holdup.Watch(running, s.log)
-	metricsServer := metrics.ServeRole(s.settings(), s.log, func() []metrics.Figure { return append(s.Metrics(), stalls.Figures()...) })
+	metricsServer := metrics.ServeRole(s.settings(), s.log, func() []metrics.Figure { return append(s.Figures(), stalls.Figures()...) })
 	defer func() { _ = metricsServer.Close() }()
 	server := &http.Server{
 		Handler:           s.Handler(),
--- a/internal/controlplane/service.go
+++ b/internal/controlplane/service.go
@@ -106,7 +106,7 @@
 	switch request.Role {
 	case roleStore:
 		outcome := t.renewStore(s.state.committed(), request, now)
-		if outcome.wakePlanner {
+		if outcome.notifyPlanner {
 			s.wakePlanner()
 		}
 		return outcome
--- a/internal/controlplane/sim_checker_test.go
+++ b/internal/controlplane/sim_checker_test.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	simRunLeast = 5 * time.Millisecond
-	simRunMost  = 60 * time.Millisecond
-	simTimeout  = 600 * time.Millisecond // of an attempt, as the route says
-	simKeys     = 6
-	simDelay    = 4 * time.Second // the longest that a client asks for
-	simCapacity = 200
-	simAskers   = 8 // of states, at a time
-	// simStatusKept is for how long after its end the state of a message must be told: the retention of the routes.
-	simStatusKept = 90 * time.Second
+	simMinRunTime     = 5 * time.Millisecond
+	simMaxRunTime     = 60 * time.Millisecond
+	simAttemptTimeout = 600 * time.Millisecond // of an attempt, as the route says
+	simKeys           = 6
+	simMaxDelay       = 4 * time.Second // the longest that a client asks for
+	simCapacity       = 200
+	simQueryWorkers   = 8 // of states, at a time
+	// simStatusRetention is for how long after its end the state of a message must be told: the retention of the routes.
+	simStatusRetention = 90 * time.Second
 )
 
 // simMessage is one message, as its client and the workers saw it.
@@ -44,33 +44,33 @@
 	stamps     map[string]bool
 }
 
-// simJudge holds what clients and workers saw, and checks the rules.
-type simJudge struct {
+// simChecker holds what clients and workers saw, and checks the rules.
+type simChecker struct {
 	network *simNetwork
 
-	acceptances chan struct{} // holds the newest acceptance
-	askedEach   int           // dispatchers that are asked for the state of each message; 0 for all
+	acceptances       chan struct{} // holds the newest acceptance
+	queriesPerMessage int           // dispatchers that are asked for the state of each message; 0 for all
 
-	mutex      sync.Mutex
-	messages   map[string]*simMessage
-	byKey      map[string][]*simMessage // accepted ones
-	requests   sync.WaitGroup
-	calmFrom   time.Time // what is sent later runs once; zero while there is trouble
-	violations []string
+	mutex          sync.Mutex
+	messages       map[string]*simMessage
+	byKey          map[string][]*simMessage // accepted ones
+	requests       sync.WaitGroup
+	faultFreeSince time.Time // what is sent later runs once; zero while there is trouble
+	violations     []string
 }
 
-func newSimJudge(network *simNetwork) *simJudge {
-	return &simJudge{network: network, acceptances: make(chan struct{}, 1), messages: map[string]*simMessage{}, byKey: map[string][]*simMessage{}}
+func newSimChecker(network *simNetwork) *simChecker {
+	return &simChecker{network: network, acceptances: make(chan struct{}, 1), messages: map[string]*simMessage{}, byKey: map[string][]*simMessage{}}
 }
 
 // violate notes that a rule was broken. The mutex is held.
-func (j *simJudge) violate(rule string, m *simMessage, format string, values ...any) {
+func (j *simChecker) violate(rule string, m *simMessage, format string, values ...any) {
 	line := fmt.Sprintf("%8.3f %s %s (key %q, sent %.3f): ", time.Since(j.network.started).Seconds(), rule, m.name, m.key, m.sentAt.Sub(j.network.started).Seconds())
 	j.violations = append(j.violations, line+fmt.Sprintf(format, values...))
 }
 
 // send has a client send a message to any dispatcher, and notes the answer.
-func (j *simJudge) send(number int) {
+func (j *simChecker) send(number int) {
 	n := j.network
 	m := &simMessage{name: fmt.Sprintf("m%d", number), sentAt: time.Now(), stamps: map[string]bool{}}
 	m.body = bytes.Repeat([]byte(m.name), 1+n.intN(100))
@@ -81,14 +81,14 @@
 	j.messages[m.name] = m
 	j.mutex.Unlock()
 	n.mutex.Lock()
-	front, path := n.fronts[number%len(n.fronts)], "/"+n.route+"/x"
+	dispatcher, path := n.dispatchers[number%len(n.dispatchers)], "/"+n.route+"/x"
 	n.mutex.Unlock()
 	headers := map[string]string{"X-Request-Id": m.name, "X-Order-Key": m.key}
 	if m.key == "" && n.chance(0.5) {
-		headers["X-Delay-Ms"] = strconv.FormatInt(n.between(0, simDelay).Milliseconds(), 10)
+		headers["X-Delay-Ms"] = strconv.FormatInt(n.between(0, simMaxDelay).Milliseconds(), 10)
 	}
 	j.requests.Go(func() {
-		answer := front.ask(http.MethodPost, path, headers, m.body)
+		answer := dispatcher.call(http.MethodPost, path, headers, m.body)
 		j.mutex.Lock()
 		defer j.mutex.Unlock()
 		switch answer.status {
@@ -114,7 +114,7 @@
 }
 
 // start notes that a worker begins to run a message, and returns its stamp.
-func (j *simJudge) start(job *delivery.Job, store string) (stamp string) {
+func (j *simChecker) start(job *delivery.Job, store string) (stamp string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	m := j.messages[job.RequestID]
@@ -125,7 +125,7 @@
 	if m.refused {
 		j.violate("REFUSED", m, "it runs at the order of %s", store)
 	}
-	if m.starts > 1 && !j.calmFrom.IsZero() && m.sentAt.After(j.calmFrom) {
+	if m.starts > 1 && !j.faultFreeSince.IsZero() && m.sentAt.After(j.faultFreeSince) {
 		j.violate("TWICE", m, "it runs again at the order of %s", store)
 	}
 	for _, other := range j.byKey[m.key] {
@@ -139,8 +139,8 @@
 }
 
 // checkOwner checks that the newest table that was ever committed gives a message's partition to the store that sends it.
-func (j *simJudge) checkOwner(job *delivery.Job, store string) {
-	table := j.network.newestTable()
+func (j *simChecker) checkOwner(job *delivery.Job, store string) {
+	table := j.network.latestState()
 	prefix, _, _ := strings.Cut(job.Name, "-")
 	partition, err := strconv.ParseUint(prefix, 16, 32)
 	if err != nil || int(partition) >= len(table.Partitions) {
@@ -153,7 +153,7 @@
 	}
 }
 
-func (j *simJudge) end(name string) {
+func (j *simChecker) end(name string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	if m := j.messages[name]; m.endedAt.IsZero() {
@@ -162,7 +162,7 @@
 }
 
 // acceptedSince counts the messages sent since a moment, and those of them that were accepted.
-func (j *simJudge) acceptedSince(moment time.Time) (accepted, sent int) {
+func (j *simChecker) acceptedSince(moment time.Time) (accepted, sent int) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	for _, m := range j.messages {
@@ -178,7 +178,7 @@
 }
 
 // accepted returns the messages that were accepted.
-func (j *simJudge) accepted() []*simMessage {
+func (j *simChecker) accepted() []*simMessage {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	var accepted []*simMessage
@@ -190,7 +190,7 @@
 	return accepted
 }
 
-func (j *simJudge) unfinished() int {
+func (j *simChecker) unfinished() int {
 	count := 0
 	for _, m := range j.accepted() {
 		j.mutex.Lock()
@@ -203,46 +203,46 @@
 }
 
 // checkStates asks every dispatcher for every accepted message: all have ended, and all dispatchers say so.
-func (j *simJudge) checkStates() {
+func (j *simChecker) checkStates() {
 	accepted := j.accepted()
-	share := len(accepted)/simAskers + 1
-	var askers sync.WaitGroup
+	share := len(accepted)/simQueryWorkers + 1
+	var workers sync.WaitGroup
 	for each := range slices.Chunk(accepted, share) {
-		askers.Go(func() {
+		workers.Go(func() {
 			for _, m := range each {
-				if m.endedAt.IsZero() || time.Since(m.endedAt) < simStatusKept {
+				if m.endedAt.IsZero() || time.Since(m.endedAt) < simStatusRetention {
 					j.checkState(m)
 				}
 			}
 		})
 	}
-	askers.Wait()
+	workers.Wait()
 }
 
-func (j *simJudge) checkState(m *simMessage) {
-	fronts := j.network.fronts
-	if j.askedEach > 0 {
-		first := j.network.intN(len(fronts) - j.askedEach + 1)
-		fronts = fronts[first : first+j.askedEach]
+func (j *simChecker) checkState(m *simMessage) {
+	dispatchers := j.network.dispatchers
+	if j.queriesPerMessage > 0 {
+		first := j.network.intN(len(dispatchers) - j.queriesPerMessage + 1)
+		dispatchers = dispatchers[first : first+j.queriesPerMessage]
 	}
-	for _, front := range fronts {
-		answer := front.askAgain(http.MethodGet, "/api/message/"+m.id)
+	for _, dispatcher := range dispatchers {
+		answer := dispatcher.callUntilDefinite(http.MethodGet, "/api/message/"+m.id)
 		j.mutex.Lock()
 		switch {
 		case answer.status == http.StatusNotFound:
-			j.violate("LOST", m, "%s knows no %s, %d runs", front.name, m.id, m.starts)
+			j.violate("LOST", m, "%s knows no %s, %d runs", dispatcher.name, m.id, m.starts)
 		case answer.status != http.StatusOK:
-			j.violate("UNSURE", m, "%s answers %d for %s", front.name, answer.status, m.id)
+			j.violate("UNSURE", m, "%s answers %d for %s", dispatcher.name, answer.status, m.id)
 		case !strings.Contains(string(answer.body), `"completed"`):
-			j.violate("STRANDED", m, "%s says %s of %s, %d runs", front.name, answer.body, m.id, m.starts)
+			j.violate("STRANDED", m, "%s says %s of %s, %d runs", dispatcher.name, answer.body, m.id, m.starts)
 		case !j.hasStamp(m, string(answer.body)):
-			j.violate("MIXED", m, "%s says %s", front.name, answer.body)
+			j.violate("MIXED", m, "%s says %s", dispatcher.name, answer.body)
 		}
 		j.mutex.Unlock()
 	}
 }
 
-func (j *simJudge) hasStamp(m *simMessage, state string) bool {
+func (j *simChecker) hasStamp(m *simMessage, state string) bool {
 	for stamp := range m.stamps {
 		if strings.Contains(state, `"`+stamp+`"`) {
 			return true
@@ -298,12 +298,12 @@
 	if isClosed(w.process.dead) || !guard() {
 		return delivery.Outcome{Kind: delivery.NotRun}
 	}
-	n.judge.checkOwner(job, w.process.machine.name)
-	stamp := n.judge.start(job, w.process.machine.name)
-	time.Sleep(n.between(simRunLeast, simRunMost))
-	n.judge.end(job.RequestID)
+	n.checker.checkOwner(job, w.process.machine.name)
+	stamp := n.checker.start(job, w.process.machine.name)
+	time.Sleep(n.between(simMinRunTime, simMaxRunTime))
+	n.checker.end(job.RequestID)
 	if n.isLossy() && n.chance(0.05) {
-		time.Sleep(simTimeout)
+		time.Sleep(simAttemptTimeout)
 		return delivery.Outcome{}
 	}
 	return delivery.Outcome{Kind: delivery.Succeeded, Stamp: stamp}
--- a/internal/controlplane/sim_links_test.go
+++ b/internal/controlplane/sim_links_test.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	linkWindow    = 64 << 10 // bytes of one connection that wait on a link at a time
-	callOverhead  = 400      // bytes of the heads of a call or an answer
-	replicatePath = "/Replicate"
+	linkWindowBytes   = 64 << 10 // bytes of one connection that wait on a link at a time
+	callOverheadBytes = 400      // bytes of the heads of a call or an answer
+	replicatePath     = "/Replicate"
 )
 
 // simLinks are the links of machines: all that a machine sends leaves one after the other, at one rate.
@@ -17,13 +17,13 @@
 	rate float64 // bytes a second
 
 	mutex         sync.Mutex
-	free          map[string]time.Time // when a link has sent all that it was given, by address
+	idleFrom      map[string]time.Time // when a link has sent all that it was given, by address
 	streamed      int                  // bytes of all streams
 	heartbeatWait time.Duration        // the longest that a heartbeat or its answer waited for what was before it
 }
 
 func newSimLinks(rate float64) *simLinks {
-	return &simLinks{rate: rate, free: map[string]time.Time{}}
+	return &simLinks{rate: rate, idleFrom: map[string]time.Time{}}
 }
 
 // send returns once bytes have left a machine.
@@ -31,22 +31,22 @@
 	if l == nil {
 		return
 	}
-	for length += callOverhead; length > 0; length -= linkWindow {
-		time.Sleep(l.put(from, path, min(length, linkWindow)))
+	for length += callOverheadBytes; length > 0; length -= linkWindowBytes {
+		time.Sleep(l.enqueue(from, path, min(length, linkWindowBytes)))
 	}
 }
 
 // put puts bytes on a link and returns when they will have left.
-func (l *simLinks) put(from, path string, length int) time.Duration {
+func (l *simLinks) enqueue(from, path string, length int) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := time.Now()
-	waits := max(l.free[from].Sub(now), 0)
+	waits := max(l.idleFrom[from].Sub(now), 0)
 	if strings.HasSuffix(path, replicatePath) {
 		l.heartbeatWait = max(l.heartbeatWait, waits)
 	}
 	left := waits + time.Duration(float64(length)/l.rate*float64(time.Second))
-	l.free[from] = now.Add(left)
+	l.idleFrom[from] = now.Add(left)
 	if path == streamPath {
 		l.streamed += length
 	}
--- a/internal/controlplane/sim_machine_test.go
+++ b/internal/controlplane/sim_machine_test.go
@@ -23,14 +23,14 @@
 // Stores and dispatchers of the simulation are the product's own, with messages. The workers that stores call are a stand-in.
 
 const (
-	simStorePort  = 7000
-	simDiskMb     = 64
-	simMaxFds     = 1024
-	simGraceS     = 6
-	simSyncMost   = 20 * time.Millisecond
-	messageLog    = "messages.log"
-	simHost       = "h.example"
-	simAnswerTime = 950 * time.Millisecond
+	simStorePort   = 7000
+	simDiskMb      = 64
+	simMaxFds      = 1024
+	simGraceS      = 6
+	simMaxSyncTime = 20 * time.Millisecond
+	messageLog     = "messages.log"
+	simHost        = "h.example"
+	simCallTime    = 950 * time.Millisecond
 )
 
 // simStore is the machine of a store. It outlives processes and disks.
@@ -43,9 +43,9 @@
 	disks   int // folders made so far
 
 	// Guarded by the mutex of the network.
-	process *simStoreProcess // nil while none runs
-	off     bool             // without power: nothing is refused, all is silent
-	stalled chan struct{}    // the disk answers nothing until it is closed; nil while it does
+	process    *simStoreProcess // nil while none runs
+	poweredOff bool             // without power: nothing is refused, all is silent
+	stalled    chan struct{}    // the disk answers nothing until it is closed; nil while it does
 }
 
 // simStoreProcess is one life of a store.
@@ -80,8 +80,8 @@
 	return store
 }
 
-// takeAway takes the power of a store's machine for good, and its disk with it.
-func (s *simStore) takeAway() {
+// remove takes the power of a store's machine for good, and its disk with it.
+func (s *simStore) remove() {
 	s.loseDisk()
 	s.network.mutex.Lock()
 	defer s.network.mutex.Unlock()
@@ -126,18 +126,18 @@
 	must.NoError(n.t, err)
 	process.node = node
 	n.mutex.Lock()
-	s.process, s.off = process, false
+	s.process, s.poweredOff = process, false
 	n.mutex.Unlock()
 	node.Start()
-	n.note("%s starts, disk %d", s.name, s.disks)
+	n.logEvent("%s starts, disk %d", s.name, s.disks)
 }
 
 // kill ends the process at once. Without power its disk keeps what was synced and no more.
-func (s *simStore) kill(off bool) {
+func (s *simStore) kill(powerLoss bool) {
 	n := s.network
 	n.mutex.Lock()
 	process := s.process
-	s.process, s.off = nil, off
+	s.process, s.poweredOff = nil, powerLoss
 	n.mutex.Unlock()
 	if process == nil {
 		return
@@ -145,7 +145,7 @@
 	close(process.dead)
 	content, err := os.ReadFile(filepath.Join(process.folder, messageLog))
 	must.NoError(n.t, err)
-	if off {
+	if powerLoss {
 		process.mutex.Lock()
 		content = content[:min(process.synced, int64(len(content)))]
 		process.mutex.Unlock()
@@ -153,14 +153,14 @@
 	s.newDisk() // what the process still does as it ends is not seen
 	must.NoError(n.t, os.WriteFile(filepath.Join(s.folder(), messageLog), content, 0o644))
 	go func() { _ = process.node.Close() }()
-	n.note("%s is killed, power lost %t, %d bytes", s.name, off, len(content))
+	n.logEvent("%s is killed, power lost %t, %d bytes", s.name, powerLoss, len(content))
 }
 
 // loseDisk takes the power and the disk.
 func (s *simStore) loseDisk() {
 	s.kill(true)
 	s.newDisk()
-	s.network.note("%s loses its disk", s.name)
+	s.network.logEvent("%s loses its disk", s.name)
 }
 
 // stall has the disk answer nothing until the function returned is called.
@@ -180,7 +180,7 @@
 // sync takes the time of a disk, and notes what the log's file holds for good after it.
 func (p *simStoreProcess) sync(commit func() error) error {
 	n := p.machine.network
-	time.Sleep(n.between(time.Millisecond, simSyncMost))
+	time.Sleep(n.between(time.Millisecond, simMaxSyncTime))
 	n.mutex.Lock()
 	stalled := p.machine.stalled
 	n.mutex.Unlock()
@@ -206,8 +206,8 @@
 	return nil
 }
 
-// simFront is the machine of a dispatcher.
-type simFront struct {
+// simDispatcher is the machine of a dispatcher.
+type simDispatcher struct {
 	network *simNetwork
 	name    string
 	zone    string
@@ -218,14 +218,14 @@
 	dead    chan struct{} // closed when it ends
 }
 
-// addFronts makes dispatchers that do not run yet.
-func (n *simNetwork) addFronts(count int) {
+// addDispatchers makes dispatchers that do not run yet.
+func (n *simNetwork) addDispatchers(count int) {
 	for number := range count {
-		n.fronts = append(n.fronts, &simFront{network: n, name: fmt.Sprintf("front-%d", number), zone: zoneName(number)})
+		n.dispatchers = append(n.dispatchers, &simDispatcher{network: n, name: fmt.Sprintf("front-%d", number), zone: zoneName(number)})
 	}
 }
 
-func (f *simFront) start() {
+func (f *simDispatcher) start() {
 	n := f.network
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -243,7 +243,7 @@
 	})
 }
 
-func (f *simFront) kill() {
+func (f *simDispatcher) kill() {
 	f.network.mutex.Lock()
 	process := f.process
 	f.process = nil
@@ -253,7 +253,7 @@
 	}
 	close(f.dead)
 	f.cancel()
-	f.network.note("%s is killed", f.name)
+	f.network.logEvent("%s is killed", f.name)
 }
 
 // simAnswer is what a client of a dispatcher learns; status is 0 where no answer came.
@@ -264,7 +264,7 @@
 }
 
 // ask sends a request to the dispatcher, and waits for its answer no longer than a client does.
-func (f *simFront) ask(method, path string, headers map[string]string, body []byte) simAnswer {
+func (f *simDispatcher) call(method, path string, headers map[string]string, body []byte) simAnswer {
 	f.network.mutex.Lock()
 	process, dead := f.process, f.dead
 	f.network.mutex.Unlock()
@@ -294,15 +294,15 @@
 		}
 		return answer
 	case <-dead:
-	case <-time.After(simAnswerTime):
+	case <-time.After(simCallTime):
 	}
 	return simAnswer{}
 }
 
-// askAgain asks until there is an answer other than that the client may come back, a few times.
-func (f *simFront) askAgain(method, path string) simAnswer {
+// callUntilDefinite asks until there is an answer other than that the client may come back, a few times.
+func (f *simDispatcher) callUntilDefinite(method, path string) simAnswer {
 	for range simTries {
-		answer := f.ask(method, path, nil, nil)
+		answer := f.call(method, path, nil, nil)
 		if answer.status != 0 && answer.status != http.StatusServiceUnavailable {
 			return answer
 		}
--- a/internal/controlplane/sim_member_test.go
+++ b/internal/controlplane/sim_member_test.go
@@ -63,8 +63,8 @@
 	for _, store := range n.stores {
 		store.start()
 	}
-	for _, front := range n.fronts {
-		front.start()
+	for _, dispatcher := range n.dispatchers {
+		dispatcher.start()
 	}
 	for _, member := range n.members {
 		if member.client == nil {
@@ -74,12 +74,12 @@
 }
 
 // stopMembers ends all members, stores and dispatchers at one moment, with or without a loss of power.
-func (n *simNetwork) stopMembers(off bool) {
+func (n *simNetwork) stopMembers(powerLoss bool) {
 	for _, store := range n.stores {
-		store.kill(off)
+		store.kill(powerLoss)
 	}
-	for _, front := range n.fronts {
-		front.kill()
+	for _, dispatcher := range n.dispatchers {
+		dispatcher.kill()
 	}
 	for _, member := range n.members {
 		member.kill()
@@ -158,7 +158,7 @@
 func (n *simNetwork) awaitService(within time.Duration) []string {
 	var unserved []string
 	for end := time.Now().Add(within); time.Now().Before(end); {
-		time.Sleep(searchLook)
+		time.Sleep(simPollInterval)
 		unserved = n.unserved()
 		if len(unserved) == 0 {
 			return nil
@@ -187,7 +187,7 @@
 
 // stream opens a response without end.
 func (n *simNetwork) stream(from string, callerDead <-chan struct{}, request *http.Request) (*http.Response, error) {
-	target, err := n.reach(from, callerDead, request)
+	target, err := n.connect(from, callerDead, request)
 	if err != nil {
 		return nil, err
 	}
@@ -251,7 +251,7 @@
 		<-w.ctx.Done()
 		return 0, w.ctx.Err()
 	}
-	if err := w.network.awaitRelease(w.ctx, w.from, w.to); err != nil {
+	if err := w.network.awaitStallEnd(w.ctx, w.from, w.to); err != nil {
 		return 0, err
 	}
 	w.network.links.send(w.from, streamPath, len(data))
--- a/internal/controlplane/sim_network_test.go
+++ b/internal/controlplane/sim_network_test.go
@@ -43,41 +43,41 @@
 	started   time.Time
 	ended     chan struct{} // closed at the end of the simulation
 
-	mutex      sync.Mutex
-	random     *rand.Rand
-	servers    []*simServer
-	members    []*simMember         // belong to the goroutine that plays the course
-	stores     []*simStore          // none where members are enough
-	storesMade int                  // also those that were taken away
-	fronts     []*simFront          // likewise
-	judge      *simJudge            // of their messages
-	route      string               // that messages are sent on
-	cuts       map[[2]string]bool   // links that carry nothing, by sender and receiver
-	held       map[string]time.Time // addresses from and to which nothing moves until a moment
-	lossy      float64              // share of calls whose request or answer is lost
-	rate       int                  // bytes a second of each call; 0 for no bound
-	calm       bool                 // nothing is late on its way
-	links      *simLinks            // what all calls and streams of a machine share; nil for no bound
-	carried    map[string]int       // bytes of requests that came, by receiver
-	transfers  map[string][]string  // versions of the contents that came, by receiver; once for each time
-	trace      []string
+	mutex         sync.Mutex
+	random        *rand.Rand
+	servers       []*simServer
+	members       []*simMember         // belong to the goroutine that plays the course
+	stores        []*simStore          // none where members are enough
+	storesMade    int                  // also those that were taken away
+	dispatchers   []*simDispatcher     // likewise
+	checker       *simChecker          // of their messages
+	route         string               // that messages are sent on
+	cuts          map[[2]string]bool   // links that carry nothing, by sender and receiver
+	stalledUntil  map[string]time.Time // addresses from and to which nothing moves until a moment
+	lossRate      float64              // share of calls whose request or answer is lost
+	rate          int                  // bytes a second of each call; 0 for no bound
+	noDelays      bool                 // nothing is late on its way
+	links         *simLinks            // what all calls and streams of a machine share; nil for no bound
+	receivedBytes map[string]int       // bytes of requests that came, by receiver
+	transfers     map[string][]string  // versions of the contents that came, by receiver; once for each time
+	trace         []string
 }
 
 // simServer is what runs at one address. It outlives processes and disks.
 type simServer struct {
-	network *simNetwork
-	address string
-	zone    string
-	seeds   []string // in its settings; nil for those of the network
-	outside bool     // it runs without a disk, and so has no vote
-	disks   int      // folders made so far
-	version simVersion
+	network  *simNetwork
+	address  string
+	zone     string
+	seeds    []string // in its settings; nil for those of the network
+	diskless bool     // it runs without a disk, and so has no vote
+	disks    int      // folders made so far
+	version  simVersion
 
 	// Guarded by the mutex of the network.
-	process *simProcess   // nil while none runs
-	lives   []*simProcess // all that ever ran, in turn
-	off     bool          // without power: nothing is refused, all is silent
-	gone    bool          // for good
+	process    *simProcess   // nil while none runs
+	processes  []*simProcess // all that ever ran, in turn
+	poweredOff bool          // without power: nothing is refused, all is silent
+	removed    bool          // for good
 }
 
 // simVersion is what versions of the program differ in. The zero value is the present one.
@@ -99,13 +99,13 @@
 func newSimNetwork(t *testing.T, seed uint64, directory string) *simNetwork {
 	return &simNetwork{
 		t: t, directory: directory, tolerance: 1, started: time.Now(), ended: make(chan struct{}),
-		random: rand.New(rand.NewPCG(seed, 3)), cuts: map[[2]string]bool{}, carried: map[string]int{}, transfers: map[string][]string{},
-		held: map[string]time.Time{},
+		random: rand.New(rand.NewPCG(seed, 3)), cuts: map[[2]string]bool{}, receivedBytes: map[string]int{}, transfers: map[string][]string{},
+		stalledUntil: map[string]time.Time{},
 	}
 }
 
 // note adds a line to the trace that a failure prints.
-func (n *simNetwork) note(format string, values ...any) {
+func (n *simNetwork) logEvent(format string, values ...any) {
 	line := fmt.Sprintf("%8.3f ", time.Since(n.started).Seconds()) + fmt.Sprintf(format, values...)
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -129,14 +129,14 @@
 }
 
 func (n *simNetwork) delay() time.Duration {
-	if !n.calm && n.chance(0.02) {
+	if !n.noDelays && n.chance(0.02) {
 		return n.between(20*time.Millisecond, 900*time.Millisecond)
 	}
 	return n.between(300*time.Microsecond, 4*time.Millisecond)
 }
 
 // add makes a server that does not run yet.
-func (n *simNetwork) add() *simServer {
+func (n *simNetwork) addServer() *simServer {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	address := fmt.Sprintf("10.0.0.%d:8046", len(n.servers)+1)
@@ -145,14 +145,14 @@
 	return added
 }
 
-func (n *simNetwork) list() []*simServer {
+func (n *simNetwork) allServers() []*simServer {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return append([]*simServer(nil), n.servers...)
 }
 
-func (n *simNetwork) at(address string) *simServer {
-	for _, server := range n.list() {
+func (n *simNetwork) serverAt(address string) *simServer {
+	for _, server := range n.allServers() {
 		if server.address == address {
 			return server
 		}
@@ -163,7 +163,7 @@
 // start begins a life of the process; the first one of all founds the group.
 func (s *simServer) start(bootstrap bool) {
 	network := s.network
-	if s.disks == 0 && !s.outside {
+	if s.disks == 0 && !s.diskless {
 		s.newDisk()
 	}
 	wanted := s.settings()
@@ -176,11 +176,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	process := &simProcess{server: server, cancel: cancel, dead: make(chan struct{})}
 	network.mutex.Lock()
-	s.process, s.off = process, false
-	s.lives = append(s.lives, process)
+	s.process, s.poweredOff = process, false
+	s.processes = append(s.processes, process)
 	network.mutex.Unlock()
 	server.start(ctx)
-	network.note("%s starts, disk %d", s.address, s.disks)
+	network.logEvent("%s starts, disk %d", s.address, s.disks)
 }
 
 // settings are those that the process reads at its start, or after SIGHUP.
@@ -196,7 +196,7 @@
 	if s.network.links != nil {
 		read.Limits = settings.Limits{LinkMbps: s.network.links.rate / bytesPerMegabit, MaxFds: simManyFds}
 	}
-	if !s.outside {
+	if !s.diskless {
 		read.DataDir = s.folder()
 	}
 	return read
@@ -217,17 +217,17 @@
 	return s.process
 }
 
-// newestTable returns the newest table that any control process has committed, in this life or one before: a leader may be killed
+// latestState returns the newest table that any control process has committed, in this life or one before: a leader may be killed
 // once a store acts by the table, and before any other process has learnt that it is committed.
-func (n *simNetwork) newestTable() *rpc.ControlState {
+func (n *simNetwork) latestState() *rpc.ControlState {
 	n.mutex.Lock()
-	var lives []*simProcess
+	var processes []*simProcess
 	for _, server := range n.servers {
-		lives = append(lives, server.lives...)
+		processes = append(processes, server.processes...)
 	}
 	n.mutex.Unlock()
 	newest := &rpc.ControlState{}
-	for _, process := range lives {
+	for _, process := range processes {
 		if state := process.server.state.committed(); state.MapVersion > newest.MapVersion {
 			newest = state
 		}
@@ -236,15 +236,15 @@
 }
 
 // kill ends the process at once. Its disk holds what was synced.
-func (s *simServer) kill(off bool) {
+func (s *simServer) kill(powerLoss bool) {
 	s.network.mutex.Lock()
 	process := s.process
-	s.process, s.off = nil, off
+	s.process, s.poweredOff = nil, powerLoss
 	s.network.mutex.Unlock()
 	if process == nil {
 		return
 	}
-	s.network.note("%s is killed, power lost %t", s.address, off)
+	s.network.logEvent("%s is killed, power lost %t", s.address, powerLoss)
 	close(process.dead)
 	process.cancel()
 	process.server.node.Close()
@@ -281,11 +281,11 @@
 	}
 	time.Sleep(n.transferTime(len(body)))
 	n.links.send(from, request.URL.Path, len(body))
-	target, err := n.reach(from, callerDead, request)
+	target, err := n.connect(from, callerDead, request)
 	if err != nil {
 		return nil, err
 	}
-	n.count(request, body)
+	n.countRequest(request, body)
 	arrived := httptest.NewRequest(request.Method, request.URL.RequestURI(), bytes.NewReader(body))
 	arrived.Header = request.Header.Clone()
 	recorder := httptest.NewRecorder()
@@ -304,30 +304,30 @@
 		return nil, errSimReset
 	}
 	if n.isLost(request.URL.Host, from) {
-		return nil, n.silence(callerDead, request)
+		return nil, n.awaitCallerTimeout(callerDead, request)
 	}
 	n.links.send(request.URL.Host, request.URL.Path, recorder.Body.Len())
 	time.Sleep(n.delay())
-	if err := n.awaitRelease(request.Context(), from, request.URL.Host); err != nil {
+	if err := n.awaitStallEnd(request.Context(), from, request.URL.Host); err != nil {
 		return nil, err
 	}
 	return recorder.Result(), nil
 }
 
-// holdUp has nothing leave or reach some addresses for a time; it goes on its way afterwards.
-func (n *simNetwork) holdUp(length time.Duration, addresses ...string) {
+// stallLinks has nothing leave or reach some addresses for a time; it goes on its way afterwards.
+func (n *simNetwork) stallLinks(length time.Duration, addresses ...string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, address := range addresses {
-		n.held[address] = time.Now().Add(length)
+		n.stalledUntil[address] = time.Now().Add(length)
 	}
 }
 
-// awaitRelease returns once neither of two addresses is held up, or with the error of a context that ends before.
-func (n *simNetwork) awaitRelease(ctx context.Context, from, to string) error {
+// awaitStallEnd returns once neither of two addresses is held up, or with the error of a context that ends before.
+func (n *simNetwork) awaitStallEnd(ctx context.Context, from, to string) error {
 	for {
 		n.mutex.Lock()
-		wait := max(time.Until(n.held[from]), time.Until(n.held[to]))
+		wait := max(time.Until(n.stalledUntil[from]), time.Until(n.stalledUntil[to]))
 		n.mutex.Unlock()
 		if wait <= 0 {
 			return ctx.Err()
@@ -341,7 +341,7 @@
 }
 
 // silence waits until the caller of a request that brings no answer gives up.
-func (n *simNetwork) silence(callerDead <-chan struct{}, request *http.Request) error {
+func (n *simNetwork) awaitCallerTimeout(callerDead <-chan struct{}, request *http.Request) error {
 	select {
 	case <-request.Context().Done():
 		return request.Context().Err()
@@ -370,14 +370,14 @@
 }
 
 // reach takes a request to the process that it is for.
-func (n *simNetwork) reach(from string, callerDead <-chan struct{}, request *http.Request) (*simService, error) {
+func (n *simNetwork) connect(from string, callerDead <-chan struct{}, request *http.Request) (*simService, error) {
 	time.Sleep(n.delay())
-	if err := n.awaitRelease(request.Context(), from, request.URL.Host); err != nil {
+	if err := n.awaitStallEnd(request.Context(), from, request.URL.Host); err != nil {
 		return nil, err
 	}
 	service, isSilent := n.serviceAt(request.URL.Host)
 	if isSilent || n.isLost(from, request.URL.Host) {
-		return nil, n.silence(callerDead, request)
+		return nil, n.awaitCallerTimeout(callerDead, request)
 	}
 	if service == nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: errSimRefused}
@@ -393,16 +393,16 @@
 		switch {
 		case server.address != address:
 		case server.process == nil:
-			return nil, server.off || server.gone
+			return nil, server.poweredOff || server.removed
 		default:
-			return &simService{handler: server.process.server.Handler(), dead: server.process.dead}, server.off || server.gone
+			return &simService{handler: server.process.server.Handler(), dead: server.process.dead}, server.poweredOff || server.removed
 		}
 	}
 	for _, store := range n.stores {
 		switch {
 		case store.address != address:
 		case store.process == nil:
-			return nil, store.off
+			return nil, store.poweredOff
 		default:
 			return &simService{handler: store.process.node.Handler(), dead: store.process.dead}, false
 		}
@@ -421,38 +421,38 @@
 }
 
 // count notes a request that came.
-func (n *simNetwork) count(request *http.Request, body []byte) {
+func (n *simNetwork) countRequest(request *http.Request, body []byte) {
 	replicate := &rpc.ReplicateRequest{}
 	hasContents := strings.HasSuffix(request.URL.Path, replicatePath) && proto.Unmarshal(body, replicate) == nil && replicate.State != nil
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	address := request.URL.Host
-	n.carried[address] += len(body)
+	n.receivedBytes[address] += len(body)
 	if hasContents {
 		n.transfers[address] = append(n.transfers[address], fmt.Sprint(replicate.StateEpoch, ".", replicate.StateSeq))
 	}
 }
 
 // came returns how many bytes came to a server, and the versions of the contents among them.
-func (n *simNetwork) came(server *simServer) (carried int, transfers []string) {
+func (n *simNetwork) received(server *simServer) (receivedBytes int, transfers []string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.carried[server.address], slices.Clone(n.transfers[server.address])
+	return n.receivedBytes[server.address], slices.Clone(n.transfers[server.address])
 }
 
 // isLost reports whether a call or its answer does not come through.
 func (n *simNetwork) isLost(from, to string) bool {
 	n.mutex.Lock()
-	lossy := n.lossy
+	lossRate := n.lossRate
 	n.mutex.Unlock()
-	return n.isCut(from, to) || lossy > 0 && n.chance(lossy)
+	return n.isCut(from, to) || lossRate > 0 && n.chance(lossRate)
 }
 
 // isLossy reports whether calls are lost.
 func (n *simNetwork) isLossy() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.lossy > 0
+	return n.lossRate > 0
 }
 
 func (n *simNetwork) isCut(from, to string) bool {
@@ -494,24 +494,24 @@
 // addresses lists the servers that are there, as the settings of a newcomer do.
 func (n *simNetwork) addresses() []string {
 	var addresses []string
-	for _, server := range n.list() {
-		if !server.gone {
+	for _, server := range n.allServers() {
+		if !server.removed {
 			addresses = append(addresses, server.address)
 		}
 	}
 	return addresses
 }
 
-// isMadeUpFor reports whether there is a leader, all voters are processes that are there, and no change of them is under way:
+// hasRecovered reports whether there is a leader, all voters are processes that are there, and no change of them is under way:
 // until its last version is committed, a majority of the former voters is needed too.
-func (n *simNetwork) isMadeUpFor() bool {
+func (n *simNetwork) hasRecovered() bool {
 	leader := n.leader()
 	if leader == nil {
 		return false
 	}
 	status := leader.running().server.node.Status()
 	for _, member := range status.Members {
-		if n.at(member.Address).gone {
+		if n.serverAt(member.Address).removed {
 			return false
 		}
 	}
@@ -524,17 +524,17 @@
 	for _, store := range n.stores {
 		addresses = append(addresses, store.address)
 	}
-	for _, front := range n.fronts {
-		addresses = append(addresses, front.name)
+	for _, dispatcher := range n.dispatchers {
+		addresses = append(addresses, dispatcher.name)
 	}
 	return addresses
 }
 
-// stopAll takes the power of all machines at one moment.
-func (n *simNetwork) stopAll() {
-	n.note("all machines lose power")
+// powerOffAll takes the power of all machines at one moment.
+func (n *simNetwork) powerOffAll() {
+	n.logEvent("all machines lose power")
 	n.stopMembers(true)
-	for _, server := range n.list() {
+	for _, server := range n.allServers() {
 		server.kill(true)
 	}
 }
@@ -543,14 +543,14 @@
 func (n *simNetwork) end() {
 	close(n.ended)
 	n.stopMembers(false)
-	for _, server := range n.list() {
+	for _, server := range n.allServers() {
 		server.kill(false)
 	}
 	time.Sleep(time.Minute)
 }
 
-// endAndTell ends the network, and prints what happened on it where the test has failed.
-func (n *simNetwork) endAndTell() {
+// endAndLog ends the network, and prints what happened on it where the test has failed.
+func (n *simNetwork) endAndLog() {
 	n.end()
 	if n.t.Failed() {
 		n.t.Log(strings.Join(n.trace, "\n"))
@@ -561,13 +561,13 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	clear(n.cuts)
-	n.lossy = 0
+	n.lossRate = 0
 }
 
 // startServers starts the control processes that do not run.
 func (n *simNetwork) startServers() {
-	for _, server := range n.list() {
-		if server.running() == nil && !server.gone {
+	for _, server := range n.allServers() {
+		if server.running() == nil && !server.removed {
 			server.start(false)
 		}
 	}
@@ -575,7 +575,7 @@
 
 // leader returns a server that believes to lead, nil for none.
 func (n *simNetwork) leader() *simServer {
-	for _, server := range n.list() {
+	for _, server := range n.allServers() {
 		if process := server.running(); process != nil && process.server.node.Status().Leader {
 			return server
 		}
@@ -586,8 +586,8 @@
 // describe tells what each server believes of the group.
 func (n *simNetwork) describe() []string {
 	var lines []string
-	for _, server := range n.list() {
-		line := fmt.Sprintf("%s gone %t disk %d", server.address, server.gone, server.disks)
+	for _, server := range n.allServers() {
+		line := fmt.Sprintf("%s gone %t disk %d", server.address, server.removed, server.disks)
 		if process := server.running(); process != nil {
 			status := process.server.node.Status()
 			status.State = nil // long
--- a/internal/controlplane/sim_operator_test.go
+++ b/internal/controlplane/sim_operator_test.go
@@ -34,18 +34,18 @@
 type simState struct {
 	version uint64
 	order   int
-	taken   string // orders, each between commas
+	applied string // orders, each between commas
 }
 
-func (s simState) hasTaken(order int) bool {
-	return strings.Contains(s.taken, fmt.Sprintf(",%d,", order))
+func (s simState) hasApplied(order int) bool {
+	return strings.Contains(s.applied, fmt.Sprintf(",%d,", order))
 }
 
-func (s simState) take(call simCall) simState {
-	if s.taken == "" {
-		s.taken = ","
+func (s simState) apply(call simCall) simState {
+	if s.applied == "" {
+		s.applied = ","
 	}
-	return simState{version: call.version, order: call.order, taken: s.taken + strconv.Itoa(call.order) + ","}
+	return simState{version: call.version, order: call.order, applied: s.applied + strconv.Itoa(call.order) + ","}
 }
 
 // configModel is a register with compare-and-set that knows orders again.
@@ -66,17 +66,17 @@
 		}
 		return nil
 	}
-	mayTake := !state.hasTaken(call.order) && state.version == call.ifVersion && call.version > state.version
+	mayApply := !state.hasApplied(call.order) && state.version == call.ifVersion && call.version > state.version
 	switch {
-	case outcome.status == 0 && mayTake:
-		return []any{state, state.take(call)}
+	case outcome.status == 0 && mayApply:
+		return []any{state, state.apply(call)}
 	case outcome.status == 0:
 		return []any{state}
-	case outcome.status == http.StatusOK && state.hasTaken(call.order):
+	case outcome.status == http.StatusOK && state.hasApplied(call.order):
 		return []any{state}
-	case outcome.status == http.StatusOK && mayTake:
-		return []any{state.take(call)}
-	case outcome.status == http.StatusPreconditionFailed && !state.hasTaken(call.order) && state.version != call.ifVersion:
+	case outcome.status == http.StatusOK && mayApply:
+		return []any{state.apply(call)}
+	case outcome.status == http.StatusPreconditionFailed && !state.hasApplied(call.order) && state.version != call.ifVersion:
 		return []any{state}
 	}
 	return nil
@@ -205,7 +205,7 @@
 
 func (o *simOperator) send(call simCall, body string) {
 	began := o.now()
-	answer := o.untilClear(http.MethodPost, replacePath, strconv.FormatUint(call.ifVersion, 10), body)
+	answer := o.callUntilDefinite(http.MethodPost, replacePath, strconv.FormatUint(call.ifVersion, 10), body)
 	outcome := simOutcome{status: answer.status}
 	o.history.record(o.number, call, outcome, began, o.now())
 	switch answer.status {
@@ -223,7 +223,7 @@
 // read reads the configuration, and reports whether a clear answer came.
 func (o *simOperator) read() bool {
 	began := o.now()
-	answer := o.untilClear(http.MethodGet, readPath, "", "")
+	answer := o.callUntilDefinite(http.MethodGet, readPath, "", "")
 	outcome := simOutcome{status: answer.status}
 	if answer.status == http.StatusOK {
 		outcome.version, outcome.order = readBack(answer.body)
@@ -256,7 +256,7 @@
 func (o *simOperator) retire() {
 	began := o.now()
 	if o.network.chance(0.3) {
-		answer := o.untilClear(http.MethodPost, "/api/retire/store-0/start", "", `{"deadlineS":10}`)
+		answer := o.callUntilDefinite(http.MethodPost, "/api/retire/store-0/start", "", `{"deadlineS":10}`)
 		o.history.mutex.Lock()
 		if answer.status == http.StatusOK && o.history.retired == 0 {
 			o.history.retired = o.now()
@@ -264,7 +264,7 @@
 		o.history.mutex.Unlock()
 		return
 	}
-	answer := o.untilClear(http.MethodGet, "/api/retire/store-0/read", "", "")
+	answer := o.callUntilDefinite(http.MethodGet, "/api/retire/store-0/read", "", "")
 	o.history.mutex.Lock()
 	retired := o.history.retired
 	o.history.mutex.Unlock()
@@ -273,11 +273,11 @@
 	}
 }
 
-// untilClear calls one process after the other until one answers clearly. Redirects are followed twice.
-func (o *simOperator) untilClear(method, path, ifVersion, body string) answerOf {
+// callUntilDefinite calls one process after the other until one answers clearly. Redirects are followed twice.
+func (o *simOperator) callUntilDefinite(method, path, ifVersion, body string) apiResponse {
 	pause := 50 * time.Millisecond
 	for range simTries {
-		servers := o.network.list()
+		servers := o.network.allServers()
 		address := servers[o.network.intN(len(servers))].address
 		answer := o.call(address, method, path, ifVersion, body, 2)
 		if answer.status != 0 && answer.status < http.StatusInternalServerError {
@@ -289,10 +289,10 @@
 		time.Sleep(pause)
 		pause = min(2*pause, time.Second)
 	}
-	return answerOf{}
+	return apiResponse{}
 }
 
-func (o *simOperator) call(address, method, path, ifVersion, body string, redirects int) answerOf {
+func (o *simOperator) call(address, method, path, ifVersion, body string, redirects int) apiResponse {
 	ctx, cancel := context.WithTimeout(context.Background(), simCallTimeout+2*o.network.transferTime(len(body)))
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, strings.NewReader(body))
@@ -304,15 +304,15 @@
 	}
 	response, err := o.network.carry("operator", nil, request)
 	if err != nil {
-		return answerOf{}
+		return apiResponse{}
 	}
 	content, _ := io.ReadAll(response.Body)
 	if response.StatusCode == http.StatusTemporaryRedirect {
 		if redirects == 0 {
-			return answerOf{}
+			return apiResponse{}
 		}
 		next := strings.TrimPrefix(response.Header.Get(headerLocation), "http://")
 		return o.call(strings.SplitN(next, "/", 2)[0], method, path, ifVersion, body, redirects-1)
 	}
-	return answerOf{status: response.StatusCode, body: string(content)}
+	return apiResponse{status: response.StatusCode, body: string(content)}
 }
--- a/internal/controlplane/sim_test.go
+++ b/internal/controlplane/sim_test.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	simSeedsVariable = "CONTROLPLANE_SEEDS" // plays so many seeds
-	simSeedVariable  = "CONTROLPLANE_SEED"  // plays this one
-	simSeeds         = 16
-	simTrouble       = 50 * time.Second
-	simCalm          = 20 * time.Second
-	simVoters        = 3
-	simOperators     = 3
-	simCheckMost     = 20 * time.Second // of real time
-	simSettledWithin = 50 * time.Millisecond
-	overlapNote      = "a loss while another lasts"
+	simSeedsVariable  = "CONTROLPLANE_SEEDS" // plays so many seeds
+	simSeedVariable   = "CONTROLPLANE_SEED"  // plays this one
+	simSeeds          = 16
+	simFaultPhase     = 50 * time.Second
+	simQuietPhase     = 20 * time.Second
+	simVoters         = 3
+	simOperators      = 3
+	simCheckTimeout   = 20 * time.Second // of real time
+	simProposeTimeout = 50 * time.Millisecond
+	overlapNote       = "a loss while another lasts"
 )
 
 // simGroup is the size of a simulated group.
@@ -79,7 +79,7 @@
 	network := newSimNetwork(t, seed, directory)
 	network.tolerance = group.tolerance
 	for number := range group.processes {
-		server := network.add()
+		server := network.addServer()
 		if number < simVoters {
 			network.seeds = append(network.seeds, server.address)
 		}
@@ -89,7 +89,7 @@
 
 // checkHistory looks for an order of the calls in which each outcome follows from the ones before.
 func checkHistory(t *testing.T, history *simHistory, trace []string) {
-	result := porcupine.CheckOperationsTimeout(configModel, history.operations, simCheckMost)
+	result := porcupine.CheckOperationsTimeout(configModel, history.operations, simCheckTimeout)
 	overlaps := 0
 	for _, line := range trace {
 		if strings.Contains(line, overlapNote) {
@@ -113,24 +113,24 @@
 
 func playOperators(t *testing.T, seed uint64, directory string, group simGroup) (*simHistory, []string) {
 	network := newGroupNetwork(t, seed, directory, group)
-	for _, server := range network.list() {
+	for _, server := range network.allServers() {
 		server.start(true)
 	}
 	network.addMembers()
 	network.startMembers()
 	time.Sleep(3 * time.Second)
 	history := &simHistory{}
-	go simConfirm(network, history)
+	go confirmRenewals(network, history)
 	for number := range simOperators {
 		go (&simOperator{network: network, history: history, number: number}).run()
 	}
-	troubles := &simTroubles{network: network, group: group}
-	for end := time.Now().Add(simTrouble); time.Now().Before(end); {
-		troubles.begin()
+	faults := &simFaults{network: network, group: group}
+	for end := time.Now().Add(simFaultPhase); time.Now().Before(end); {
+		faults.inject()
 		time.Sleep(network.between(200*time.Millisecond, 4*time.Second))
 	}
-	troubles.endAll()
-	time.Sleep(simCalm)
+	faults.clearAll()
+	time.Sleep(simQuietPhase)
 	if unserved := network.awaitService(servedWithin); len(unserved) > 0 {
 		history.violate("not served after the trouble\n%s", strings.Join(unserved, "\n"))
 	}
@@ -142,9 +142,9 @@
 	return history, network.trace
 }
 
-// simConfirm plays a dispatcher that renews at any process, and holds the version that a leader names against what was confirmed to an operator
+// confirmRenewals plays a dispatcher that renews at any process, and holds the version that a leader names against what was confirmed to an operator
 // before the renewal was sent.
-func simConfirm(network *simNetwork, history *simHistory) {
+func confirmRenewals(network *simNetwork, history *simHistory) {
 	request := &rpc.RenewRequest{Node: "front-1", Incarnation: "1", Zone: "1", Role: roleDispatcher}
 	for {
 		select {
@@ -152,7 +152,7 @@
 			return
 		case <-time.After(network.between(10*time.Millisecond, 300*time.Millisecond)):
 		}
-		servers := network.list()
+		servers := network.allServers()
 		process := servers[network.intN(len(servers))].running()
 		if process == nil {
 			continue
@@ -173,22 +173,22 @@
 	}
 }
 
-// simTroubles draws what goes wrong, and ends it again. No more disks are lost at a time than the group bears.
-type simTroubles struct {
+// simFaults draws what goes wrong, and ends it again. No more disks are lost at a time than the group bears.
+type simFaults struct {
 	network  *simNetwork
 	group    simGroup
 	cutUntil time.Time
-	cutOne   *simServer // the only process that is cut off; nil where links fail otherwise
+	isolated *simServer // the only process that is cut off; nil where links fail otherwise
 	replaced bool
 }
 
 // begin draws one trouble.
-func (f *simTroubles) begin() {
+func (f *simFaults) inject() {
 	n := f.network
 	if !f.cutUntil.IsZero() && time.Now().After(f.cutUntil) {
 		f.heal()
 	}
-	target := n.list()[n.intN(len(n.list()))]
+	target := n.allServers()[n.intN(len(n.allServers()))]
 	if leader := n.leader(); leader != nil && n.chance(0.5) {
 		target = leader
 	}
@@ -198,89 +198,89 @@
 	case 3:
 		f.split()
 	case 4, 5:
-		f.down(target, false, n.between(10*time.Millisecond, 2*time.Second))
+		f.restart(target, false, n.between(10*time.Millisecond, 2*time.Second))
 	case 6:
-		f.down(target, true, n.between(100*time.Millisecond, 4*time.Second))
+		f.restart(target, true, n.between(100*time.Millisecond, 4*time.Second))
 	case 7:
-		f.downAll()
+		f.restartAll()
 	case 8, 9:
 		f.loseDisk(target)
 	case 10:
 		f.replace(target)
 	case 11:
 		n.mutex.Lock()
-		n.lossy = 0.2
+		n.lossRate = 0.2
 		n.mutex.Unlock()
-		f.cutUntil, f.cutOne = time.Now().Add(n.between(time.Second, 5*time.Second)), nil
-		n.note("calls are lost")
+		f.cutUntil, f.isolated = time.Now().Add(n.between(time.Second, 5*time.Second)), nil
+		n.logEvent("calls are lost")
 	}
 }
 
 // heal brings all links back.
-func (f *simTroubles) heal() {
+func (f *simFaults) heal() {
 	f.network.heal()
-	f.cutUntil, f.cutOne = time.Time{}, nil
-	f.network.note("links are back")
+	f.cutUntil, f.isolated = time.Time{}, nil
+	f.network.logEvent("links are back")
 }
 
 // cutOff cuts a process off from the others, or in one direction, for up to twenty seconds. Operators reach all.
-func (f *simTroubles) cutOff(target *simServer) {
+func (f *simFaults) cutOff(target *simServer) {
 	n := f.network
 	length := n.between(time.Second, 20*time.Second)
 	both, outward := n.chance(0.6), n.chance(0.5)
 	switch {
 	case both:
-		n.cut([]*simServer{target}, n.list(), true)
+		n.cut([]*simServer{target}, n.allServers(), true)
 	case outward:
-		n.cut([]*simServer{target}, n.list(), false)
+		n.cut([]*simServer{target}, n.allServers(), false)
 	default:
-		n.cut(n.list(), []*simServer{target}, false)
+		n.cut(n.allServers(), []*simServer{target}, false)
 	}
-	f.cutOne = nil
+	f.isolated = nil
 	if f.cutUntil.IsZero() {
-		f.cutOne = target
+		f.isolated = target
 	}
 	f.cutUntil = time.Now().Add(length)
-	n.note("%s is cut off, both ways %t, outward %t, for %s", target.address, both, outward, length)
+	n.logEvent("%s is cut off, both ways %t, outward %t, for %s", target.address, both, outward, length)
 }
 
 // split cuts the processes into two halves.
-func (f *simTroubles) split() {
+func (f *simFaults) split() {
 	n := f.network
 	var halves [2][]*simServer
-	for _, server := range n.list() {
+	for _, server := range n.allServers() {
 		half := n.intN(2)
 		halves[half] = append(halves[half], server)
 	}
 	n.cut(halves[0], halves[1], true)
-	f.cutUntil, f.cutOne = time.Now().Add(n.between(time.Second, 15*time.Second)), nil
-	n.note("two halves")
+	f.cutUntil, f.isolated = time.Now().Add(n.between(time.Second, 15*time.Second)), nil
+	n.logEvent("two halves")
 }
 
 // down ends a process, which comes back after a time.
-func (f *simTroubles) down(target *simServer, off bool, length time.Duration) {
+func (f *simFaults) restart(target *simServer, powerLoss bool, length time.Duration) {
 	if target.running() == nil {
 		return
 	}
-	target.kill(off)
+	target.kill(powerLoss)
 	time.Sleep(length)
-	if !target.gone {
+	if !target.removed {
 		target.start(false)
 	}
 }
 
-func (f *simTroubles) downAll() {
+func (f *simFaults) restartAll() {
 	n := f.network
-	off := n.chance(0.5)
-	for _, server := range n.list() {
-		server.kill(off)
+	powerLoss := n.chance(0.5)
+	for _, server := range n.allServers() {
+		server.kill(powerLoss)
 	}
-	if off {
+	if powerLoss {
 		n.stopMembers(true)
 	}
-	for _, server := range n.list() {
+	for _, server := range n.allServers() {
 		time.Sleep(n.between(time.Millisecond, 800*time.Millisecond))
-		if !server.gone {
+		if !server.removed {
 			server.start(false)
 		}
 	}
@@ -290,9 +290,9 @@
 // mayLoseDisk reports whether the group bears another loss: fewer voters than it may lose are cut off or do not run on the disks that the list
 // names, and that list stands alone. While voters are exchanged, the list that comes is told as the members, but the one before still
 // counts, and a disk that is gone with it.
-func (f *simTroubles) mayLoseDisk() bool {
+func (f *simFaults) mayLoseDisk() bool {
 	leader := f.network.leader()
-	if leader == nil || !f.cutUntil.IsZero() && f.cutOne == nil || !isSettled(leader) {
+	if leader == nil || !f.cutUntil.IsZero() && f.isolated == nil || !isSettled(leader) {
 		return false
 	}
 	voters := leader.running().server.node.Status().Members
@@ -300,18 +300,18 @@
 		return false
 	}
 	lost := 0
-	if f.cutOne != nil {
+	if f.isolated != nil {
 		lost++
 	}
 	for _, voter := range voters {
-		server := f.network.at(voter.Address)
+		server := f.network.serverAt(voter.Address)
 		process := server.running()
-		if server != f.cutOne && (process == nil || process.server.identity() != voter.ID) {
+		if server != f.isolated && (process == nil || process.server.identity() != voter.ID) {
 			lost++
 		}
 	}
 	if lost > 0 && lost < f.group.tolerance {
-		f.network.note("%s, %d in all", overlapNote, lost+1)
+		f.network.logEvent("%s, %d in all", overlapNote, lost+1)
 	}
 	return lost < f.group.tolerance
 }
@@ -322,22 +322,22 @@
 	if process == nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), simSettledWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), simProposeTimeout)
 	defer cancel()
 	return process.server.node.ProposeMembers(ctx, nil, "") == nil
 }
 
 // loseDisk takes a disk, at times at the moment when all others lose power.
-func (f *simTroubles) loseDisk(target *simServer) {
+func (f *simFaults) loseDisk(target *simServer) {
 	if !f.mayLoseDisk() || target.running() == nil {
 		return
 	}
 	n := f.network
-	n.note("%s loses its disk", target.address)
+	n.logEvent("%s loses its disk", target.address)
 	target.kill(true)
 	target.newDisk()
 	if n.chance(0.4) {
-		f.downAll()
+		f.restartAll()
 		return
 	}
 	time.Sleep(n.between(100*time.Millisecond, 3*time.Second))
@@ -345,23 +345,23 @@
 }
 
 // replace takes a process away for good; an empty one comes at another address.
-func (f *simTroubles) replace(target *simServer) {
+func (f *simFaults) replace(target *simServer) {
 	if f.replaced || !f.mayLoseDisk() || target.running() == nil {
 		return
 	}
 	f.replaced = true
-	f.network.note("%s is replaced", target.address)
+	f.network.logEvent("%s is replaced", target.address)
 	target.kill(true)
 	f.network.mutex.Lock()
-	target.gone = true
+	target.removed = true
 	f.network.mutex.Unlock()
 	time.Sleep(f.network.between(10*time.Millisecond, 2*time.Second))
-	f.network.add().start(false)
+	f.network.addServer().start(false)
 }
 
-// endAll ends all trouble.
-func (f *simTroubles) endAll() {
+// clearAll ends all trouble.
+func (f *simFaults) clearAll() {
 	f.network.heal()
 	f.network.startServers()
-	f.network.note("all troubles are over")
+	f.network.logEvent("all troubles are over")
 }
--- a/internal/controlplane/steady_state_test.go
+++ b/internal/controlplane/steady_state_test.go
@@ -16,13 +16,13 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// newestView is what a subscriber has put together from the stream.
-type newestView struct {
+// receivedView is what a subscriber has put together from the stream.
+type receivedView struct {
 	mutex sync.Mutex
 	view  *rpc.View
 }
 
-func (n *newestView) take(frame []byte) error {
+func (n *receivedView) apply(frame []byte) error {
 	update, err := rpc.DecodeView(frame)
 	if err != nil {
 		return err
@@ -44,29 +44,29 @@
 	return nil
 }
 
-func (n *newestView) check(check func(*rpc.View) error) error {
+func (n *receivedView) check(check func(*rpc.View) error) error {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return check(n.view)
 }
 
 // follow subscribes to a process until the test ends.
-func follow(t *testing.T, server *testServer) *newestView {
+func follow(t *testing.T, server *testServer) *receivedView {
 	t.Helper()
-	newest := &newestView{view: &rpc.View{}}
+	newest := &receivedView{view: &rpc.View{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		client := &watch.Client{}
-		_ = client.Follow(ctx, "http://"+server.address+"/internal/watch", newest.take)
+		_ = client.Follow(ctx, "http://"+server.address+"/internal/watch", newest.apply)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
 	return newest
 }
 
 // renewAll renews a store once and tells it the newest map, as the stream does.
-func (s *testStore) renew(newest *newestView) *rpc.RenewReply {
+func (s *testStore) renew(newest *receivedView) *rpc.RenewReply {
 	_ = newest.check(func(view *rpc.View) error {
 		s.request.MapVersion = view.Map.GetVersion()
 		return nil
@@ -80,7 +80,7 @@
 	return reply
 }
 
-func TestCalmStartServesConfigurationStoresAndWorkers(t *testing.T) {
+func TestStartWithoutFaultsServesConfigurationStoresAndWorkers(t *testing.T) {
 	platform := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(writer, `{"instances":[{"service":"s","address":"10.0.0.9:80","zone":"z","version":"v1","capacity":9,"state":"draining","coldRemainingMs":0,"id":"i-1"}],"nextToken":null}`)
 	}))
@@ -89,8 +89,8 @@
 		wanted.Cloud = settings.Cloud{Address: platform.Listener.Addr().String(), RatePerS: 100}
 	})
 	first := configWith(5, "a", "b")
-	must.Eq(t, http.StatusOK, c.callUntilClear(c.servers[3], http.MethodPost, "/api/config/replace", "0", first).status)
-	must.Eq(t, first, c.callUntilClear(c.servers[3], http.MethodGet, "/api/config/read", "", "").body)
+	must.Eq(t, http.StatusOK, c.callUntilDefinite(c.servers[3], http.MethodPost, "/api/config/replace", "0", first).status)
+	must.Eq(t, first, c.callUntilDefinite(c.servers[3], http.MethodGet, "/api/config/read", "", "").body)
 
 	newest := follow(t, c.leader())
 	stores := []*testStore{newTestStore(c, 0), newTestStore(c, 1), newTestStore(c, 2), newTestStore(c, 3)}
@@ -101,7 +101,7 @@
 				granted++
 			}
 		}
-		return newest.check(func(view *rpc.View) error { return checkCalm(view, granted, len(stores)) })
+		return newest.check(func(view *rpc.View) error { return checkSteadyState(view, granted, len(stores)) })
 	})
 	eventually(t, func() error {
 		if voters := len(c.leader().node.Status().Members); voters != minVoters {
@@ -111,7 +111,7 @@
 	})
 }
 
-func checkCalm(view *rpc.View, granted, stores int) error {
+func checkSteadyState(view *rpc.View, granted, stores int) error {
 	owned := make(map[string]int)
 	for _, ownership := range view.Map.GetPartitions() {
 		owned[ownership.Node]++
--- a/internal/controlplane/term.go
+++ b/internal/controlplane/term.go
@@ -109,9 +109,9 @@
 
 // renewal is the outcome of a renewal.
 type renewal struct {
-	granted     bool
-	duration    time.Duration // of the lease, if granted
-	wakePlanner bool          // the renewal reported something that the planner must act on
+	granted       bool
+	duration      time.Duration // of the lease, if granted
+	notifyPlanner bool          // the renewal reported something that the planner must act on
 }
 
 // renewStore handles the renewal of a store. It grants a lease only to the recorded incarnation, and only if the
@@ -124,17 +124,17 @@
 		return renewal{}
 	}
 	if admission := admissionOf(state, status); admission != admissionKnown {
-		return renewal{wakePlanner: admission == admissionNew}
+		return renewal{notifyPlanner: admission == admissionNew}
 	}
 	if !t.mayGrant(state, status, now) {
-		return renewal{wakePlanner: changed}
+		return renewal{notifyPlanner: changed}
 	}
 	t.leases.applyRecordedLimit(state)
 	if !t.leases.grant(status.node, status.incarnation, now) {
 		return renewal{}
 	}
 	status.granted = true
-	return renewal{granted: true, duration: t.leases.duration(), wakePlanner: changed}
+	return renewal{granted: true, duration: t.leases.duration(), notifyPlanner: changed}
 }
 
 // updateStore records what a store reports, and whether the planner must act on it. It returns nil if the incarnation
--- a/internal/controlplane/unconfirmed_test.go
+++ b/internal/controlplane/unconfirmed_test.go
@@ -21,9 +21,9 @@
 type cutOffNode struct {
 	node
 	state      *rpc.ControlState
-	reads      error // of a read, and of a proposal that makes no new version; nil once a majority answers
+	readErr    error // of a read, and of a proposal that makes no new version; nil once a majority answers
 	leaseEnded bool  // by the time of the answer
-	asked      int   // reads, and proposals without a new version
+	calls      int   // reads, and proposals without a new version
 }
 
 func (n *cutOffNode) Status() failover.Status {
@@ -35,19 +35,19 @@
 }
 
 // LeaseValid holds until something was asked, so that a handler begins.
-func (n *cutOffNode) LeaseValid() bool { return !n.leaseEnded || n.asked == 0 }
+func (n *cutOffNode) LeaseValid() bool { return !n.leaseEnded || n.calls == 0 }
 
 func (n *cutOffNode) Read(context.Context) error {
-	n.asked++
-	return n.reads
+	n.calls++
+	return n.readErr
 }
 
 func (n *cutOffNode) Propose(_ context.Context, change func([]byte) ([]byte, error)) error {
-	n.asked++
+	n.calls++
 	before := n.Status().State
 	after, err := change(before)
-	if n.reads != nil {
-		return n.reads
+	if n.readErr != nil {
+		return n.readErr
 	}
 	if err == nil && string(after) != string(before) {
 		return failover.OutcomeUnknown{Reason: "no majority"}
@@ -55,8 +55,8 @@
 	return err
 }
 
-// clearAnswers are calls that a leader in touch answers clearly on the state that serverOn gives it.
-var clearAnswers = []struct {
+// definiteResponses are calls that a leader in touch answers clearly on the state that serverOn gives it.
+var definiteResponses = []struct {
 	name, method, path, ifVersion, body string
 	status                              int
 }{
@@ -90,8 +90,8 @@
 	return server
 }
 
-func TestLeaderInTouchAnswersClearly(t *testing.T) {
-	for _, called := range clearAnswers {
+func TestLeaderWithMajorityRespondsDefinitely(t *testing.T) {
+	for _, called := range definiteResponses {
 		server := serverOn(t, &cutOffNode{})
 		must.EqOp(t, called.status, statusOf(server, called.method, called.path, called.ifVersion, called.body), must.Sprint(called.name))
 	}
@@ -99,9 +99,9 @@
 
 // TestNothingIsAnsweredThatNoMajorityConfirmed has the lease hold, while nobody answers the round of heartbeats.
 func TestNothingIsAnsweredThatNoMajorityConfirmed(t *testing.T) {
-	for _, reads := range []error{context.DeadlineExceeded, errors.New("overloaded")} {
-		for _, called := range clearAnswers {
-			server := serverOn(t, &cutOffNode{reads: reads})
+	for _, readErr := range []error{context.DeadlineExceeded, errors.New("overloaded")} {
+		for _, called := range definiteResponses {
+			server := serverOn(t, &cutOffNode{readErr: readErr})
 			status := statusOf(server, called.method, called.path, called.ifVersion, called.body)
 			must.GreaterEq(t, http.StatusInternalServerError, status, must.Sprint(called.name))
 		}
@@ -110,15 +110,15 @@
 
 // TestNothingIsAnsweredOnceTheLeaseHasEnded has a majority confirm, and the lease end before the answer.
 func TestNothingIsAnsweredOnceTheLeaseHasEnded(t *testing.T) {
-	for _, called := range clearAnswers {
+	for _, called := range definiteResponses {
 		server := serverOn(t, &cutOffNode{leaseEnded: true})
 		status := statusOf(server, called.method, called.path, called.ifVersion, called.body)
 		must.GreaterEq(t, http.StatusInternalServerError, status, must.Sprint(called.name))
 	}
 }
 
-// TestOldOrderThatMayBeForgottenIsNotRefused has so many orders taken after one that its digest is dropped.
-func TestOldOrderThatMayBeForgottenIsNotRefused(t *testing.T) {
+// TestRequestWithDroppedDigestIsNotRejected has so many orders taken after one that its digest is dropped.
+func TestRequestWithDroppedDigestIsNotRejected(t *testing.T) {
 	n := &cutOffNode{}
 	server := serverOn(t, n)
 	first := newConfigRequest(requestReplace, 0, []byte(configWith(5, "a")))
