--- a/internal/controlplane/abandon_test.go
+++ b/internal/controlplane/abandon_test.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// abandon carries an order out in the committed state, as a leader does.
+// abandon abandons a store in the committed state, as a leader does.
 func (w *modelWorld) abandon(node string) error {
 	next := proto.CloneOf(w.committed)
 	if err := w.term.abandon(next, node, w.now); err != nil {
@@ -25,19 +25,19 @@
 	draw := seededDraws(1)
 	w := newModelWorld(3)
 	run(t, w, 10*second, draw)
-	lost := w.stores[:2] // with one copy beside the owner's, one more than may be lost
+	lost := w.stores[:2] // with copies that only they and the owner hold: one store more than may be lost
 	for _, store := range lost {
 		store.cut = true
 	}
 	run(t, w, 20*second, draw)
-	must.Len(t, 3, activeStores(w.committed)) // copies may be on them alone, so nothing is given up by itself
+	must.Len(t, 3, activeStores(w.committed)) // only they may hold some copies, so they are not removed automatically
 	must.NoError(t, w.abandon(lost[0].node))
 	must.Len(t, 2, activeStores(w.committed))
 	must.NoError(t, w.abandon(lost[0].node))
 	run(t, w, 5*second, draw)
 	must.Eq(t, partitionCount, w.owned()[w.stores[2].node])
 
-	lost[0].cut = false // it comes back after all, with its disk
+	lost[0].cut = false // it returns with its disk after all
 	run(t, w, 10*second, draw)
 	must.False(t, isRemoved(findStore(w.committed.Stores, lost[0].node)))
 	must.Eq(t, partitionCount/2, w.owned()[lost[0].node])
@@ -55,9 +55,9 @@
 	must.Eq(t, http.StatusConflict, statusOf(w.stores[0].node))
 	must.Eq(t, http.StatusNotFound, statusOf("nobody"))
 	w.stores[0].cut = true
-	run(t, w, 10, draw) // half a second: its lease has not ended
+	run(t, w, 10, draw) // 0.5 s: its lease has not ended
 	must.Eq(t, http.StatusConflict, statusOf(w.stores[0].node))
-	w.changeLeader(nil) // which does not know how long the lease lasts
+	w.changeLeader(nil) // the new leader doesn't know when the lease ends
 	must.Eq(t, http.StatusConflict, statusOf(w.stores[0].node))
 }
 
--- a/internal/controlplane/admit_test.go
+++ b/internal/controlplane/admit_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// A machine that is added held nothing that could be lost. If it counted as one whose disk was lost, it and one that is gone would
-// together be more than is borne, and no takeover would ever have enough answers.
+// An added machine held no copies that could be lost. If it counted as a machine with a lost disk, it and a failed machine together would
+// exceed the fault tolerance, and no takeover would ever get enough responses.
 func TestAddedMachineIsWhole(t *testing.T) {
 	table := tableWithOwner()
 	table.admit(&storeStatus{node: "b", disk: "disk-b", incarnation: "b1", address: "b:1"})
@@ -41,8 +41,8 @@
 	}
 }
 
-// A disk that was replaced takes the place of the newer one only where that has been silent for longer than a start takes, under each
-// leader anew. A new disk need not wait so long.
+// A disk that was replaced becomes the current one again only if its successor has been silent for longer than a restart takes, measured
+// separately under each leader. A new disk waits for less time.
 func TestReplacedDiskComesBackOnlyAfterALongSilence(t *testing.T) {
 	table := tableWithOwner()
 	table.admit(&storeStatus{node: "a", disk: "disk-new", incarnation: "a2", address: "a:1"})
--- a/internal/controlplane/budget_bench_test.go
+++ b/internal/controlplane/budget_bench_test.go
@@ -14,13 +14,13 @@
 	"foldlb.example/foldlb/internal/workerlist"
 )
 
-// planDispatchers and planDestinations are the size of the operators' plan.
+// planDispatchers and planDestinations are the sizes in the operators' capacity plan.
 const (
 	planDispatchers  = 1800
 	planDestinations = 220_000
 )
 
-// budgetHeap is what the heap holds after a collection.
+// budgetHeap returns the size of the heap after a garbage collection, in bytes.
 func budgetHeap() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -33,7 +33,7 @@
 		Zone: "heredia-a", Role: role, Disk: fmt.Sprintf("%016x", number), Address: fmt.Sprintf("10.0.%d.%d:7240", number>>8, number&0xff)}
 }
 
-// BenchmarkDispatcherLease is the memory of one dispatcher's lease at the leader, and the time of a renewal without
+// BenchmarkDispatcherLease measures the memory of a dispatcher's lease at the leader, and the time of a renewal without
 // its transport.
 func BenchmarkDispatcherLease(b *testing.B) {
 	requests := make([]*rpc.RenewRequest, planDispatchers)
@@ -52,11 +52,11 @@
 		held.renewDispatcher(requests[next], time.Now())
 		next = (next + 1) % planDispatchers
 	}
-	b.ReportMetric(perLease, "heap-B/lease") // after the loop, whose start clears what was reported
+	b.ReportMetric(perLease, "heap-B/lease") // after the loop, whose start clears reported metrics
 	must.MapLen(b, planDispatchers, held.dispatchers)
 }
 
-// BenchmarkStoreLease is the same for a store, whose lease guards its partitions.
+// BenchmarkStoreLease measures the same for a store.
 func BenchmarkStoreLease(b *testing.B) {
 	const stores = 200
 	state := &rpc.ControlState{}
@@ -81,8 +81,8 @@
 	b.ReportMetric(perLease, "heap-B/lease")
 }
 
-// BenchmarkDestination is what one destination of the platform's list costs the leader, at the length of the plan:
-// reading a page, comparing with the list before, encoding for the stream.
+// BenchmarkDestination measures the cost of a worker in the platform's list at the leader, with planDestinations workers:
+// decoding the pages, comparing with the previous list, and encoding for the stream.
 func BenchmarkDestination(b *testing.B) {
 	const perPage = 1000
 	var pages [][]byte
@@ -109,7 +109,7 @@
 	reportListCosts(b, workers, readPages(b, pages))
 }
 
-// readPages does what discovery does with the pages of one reading.
+// readPages decodes the pages of a list as discovery does.
 func readPages(b *testing.B, pages [][]byte) []*rpc.Worker {
 	var workers []*rpc.Worker
 	for _, data := range pages {
@@ -122,7 +122,7 @@
 	return sortedWorkers(workers)
 }
 
-// reportListCosts measures comparing two readings and encoding one.
+// reportListCosts measures comparing two lists and encoding one.
 func reportListCosts(b *testing.B, workers, again []*rpc.Worker) {
 	started := time.Now()
 	must.True(b, sameWorkers(workers, again))
--- a/internal/controlplane/catchup_test.go
+++ b/internal/controlplane/catchup_test.go
@@ -17,12 +17,12 @@
 
 const (
 	manyChanges          = 1000
-	slowestLinkBytesPerS = 30 << 17 // bytes a second: 30 Mbit/s
+	slowestLinkBytesPerS = 30 << 17 // 30 Mbit/s
 	maxCatchUp           = 2 * time.Second
-	maxLargeCatchUp      = 15 * time.Second // of the largest configuration over the slowest link
+	maxLargeCatchUp      = 15 * time.Second // for the largest configuration over the slowest link
 )
 
-// inGroup runs a scenario with three control processes that have a leader.
+// inGroup runs a scenario with three control processes, one of which leads.
 func inGroup(t *testing.T, scenario func(t *testing.T, network *simNetwork, operator *simOperator)) {
 	directory := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -39,13 +39,13 @@
 	})
 }
 
-// change replaces the configuration on top of the newest until that is confirmed.
+// change replaces the configuration based on the latest one, and requires that this is confirmed.
 func (o *simOperator) change(body func(version uint64) string) {
 	answer := o.tryChange(body)
 	must.EqOp(o.network.t, http.StatusOK, answer.status, must.Sprint(answer.body))
 }
 
-// tryChange is change where a change may also stay without a clear answer.
+// tryChange is like change, but the outcome may remain unknown.
 func (o *simOperator) tryChange(body func(version uint64) string) apiResponse {
 	version := o.known + 1
 	answer := o.callUntilDefinite(http.MethodPost, replacePath, strconv.FormatUint(o.known, 10), body(version))
@@ -57,7 +57,7 @@
 
 func oneRoute(version uint64) string { return configWith(int(version), "a") }
 
-// follower returns a server that runs and does not lead.
+// follower returns a running server that does not lead.
 func (n *simNetwork) follower() *simServer {
 	for _, server := range n.allServers() {
 		if process := server.running(); process != nil && !process.server.node.Status().Leader {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// awaitCaughtUp waits until a server holds a configuration, and returns how long that took.
+// awaitCaughtUp waits until a server has a configuration version, and returns how long that took.
 func (s *simServer) awaitCaughtUp(version uint64, limit time.Duration) time.Duration {
 	began := time.Now()
 	for s.running().server.state.committed().ConfigVersion < version {
@@ -77,8 +77,8 @@
 	return time.Since(began)
 }
 
-// TestMemberThatWasOffForAThousandChangesCatchesUpByOneTransfer, also while changes go on. Where the transfer takes longer than the leader
-// needs to write down the address of the member that is back, that version comes in a second one.
+// TestMemberThatWasOffForAThousandChangesCatchesUpByOneTransfer also covers a member that returns while changes continue. If the transfer takes
+// longer than the leader needs to save the address of the returned member, that version arrives by a second transfer.
 func TestMemberThatWasOffForAThousandChangesCatchesUpByOneTransfer(t *testing.T) {
 	inGroup(t, func(t *testing.T, network *simNetwork, operator *simOperator) {
 		operator.change(oneRoute)
@@ -95,7 +95,7 @@
 		versionBefore := network.leader().running().server.node.Status().StateSeq
 		off.start(false)
 		took := off.awaitCaughtUp(operator.known, maxCatchUp)
-		time.Sleep(time.Second) // what the leader has written is committed
+		time.Sleep(time.Second) // lets changes made by the leader itself be committed
 		written := network.leader().running().server.node.Status().StateSeq - versionBefore
 		carriedAfter, transfers := network.received(off)
 		transfers = transfers[len(earlier):]
@@ -105,10 +105,10 @@
 		must.SliceNotEmpty(t, transfers)
 		must.LessEq(t, 1+int(written), len(transfers))
 		must.EqOp(t, len(transfers), len(slices.Compact(slices.Sorted(slices.Values(transfers)))), must.Sprint("a version came twice"))
-		must.Less(t, 64<<10, sizes[len(sizes)-1]) // bounded by the digests that are kept
+		must.Less(t, 64<<10, sizes[len(sizes)-1]) // the size is bounded because the number of digests is
 		stopped := make(chan struct{})
 		ended := make(chan struct{})
-		go func() { // changes go on
+		go func() { // changes continue
 			defer close(ended)
 			for {
 				select {
@@ -129,7 +129,7 @@
 	})
 }
 
-// TestMemberThatIsStoppedWhileItCatchesUp is stopped at each of many moments of the transfer, and catches up at last.
+// TestMemberThatIsStoppedWhileItCatchesUp stops a member at random times during the transfer; it must catch up in the end.
 func TestMemberThatIsStoppedWhileItCatchesUp(t *testing.T) {
 	inGroup(t, func(t *testing.T, network *simNetwork, operator *simOperator) {
 		operator.change(oneRoute)
@@ -147,7 +147,7 @@
 	})
 }
 
-// TestLargestConfigurationComesThroughTheSlowestLink, to the followers, and to one that was off.
+// TestLargestConfigurationComesThroughTheSlowestLink measures the transfer to a member that was off, on a link of 30 Mbit/s.
 func TestLargestConfigurationComesThroughTheSlowestLink(t *testing.T) {
 	inGroup(t, func(t *testing.T, network *simNetwork, operator *simOperator) {
 		operator.change(oneRoute)
@@ -157,7 +157,7 @@
 		network.rate = slowestLinkBytesPerS
 		network.mutex.Unlock()
 		operator.change(largestConfig)
-		time.Sleep(10 * time.Second) // no transfer is on its way any longer
+		time.Sleep(10 * time.Second) // no transfer is in progress any more
 		began := time.Now()
 		off.start(false)
 		off.awaitCaughtUp(operator.known, maxLargeCatchUp)
@@ -165,9 +165,9 @@
 	})
 }
 
-// largestConfig is a configuration of nearly maxBodyBytes.
+// largestConfig returns a configuration of nearly maxBodyBytes.
 func largestConfig(version uint64) string {
-	const routeBytes = 242 // of a route in the configuration
+	const routeBytes = 242 // size of a route in the configuration
 	routes := make([]string, 0, maxBodyBytes/routeBytes)
 	for number := range cap(routes) {
 		routes = append(routes, fmt.Sprintf("route-%06d", number))
@@ -175,8 +175,8 @@
 	return configWith(int(version), routes...)
 }
 
-// TestMemberWithAnOldRecordNeverLeads has a member come back with the record of hundreds of changes ago, which it must not lead
-// with, while the one that holds the newest comes back later.
+// TestMemberWithAnOldRecordNeverLeads has a member return with a record that lacks hundreds of changes. It must not become the leader
+// before a member with the latest state returns.
 func TestMemberWithAnOldRecordNeverLeads(t *testing.T) {
 	inGroup(t, func(t *testing.T, network *simNetwork, operator *simOperator) {
 		operator.change(oneRoute)
@@ -209,8 +209,8 @@
 	return version, order
 }
 
-// TestMemberWithTornRecordJoinsUnderNewIdentity has both files of a record be broken: the process keeps nothing of its former votes, joins
-// under another identity, and is exchanged for the lost one.
+// TestMemberWithTornRecordJoinsUnderNewIdentity damages both files of a record: the process has lost its votes, so it must join under
+// a new identity and replace the lost one.
 func TestMemberWithTornRecordJoinsUnderNewIdentity(t *testing.T) {
 	inGroup(t, func(t *testing.T, network *simNetwork, operator *simOperator) {
 		operator.change(oneRoute)
@@ -235,9 +235,8 @@
 	})
 }
 
-// TestVoterIsExchangedBeforeTheNextLoss replaces machines by empty ones at other addresses, one after the other: each time the
-// group has made up for the loss before the next one may come. An election, the length of which is random, comes on top where
-// the leader is lost.
+// TestVoterIsExchangedBeforeTheNextLoss replaces machines by empty ones at other addresses, one after another: the group must recover from
+// each loss within syncS, before the next one may occur. If the leader was lost, an election of random duration comes on top.
 func TestVoterIsExchangedBeforeTheNextLoss(t *testing.T) {
 	const (
 		syncS        = 4400 * time.Millisecond // from the start of the successor
--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -24,7 +24,7 @@
 	pollInterval      = 10 * time.Millisecond
 )
 
-// cluster is a control plane of several processes on loopback.
+// cluster is a group of control processes on the loopback interface.
 type cluster struct {
 	t       *testing.T
 	servers []*testServer
@@ -40,7 +40,7 @@
 	ended    chan error
 }
 
-// newCluster starts so many processes, of which the first three are the seeds.
+// newCluster starts size processes, of which the first three are the seeds. change may modify the settings of each.
 func newCluster(t *testing.T, size int, change func(*settings.Settings)) *cluster {
 	t.Helper()
 	c := &cluster{t: t, caller: &http.Client{Timeout: 5 * time.Second}}
@@ -84,7 +84,7 @@
 	return started
 }
 
-// end stops a process and waits for its end.
+// end stops a process and waits until it has ended.
 func (s *testServer) end() {
 	s.stop()
 	<-s.ended
@@ -98,13 +98,13 @@
 	c.caller.CloseIdleConnections()
 }
 
-// eventually waits until a condition holds.
+// eventually waits until holds returns nil.
 func eventually(t *testing.T, holds func() error) {
 	t.Helper()
 	must.Wait(t, wait.InitialSuccess(wait.ErrorFunc(holds), wait.Timeout(eventuallyTimeout), wait.Gap(pollInterval)))
 }
 
-// leader waits for a process that leads, other than those excepted.
+// leader waits until a process leads that is not excluded, and returns it.
 func (c *cluster) leader(except ...*testServer) *testServer {
 	c.t.Helper()
 	var found *testServer
@@ -129,13 +129,13 @@
 	return false
 }
 
-// apiResponse is the outcome of a call of the operator's.
+// apiResponse is the outcome of a call to the operator's API; status is 0 if there was no response.
 type apiResponse struct {
 	status int
 	body   string
 }
 
-// call makes a call of the operator's at a process; redirects are followed.
+// call calls the operator's API of a process, and follows redirects.
 func (c *cluster) call(server *testServer, method, path, ifVersion, body string) apiResponse {
 	request, err := http.NewRequest(method, "http://"+server.address+path, strings.NewReader(body))
 	must.NoError(c.t, err)
@@ -151,7 +151,7 @@
 	return apiResponse{status: response.StatusCode, body: string(content)}
 }
 
-// callUntilDefinite repeats an order until it has a clear answer, as the operator does.
+// callUntilDefinite repeats a request until the outcome is definite, as an operator does.
 func (c *cluster) callUntilDefinite(server *testServer, method, path, ifVersion, body string) apiResponse {
 	c.t.Helper()
 	var answer apiResponse
--- a/internal/controlplane/corrupt_record_test.go
+++ b/internal/controlplane/corrupt_record_test.go
@@ -18,7 +18,7 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// logLines collects what is logged.
+// logLines collects log lines.
 type logLines struct {
 	mutex sync.Mutex
 	lines []string
@@ -38,7 +38,7 @@
 	return strings.Join(l.lines, "\n")
 }
 
-// breakRecord damages both files of the record.
+// breakRecord corrupts both files of the record.
 func breakRecord(t *testing.T, folder string) {
 	t.Helper()
 	for _, suffix := range []string{".0", ".1"} {
@@ -73,7 +73,7 @@
 	must.ErrorContains(t, err, "disk trouble")
 }
 
-// failingStorage fails otherwise than by a broken record.
+// failingStorage fails with an error other than a corrupt record.
 type failingStorage struct {
 	failover.Storage
 }
--- a/internal/controlplane/deploy_layout_test.go
+++ b/internal/controlplane/deploy_layout_test.go
@@ -15,17 +15,17 @@
 
 const (
 	deployFile      = "../../deploy/system.toml"
-	startupTime     = 6 * time.Second // for the first voters
+	startupTime     = 6 * time.Second // until the first voters are complete
 	lostDiskRestart = 500 * time.Millisecond
 	cutAfterLoss    = 1200 * time.Millisecond
-	confirmedWithin = 4 * time.Second // after the second loss: the shortest ackMs of a deployment is 5 s
+	confirmedWithin = 4 * time.Second // after the second loss; the shortest ackMs of a deployment is 5 s
 )
 
-// layout is how the machines with a disk that may run the control role stand in a deployment.
+// layout describes the machines with a disk that may run the control role in a deployment.
 type layout struct {
 	zones        int
 	disksOfAZone int
-	tolerance    int // machines that may be lost at one time
+	tolerance    int // machines that may fail at the same time
 }
 
 // controlsOfAZone reads from the deploy file how many machines of a zone run the control role.
@@ -41,7 +41,7 @@
 }
 
 // TestDeployedControlToleratesALostDiskAndACut starts as many control processes as the deploy file does. The leader loses its disk right after it
-// confirmed a change; then another voter is cut off, and stays so. Two machines may be lost at one time, so changes go on.
+// has confirmed a change; then another voter is cut off permanently. Since two machines may fail at the same time, changes must still be confirmed.
 func TestDeployedControlToleratesALostDiskAndACut(t *testing.T) {
 	count := controlsOfAZone(t)
 	for _, machines := range []layout{
@@ -62,7 +62,7 @@
 	}
 }
 
-// playLostDiskAndCut returns how long the first change after the cut took, and what each process believed then.
+// playLostDiskAndCut returns how long the first change after the cut took, and the trace with the status of each process at that time.
 func playLostDiskAndCut(t *testing.T, directory string, machines layout, count, victim int) (time.Duration, []string) {
 	network := newSimNetwork(t, uint64(victim), directory)
 	network.tolerance = machines.tolerance
@@ -89,7 +89,7 @@
 	return took, trace
 }
 
-// addLayout adds the control processes on machines with a disk. The first three zones have a seed each.
+// addLayout adds the control processes on machines with a disk. In the first three zones, one of them is a seed.
 func (n *simNetwork) addLayout(machines layout, count int) {
 	for zone := range machines.zones {
 		for number := range min(count, machines.disksOfAZone) {
@@ -102,7 +102,7 @@
 	}
 }
 
-// voterBeside returns a voter other than the leader: the one of that position, counted round.
+// voterBeside returns a voter other than the leader, by its position modulo their number.
 func (n *simNetwork) voterBeside(leader *simServer, position int) *simServer {
 	var others []*simServer
 	for _, voter := range leader.running().server.node.Status().Members {
--- a/internal/controlplane/deployment_faults_test.go
+++ b/internal/controlplane/deployment_faults_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// What goes wrong in a deployment while messages are sent: one trouble after another, some of which last on.
+// Faults of a deployment while messages are sent. Some of them overlap.
 
-// loseDisksInTurn has every store lose its disk, one after the other, so that none is left that was there at the start.
+// loseDisksInTurn has every store lose its disk, one after another, so that no initial disk remains.
 func (c *simScenario) loseDisksInTurn() {
 	for _, store := range c.network.stores {
 		time.Sleep(restoreTime)
@@ -26,7 +26,7 @@
 	}
 }
 
-// begin draws one trouble: of a store, of a dispatcher, of all machines or of the control processes.
+// injectFault injects a random fault of a store, a dispatcher, all machines or the control processes.
 func (c *simScenario) injectFault() {
 	n := c.network
 	store := n.stores[n.intN(len(n.stores))]
@@ -79,7 +79,7 @@
 	}
 }
 
-// loseDisk takes a disk where all that was lost before has been made up for, at times at the moment when all others lose power.
+// loseDisk loses the disk of a store if all earlier losses were recovered from, at times while all others lose power.
 func (c *simScenario) loseDisk(store *simStore) (lost bool) {
 	n := c.network
 	if time.Since(c.diskLostAt) < restoreTime || !c.faults.mayLoseDisk() || !c.allWhole() {
@@ -96,8 +96,8 @@
 	return true
 }
 
-// cutOffFromControl cuts a store off from all control processes alone, until its partitions have gone to others: dispatchers go on sending
-// to it what they take for its own.
+// cutOffFromControl cuts a store off from all control processes until its partitions have moved: dispatchers still send it the messages
+// that they believe it owns.
 func (c *simScenario) cutOffFromControl(store *simStore) {
 	n := c.network
 	n.cutLinks([]string{store.address}, n.addresses())
@@ -119,7 +119,7 @@
 	c.faults.heal()
 }
 
-// cutPowerAfterAcceptance takes the power of all machines, or of a store, right after a message was accepted.
+// cutPowerAfterAcceptance powers off all machines, or one store, right after a message was accepted.
 func (c *simScenario) cutPowerAfterAcceptance() {
 	n := c.network
 	c.awaitAcceptance()
@@ -134,7 +134,7 @@
 	store.start()
 }
 
-// awaitAcceptance returns at the moment when a client learns that its message was accepted, or after a time without one.
+// awaitAcceptance returns when a client learns that its message was accepted, or after restoreTime.
 func (c *simScenario) awaitAcceptance() {
 	acceptances := c.network.checker.acceptances
 	select {
@@ -148,7 +148,7 @@
 	}
 }
 
-// setSeeds puts other seeds into the settings of all machines: at times those that do not vote.
+// changeSeeds changes the seeds in the settings of all machines, at times to processes without a vote.
 func (c *simScenario) changeSeeds() {
 	n := c.network
 	var seeds []string
@@ -163,8 +163,8 @@
 	n.setAllSeeds(seeds[:simVoters])
 }
 
-// stallSome has nothing leave or reach some machines for a time, while their own time goes on: half of the stores, all control processes
-// but one, or any machines.
+// stallSome stalls all traffic of some machines while their clocks continue: half of the stores, all control processes but one, or any
+// machines.
 func (c *simScenario) stallSome() {
 	n := c.network
 	var held []string
@@ -188,7 +188,7 @@
 	time.Sleep(length)
 }
 
-// replaceStore adds a store, has another one emptied, and takes that machine away once it is said to be empty.
+// replaceStore adds a store, retires another one, and removes that machine once its retirement is complete.
 func (c *simScenario) replaceStore(leaving *simStore) {
 	n := c.network
 	if c.retiring != nil || !c.allWhole() {
@@ -207,7 +207,7 @@
 	c.removeRetired()
 }
 
-// removeRetired takes the machine of the store that was ordered to be emptied away once it is said to be empty, if that is soon.
+// removeRetired waits up to retirementTimeout for the retirement to complete, and removes the machine.
 func (c *simScenario) removeRetired() {
 	n := c.network
 	operator := &simOperator{network: n, history: &simHistory{}}
@@ -218,14 +218,14 @@
 			c.retiring.remove()
 			c.retiring = nil
 			c.retired++
-			c.loseDisk(n.stores[n.intN(len(n.stores))]) // all that the emptied one held is elsewhere
+			c.loseDisk(n.stores[n.intN(len(n.stores))]) // all copies of the retired store are elsewhere
 		}
 	}
 }
 
 func retirePath(node, verb string) string { return "/api/retire/" + node + "/" + verb }
 
-// upgradeControl restarts the control processes in turn, each as any of the versions where there are several.
+// upgradeControl restarts the control processes in turn, each as a random version if there are several.
 func (c *simScenario) upgradeControl() {
 	n := c.network
 	n.logEvent("control is upgraded")
@@ -242,7 +242,7 @@
 	}
 }
 
-// allWhole reports whether the leader counts every store as whole.
+// allWhole reports whether every store is whole in the leader's state.
 func (c *simScenario) allWhole() bool {
 	leader := c.network.leader()
 	if leader == nil || leader.running() == nil {
@@ -255,7 +255,7 @@
 	})
 }
 
-// cutOff cuts a store off from all others for a time.
+// cutOff cuts a store off from all others for a time, in both directions or one.
 func (c *simScenario) cutOff(store *simStore) {
 	n := c.network
 	outward, inward := n.chance(0.7), n.chance(0.7)
--- a/internal/controlplane/deployment_test.go
+++ b/internal/controlplane/deployment_test.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	deploymentSeedsVariable = "DEPLOYMENT_SEEDS" // plays so many seeds
-	deploymentSeedVariable  = "DEPLOYMENT_SEED"  // plays this one
+	deploymentSeedsVariable = "DEPLOYMENT_SEEDS" // number of seeds to run
+	deploymentSeedVariable  = "DEPLOYMENT_SEED"  // runs only this seed
 	deploymentSeeds         = 4
 	deploymentSeedsRace     = 2 // with the race detector
 	deploymentFaultPhase    = 40 * time.Second
-	deploymentDrainTimeout  = 60 * time.Second // within which all accepted messages end once the faults are over
+	deploymentDrainTimeout  = 60 * time.Second // within which all accepted messages must end after the last fault
 	deploymentSendEvery     = 60 * time.Millisecond
-	deploymentMaxStartGap   = 500 * time.Millisecond // between two machines that come back after a loss of power, at most
+	deploymentMaxStartGap   = 500 * time.Millisecond // longest time between the starts of two machines after a power loss
 	deploymentQuietPhase    = 5 * time.Second
-	servedShare             = 0.25 // of the requests, once the time to recover has passed
+	servedShare             = 0.25 // minimum share of requests that are accepted once the recovery time has passed
 	keptRoutes              = 8
-	retirementTimeout       = 20 * time.Second // how long the course waits for a retirement to end
-	restoreTime             = 8 * time.Second  // from one lost disk to the next
+	retirementTimeout       = 20 * time.Second // how long the scenario waits for a retirement to complete
+	restoreTime             = 8 * time.Second  // between two lost disks
 )
 
-// TestDeploymentKeepsMessages runs control processes, stores and dispatchers as they are, with clients and workers, while machines fail over one
-// another, and at last all lose power at once. What was accepted ends, once where there is calm, in order, and every dispatcher says so; what
-// was refused never runs; service is back in time.
+// TestDeploymentKeepsMessages runs the real control processes, stores and dispatchers with simulated clients and workers, while machines fail
+// and at last all lose power at the same time. Accepted messages must complete, in order and, once there are no faults, only once, and every
+// dispatcher must report that; refused messages must never run; service must be restored in time.
 func TestDeploymentKeepsMessages(t *testing.T) {
 	usual := uint64(deploymentSeeds)
 	if raceEnabled {
@@ -51,7 +51,7 @@
 	}
 }
 
-// deploymentVersions run side by side under every second seed: the present one, and one with longer leases. Both know of the longer.
+// deploymentVersions run side by side under every second seed: the current version, and one with longer leases. Both know the longer duration.
 var deploymentVersions = []simVersion{
 	{timing: failover.Timing{LongestLease: time.Second}},
 	{timing: failover.Timing{Lease: time.Second, Margin: 150 * time.Millisecond, LongestLease: time.Second}, storeLease: 2 * time.Second},
@@ -86,20 +86,20 @@
 	scenario.report()
 }
 
-// simScenario is the load of a deployment, and what goes wrong in it.
+// simScenario is the load of a deployment and the faults that are injected.
 type simScenario struct {
 	network     *simNetwork
 	faults      *simFaults
-	diskLostAt  time.Time     // when a disk was lost last
-	routes      []string      // all that were ordered, the newest last
-	retiring    *simStore     // the store that is being emptied; nil for none
-	retired     int           // stores that were emptied and taken away
-	maxStartGap time.Duration // between two machines that come back after a loss of power, at most
+	diskLostAt  time.Time     // when the last disk was lost
+	routes      []string      // all configured routes, the latest last
+	retiring    *simStore     // the store that is retiring; nil for none
+	retired     int           // number of stores that were retired and removed
+	maxStartGap time.Duration // longest time between the starts of two machines after a power loss
 	stopSending chan struct{} // closed when no more messages are sent
 }
 
-// configure replaces the configuration by one with another route, on which messages are sent from the time on that it is to be in force.
-// The routes before it stay for as long as messages may be sent on them.
+// configure replaces the configuration by one with a further route. Messages are sent on that route once the configuration must be in
+// force. Earlier routes remain as long as messages may be sent on them.
 func (c *simScenario) configure() (status int) {
 	n := c.network
 	operator := &simOperator{network: n, history: &simHistory{}}
@@ -119,7 +119,7 @@
 	return status
 }
 
-// sendMessages sends messages until the course is over.
+// sendMessages sends messages until stopSending is closed.
 func (c *simScenario) sendMessages() {
 	n := c.network
 	for number := 0; ; number++ {
@@ -132,7 +132,7 @@
 	}
 }
 
-// startAll starts all machines but one, one by one and in any order.
+// startAll starts all machines except absent, one by one in random order.
 func (c *simScenario) startAll(absent string) {
 	n := c.network
 	starts := map[string]func(){}
@@ -160,7 +160,7 @@
 	return addresses
 }
 
-// finish ends the trouble with a loss of power everywhere, and checks that service is back and that every message has ended.
+// finish ends the faults with a power loss of all machines, and checks that service is restored and that every message has ended.
 func (c *simScenario) finish() {
 	n, j := c.network, c.network.checker
 	c.faults.heal()
@@ -193,7 +193,7 @@
 	j.checkStates()
 }
 
-// darken takes the power of all machines at once. Where nothing is missing one store or one control process does not come back.
+// powerCycle powers all machines off at the same time. If the group tolerates it, one store or control process may not return.
 func (c *simScenario) powerCycle() {
 	n := c.network
 	bears := time.Since(c.diskLostAt) > restoreTime && c.faults.mayLoseDisk() && c.allWhole()
@@ -214,7 +214,7 @@
 	c.startAll(absent)
 }
 
-// report fails the test where a rule was broken.
+// report fails the test if a guarantee was violated.
 func (c *simScenario) report() {
 	j := c.network.checker
 	j.mutex.Lock()
--- a/internal/controlplane/discovery_test.go
+++ b/internal/controlplane/discovery_test.go
@@ -19,7 +19,7 @@
 type fakePlatform struct {
 	mutex  sync.Mutex
 	pages  map[string]string // by token
-	status int               // of all answers; 0 for 200
+	status int               // of all responses; 0 for 200
 	calls  int
 }
 
--- a/internal/controlplane/holdup_test.go
+++ b/internal/controlplane/holdup_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	holdUpTableVariable = "HOLD_UP_TABLE" // plays all lengths of leases, and more often
+	holdUpTableVariable = "HOLD_UP_TABLE" // runs all lease durations, with more repetitions
 	holdUpStores        = 12
 	holdUpDispatchers   = 12
 	holdUpPlays         = 4
@@ -22,17 +22,17 @@
 	holdUpLook          = 5 * time.Millisecond
 	holdUpWatched       = 6 * time.Second // from the start of a hold-up
 	holdUpRest          = 4 * time.Second
-	holdUpWithoutLease  = 300 * time.Millisecond // in which a store that was not held up may have no lease
-	holdUpOfAllControl  = time.Second            // the same where no control process could renew
-	holdUpFound         = 700 * time.Millisecond // after a hold-up of all control processes, until stores have renewed, in the mean
+	holdUpWithoutLease  = 300 * time.Millisecond // longest time without a lease of a store that is not held up
+	holdUpOfAllControl  = time.Second            // the same if no control process could renew leases
+	holdUpFound         = 700 * time.Millisecond // mean time after a hold-up of all control processes until stores have renewed
 )
 
-// holdUpLengths are those of hold-ups.
+// holdUpLengths are the durations of hold-ups.
 var holdUpLengths = []time.Duration{
 	300 * time.Millisecond, 500 * time.Millisecond, 700 * time.Millisecond, 900 * time.Millisecond, 1200 * time.Millisecond, 1500 * time.Millisecond,
 }
 
-// holdUpLeases are lengths of leases to compare, the present one first.
+// holdUpLeases are lease durations to compare, the current ones first.
 var holdUpLeases = []simVersion{
 	{},
 	{storeLease: 2 * time.Second},
@@ -40,19 +40,19 @@
 	{timing: failover.Timing{Lease: time.Second, Margin: 150 * time.Millisecond}, storeLease: 2 * time.Second},
 }
 
-// holdUpCost is what hold-ups have cost, in all plays.
+// holdUpCost is the effect of hold-ups, over all repetitions.
 type holdUpCost struct {
 	elections int
-	moved     int           // partitions that went to another store
-	unleased  time.Duration // summed over the stores that were not held up: time without a lease
-	worst     time.Duration // the longest time in which any of those stores had none
+	moved     int           // partitions that were moved to another store
+	unleased  time.Duration // total time without a lease of the stores that were not held up
+	worst     time.Duration // longest time without a lease of any of those stores
 }
 
-// holdUpScenario holds up some machines.
+// holdUpScenario selects the machines that are held up.
 type holdUpScenario struct {
 	name    string
-	stores  bool          // some of them are stores
-	worst   time.Duration // in which a store that was not held up may have no lease
+	stores  bool          // whether some of them are stores
+	worst   time.Duration // bound of the time without a lease of a store that is not held up
 	targets func(n *simNetwork) []string
 }
 
@@ -81,9 +81,9 @@
 	}},
 }
 
-// TestHoldUpsThatEndCostLittle holds up the leader, voters and stores for a while, in calm. A hold-up that is shorter than a store's lease
-// moves no partition, and none of the leader takes the leases of stores: they last until the next one leads and is found. Where all control
-// processes are held up together, stores have renewed soon after its end.
+// TestHoldUpsThatEndCostLittle holds up the leader, voters and stores for a time, without other faults. A hold-up that is shorter than a store's
+// lease must move no partition, and one of the leader must not let the leases of stores end before a new leader is found. If all control
+// processes are held up together, stores must have renewed soon afterwards.
 func TestHoldUpsThatEndCostLittle(t *testing.T) {
 	leases, lengths, plays := holdUpLeases[:1], holdUpLengths[len(holdUpLengths)-2:], holdUpPlays
 	if os.Getenv(holdUpTableVariable) != "" {
@@ -103,7 +103,7 @@
 	}
 }
 
-// check holds the cost against the bounds. A store that is held up for longer than its lease lasts loses its partitions.
+// check compares the cost with the bounds. A store that is held up for longer than the duration of its lease loses its partitions.
 func (c holdUpCost) check(t *testing.T, scenario holdUpScenario, length time.Duration) {
 	name := must.Sprint(fmt.Sprintf("%s held up for %s", scenario.name, length))
 	if length <= holdUpLengths[0] {
@@ -168,7 +168,7 @@
 	}
 }
 
-// owners lists the owner of each partition.
+// owners returns the owner of each partition.
 func (n *simNetwork) owners() []string {
 	var owners []string
 	for _, owned := range n.latestState().Partitions {
--- a/internal/controlplane/large_deployment_test.go
+++ b/internal/controlplane/large_deployment_test.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	largeVariable          = "LARGE_DEPLOYMENT" // plays the whole size
+	largeVariable          = "LARGE_DEPLOYMENT" // runs the full size
 	largeZones             = 6
 	largeZoneAway          = 4 * time.Second
 	largeRaces             = 3
 	largeQueriesPerMessage = 2 // dispatchers that are asked for the state of each message
 	largeRest              = 6 * time.Second
-	largeMaxStartGap       = 3 * time.Millisecond // between two machines that come back after a loss of power, at most
+	largeMaxStartGap       = 3 * time.Millisecond // longest time between the starts of two machines after a power loss
 )
 
-// largeSize is a number of machines in six zones.
+// largeSize is a number of machines in largeZones zones.
 type largeSize struct{ controls, stores, dispatchers int }
 
 var (
@@ -30,9 +30,8 @@
 	largeRace  = largeSize{controls: 6, stores: 12, dispatchers: 18} // with the race detector
 )
 
-// TestLargeDeploymentKeepsMessages takes the power of a zone, kills leaders while hundreds renew and the configuration is changed by two
-// operators at once, and takes the power of all machines, which come back nearly at one moment. The rules are those of
-// TestDeploymentKeepsMessages.
+// TestLargeDeploymentKeepsMessages powers a zone off, kills leaders while hundreds of members renew and two operators change the configuration
+// concurrently, and powers all machines off, which return almost at the same time. The guarantees are those of TestDeploymentKeepsMessages.
 func TestLargeDeploymentKeepsMessages(t *testing.T) {
 	size := largeShort
 	if raceEnabled {
@@ -73,7 +72,7 @@
 	scenario.report()
 }
 
-// spreadOverZones puts all machines into a few zones.
+// spreadOverZones distributes all machines over a few zones.
 func (n *simNetwork) spreadOverZones(zones int) {
 	for number, server := range n.allServers() {
 		server.zone = zoneName(number % zones)
@@ -86,7 +85,7 @@
 	}
 }
 
-// loseZone takes the power of all machines of a zone. They come back after a time.
+// loseZone powers off all machines of a zone, and starts them again after largeZoneAway.
 func (c *simScenario) loseZone(zone string) {
 	n := c.network
 	n.logEvent("%s loses power", zone)
@@ -110,7 +109,7 @@
 	n.startMembers()
 }
 
-// raceWithoutLeader has two operators change the configuration on top of the same one while the leader is killed.
+// raceWithoutLeader has two operators change the configuration based on the same version while the leader is killed.
 func (c *simScenario) raceWithoutLeader() {
 	n := c.network
 	leader := n.leader()
--- a/internal/controlplane/leader_discovery_test.go
+++ b/internal/controlplane/leader_discovery_test.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	searchSeedsVariable = "CONTROLPLANE_SEARCH_SEEDS" // plays so many seeds
+	searchSeedsVariable = "CONTROLPLANE_SEARCH_SEEDS" // number of seeds to run
 	searchSeeds         = 12
 	searchRounds        = 12
 	searchZones         = 4
-	foundWithin         = 4 * time.Second  // the shortest contactMs of a deployment
-	servedWithin        = 12 * time.Second // the shortest recoveryS of a deployment
+	foundWithin         = 4 * time.Second  // shortest contactMs of a deployment
+	servedWithin        = 12 * time.Second // shortest recoveryS of a deployment
 	simPollInterval     = 50 * time.Millisecond
 )
 
 // newSearchNetwork starts as many control processes in each of four zones as the deploy file does: the first on a machine with a disk, the
-// others without. Three of them vote.
+// others without. Three of them are voters.
 func newSearchNetwork(t *testing.T, seed uint64, directory string) *simNetwork {
 	network := newSimNetwork(t, seed, directory)
 	for zone := range searchZones {
@@ -44,7 +44,7 @@
 	return network
 }
 
-// nonVoters returns the addresses of the processes that do not vote.
+// nonVoters returns the addresses of the processes without a vote.
 func (n *simNetwork) nonVoters() []string {
 	voters := n.leader().running().server.node.Status().Members
 	var addresses []string
@@ -60,7 +60,7 @@
 	return addresses
 }
 
-// setAllSeeds puts the same seeds into the settings of all machines. Members read them at their next start.
+// setAllSeeds sets the same seeds in the settings of all machines. Members read them at their next start.
 func (n *simNetwork) setAllSeeds(seeds []string) {
 	n.seeds = seeds
 	for _, server := range n.allServers() {
@@ -68,7 +68,7 @@
 	}
 }
 
-// setSeeds puts other seeds into the settings of a process that runs.
+// setSeeds changes the seeds in the settings of a process, and reloads them if it is running.
 func (s *simServer) setSeeds(seeds []string) {
 	s.seeds = seeds
 	s.network.logEvent("%s has the seeds %v", s.address, seeds)
@@ -77,7 +77,7 @@
 	}
 }
 
-// restartAll takes the power from all machines for a moment.
+// restartAll powers all machines off and on.
 func (n *simNetwork) restartAll() {
 	n.powerOffAll()
 	for _, server := range n.allServers() {
@@ -88,8 +88,8 @@
 	n.startMembers()
 }
 
-// strangers lists the processes that run and have not named the leader at any moment while the time to find it lasted. A process may forget
-// the leader for a moment: one announcement that is lost does that.
+// withoutLeader waits up to foundWithin, and returns the running processes that have not known the leader at any moment in that time. A
+// process may lose the leader's address for a moment, for example after one lost Join.
 func (n *simNetwork) withoutLeader() []string {
 	found := make(map[*simServer]bool)
 	var withoutLeader []string
@@ -103,7 +103,7 @@
 	return append(withoutLeader, n.describe()...)
 }
 
-// stillWithoutLeader looks once at the processes that have not been found to name the leader, and lists those that still do not.
+// stillWithoutLeader checks once those processes that were not yet found to know the leader, and returns those that still don't.
 func (n *simNetwork) stillWithoutLeader(found map[*simServer]bool) []string {
 	leader := n.leader()
 	if leader == nil {
@@ -124,7 +124,7 @@
 	return withoutLeader
 }
 
-// playSearch plays a course of events in virtual time and returns who does not know the leader in the end, and the trace.
+// playSearch runs a scenario in virtual time, and fails with the trace if a process does not know the leader in the end.
 func playSearch(t *testing.T, seed uint64, scenario func(*simNetwork) []string) {
 	directory := t.TempDir()
 	var withoutLeader, trace []string
@@ -140,7 +140,7 @@
 	must.SliceEmpty(t, withoutLeader, must.Sprint(strings.Join(withoutLeader, "\n")+"\n"+strings.Join(trace, "\n")))
 }
 
-// TestLeaderIsFoundAfterAPowerLossThroughSeedsThatDoNotVote guards against a leader that nobody finds (incident 0011).
+// TestLeaderIsFoundAfterAPowerLossThroughSeedsThatDoNotVote guards against a leader that no process finds (incident 0011).
 func TestLeaderIsFoundAfterAPowerLossThroughSeedsThatDoNotVote(t *testing.T) {
 	playSearch(t, 1, func(network *simNetwork) []string {
 		network.setAllSeeds(network.nonVoters()[:minVoters])
@@ -149,7 +149,7 @@
 	})
 }
 
-// TestNewLeaderIsFoundThroughSeedsThatDoNotVote has the leader end while the seeds name processes that do not vote.
+// TestNewLeaderIsFoundThroughSeedsThatDoNotVote kills the leader while no seed has a vote.
 func TestNewLeaderIsFoundThroughSeedsThatDoNotVote(t *testing.T) {
 	playSearch(t, 1, func(network *simNetwork) []string {
 		network.setAllSeeds(network.nonVoters()[:minVoters])
@@ -160,7 +160,7 @@
 	})
 }
 
-// TestLeaderIsFoundThroughSeedsThatItDoesNotHave has two groups of seeds: the voters' and the others'.
+// TestLeaderIsFoundThroughSeedsThatItDoesNotHave gives the voters other seeds than the processes without a vote.
 func TestLeaderIsFoundThroughSeedsThatItDoesNotHave(t *testing.T) {
 	playSearch(t, 1, func(network *simNetwork) []string {
 		outside := network.nonVoters()
@@ -176,8 +176,8 @@
 	})
 }
 
-// TestEachProcessFindsTheLeaderWhateverItsSeeds draws seeds for each process anew, restarts some or all, takes disks and machines, and asks each
-// process in every pause who leads.
+// TestEachProcessFindsTheLeaderWhateverItsSeeds draws seeds for each process, restarts some or all machines, loses disks, and checks after each
+// step that every process knows the leader.
 func TestEachProcessFindsTheLeaderWhateverItsSeeds(t *testing.T) {
 	for _, seed := range seedsToPlay(searchSeedsVariable, simSeedVariable, searchSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -187,7 +187,7 @@
 	}
 }
 
-// searchScenario draws what happens, round by round, until a process does not find the leader.
+// searchScenario injects random faults, round by round, until a process does not find the leader.
 func searchScenario(network *simNetwork) []string {
 	faults := &simFaults{network: network, group: simGroups[0]}
 	for range searchRounds {
@@ -216,7 +216,7 @@
 	return nil
 }
 
-// drawSeeds gives each process seeds of its own, at times the same to all.
+// drawSeeds draws seeds for each process, at times the same for all.
 func (n *simNetwork) drawSeeds() {
 	n.setAllSeeds(n.drawnSeeds())
 	if n.chance(0.5) {
--- a/internal/controlplane/lease_duration_test.go
+++ b/internal/controlplane/lease_duration_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// A leader that could grant longer leases grants what is recorded, until a longer one is.
+// A leader that could grant longer leases is limited to the recorded duration until a longer one is recorded.
 func TestNoLongerLeaseIsGrantedThanIsRecorded(t *testing.T) {
 	now := time.Now()
 	state := &rpc.ControlState{StoreLeaseMs: 1000, Stores: []*rpc.StoreMember{{Node: "s", Incarnation: "1", Disk: "d"}}}
--- a/internal/controlplane/membership_test.go
+++ b/internal/controlplane/membership_test.go
@@ -48,12 +48,12 @@
 	must.True(t, planVoters(testVoters("a", "b", "c"), "a", peersOf("a", "c"), 3, time.Hour).isEmpty())
 }
 
-// A machine may be lost as soon as the successor of an earlier loss has run for syncS. Until then the voters must be
-// three live ones again, also where the lost one led and the others join the new leader one joinInterval late.
+// A machine may fail as soon as the successor of an earlier lost one has run for syncS. Until then there must be three live voters
+// again, even if the lost machine was the leader and the others send their Join to the new leader one joinInterval late.
 func TestLostLeaderIsExchangedBeforeTheNextMachineMayBeLost(t *testing.T) {
 	const (
 		syncS    = 4400 * time.Millisecond
-		election = 1200 * time.Millisecond // the lease of the lost leader, and the votes
+		election = 1200 * time.Millisecond // remaining lease of the lost leader, and the votes
 	)
 	lost := time.Unix(1000, 0)
 	began := lost.Add(election)
--- a/internal/controlplane/model_test.go
+++ b/internal/controlplane/model_test.go
@@ -16,27 +16,27 @@
 const (
 	modelStep       = 50 * time.Millisecond
 	modelCopies     = 2
-	renewalSteps    = 8 // steps
-	maxCommitSteps  = 6 // steps that a commit may take
+	renewalSteps    = 8
+	maxCommitSteps  = 6 // maximum steps that a commit takes
 	eventKinds      = 8
-	streamOneStepIn = 12 // one in so many steps carries the newest table to a store
+	streamOneStepIn = 12 // in a step, the latest map reaches a store with probability 1/streamOneStepIn
 )
 
-// modelStore is a store process on a virtual clock. It acts for a partition while its lease is valid and the
-// table that it knows names its incarnation.
+// modelStore is a store process on a virtual clock. It acts for a partition while its lease is valid and the map that
+// it knows names its incarnation as the owner.
 type modelStore struct {
 	node           string
-	run            int // counts the starts
+	run            int // number of starts
 	running        bool
-	cut            bool // nothing reaches it
+	cut            bool // nothing reaches it or comes from it
 	leaving        bool
 	impaired       bool
 	knownState     *rpc.ControlState
 	leaseEnd       time.Time
-	released       map[uint32]uint64 // epochs under which it stopped to act
-	renewIn        int               // steps
-	delayedRenewal *rpc.RenewRequest // of an earlier run, held up on its way
-	streamIn       int               // steps until the newest table reaches it; 0 where it has it
+	released       map[uint32]uint64 // by partition: epochs under which it has released it
+	renewIn        int               // steps until the next renewal
+	delayedRenewal *rpc.RenewRequest // a renewal of an earlier run that is still in transit
+	streamIn       int               // steps until the latest map reaches it; 0 if it has it
 }
 
 func (s *modelStore) incarnation() string {
@@ -60,25 +60,25 @@
 	}
 }
 
-// modelWorld is one leader after the other, their committed state, and stores.
+// modelWorld is a sequence of leaders, their committed state, and the stores.
 type modelWorld struct {
 	now       time.Time
 	epoch     uint64
 	term      *term
 	committed *rpc.ControlState
 	stores    []*modelStore
-	proposed  *table // a plan on its way to a majority; nil for none
-	base      uint64 // map version that it was made on
+	proposed  *table // a plan that is being committed; nil for none
+	base      uint64 // map version on which it was made
 	releases  []*release
-	commitIn  int // steps
+	commitIn  int // steps until the plan is committed
 	faultFree bool
 
 	ownLease        time.Duration   // longest lease that the leader grants
-	leaseDurations  []time.Duration // those that leaders may grant; nil for one
-	ignoresRecorded bool            // no leader tells or counts any length but its own
+	leaseDurations  []time.Duration // from which the longest lease of each leader is drawn; nil for the default
+	ignoresRecorded bool            // leaders ignore the recorded duration and assume their own
 }
 
-// drawLease draws the version of the next leader.
+// drawLease draws the longest lease that the next leader grants.
 func (w *modelWorld) drawLease(draw func(below int) int) time.Duration {
 	if w.leaseDurations == nil {
 		return defaultStoreLease
@@ -86,7 +86,7 @@
 	return w.leaseDurations[draw(len(w.leaseDurations))]
 }
 
-// recordLease records the length of leases, given that some of the versions were heard, the leader's among them.
+// recordLease records the lease duration, given joins of the leader and of processes with some of leaseDurations.
 func (w *modelWorld) recordLease(draw func(below int) int) {
 	recent := []peer{{id: "leader", disk: true, storeLease: w.ownLease}}
 	for _, length := range w.leaseDurations {
@@ -114,7 +114,7 @@
 	return w
 }
 
-// changeLeader begins a new term. What its predecessor had proposed may have been committed or not.
+// changeLeader starts a new term. The proposal in progress is dropped.
 func (w *modelWorld) changeLeader(draw func(below int) int) {
 	w.epoch++
 	w.proposed = nil
@@ -133,7 +133,7 @@
 	}
 }
 
-// advance lets one step of time pass.
+// advance simulates one step.
 func (w *modelWorld) advance(draw func(below int) int) {
 	w.now = w.now.Add(modelStep)
 	w.plan(draw)
@@ -200,7 +200,7 @@
 	}
 }
 
-// release gives up what the store is asked for.
+// release releases the partitions that the known map asks the store for.
 func (w *modelWorld) release(store *modelStore) {
 	for partition, ownership := range store.knownState.Partitions {
 		mine := ownership.Node == store.node && ownership.Incarnation == store.incarnation()
@@ -215,7 +215,7 @@
 	}
 }
 
-// doubleOwner is the invariant: no two processes act for a partition at a time. It is empty where that holds.
+// doubleOwner checks the invariant that no two processes act for a partition at the same time. It returns a description of a violation, or "".
 func (w *modelWorld) doubleOwner() string {
 	for partition := range partitionCount {
 		acting := ""
@@ -232,7 +232,7 @@
 	return ""
 }
 
-// disturb changes the fortune of one store, or of the leader. Only the first kinds of events happen.
+// injectFault changes the condition of a store, or the leader. It draws from the first kinds of events.
 func (w *modelWorld) injectFault(draw func(int) int, kinds int) {
 	store := w.stores[draw(len(w.stores))]
 	switch draw(kinds) {
@@ -282,7 +282,7 @@
 	}
 }
 
-// settle ends all trouble and waits for balance.
+// settle ends all faults and waits until the partitions are balanced.
 func (w *modelWorld) settle(t *rapid.T, draw func(int) int) {
 	w.faultFree = true
 	for _, store := range w.stores {
@@ -326,7 +326,7 @@
 	}
 }
 
-// spreadOf is the difference between the stores with the most and the fewest partitions.
+// spreadOf returns the difference between the largest and the smallest number of partitions of a store.
 func spreadOf(state *rpc.ControlState, owned map[string]int) int {
 	fewest, most := partitionCount, 0
 	for _, store := range activeStores(state) {
@@ -338,10 +338,10 @@
 	return most - fewest
 }
 
-// modelVersions are lengths of leases of versions that lead in turn.
+// modelVersions are the lease durations of versions that lead in turn.
 var modelVersions = []time.Duration{time.Second, defaultStoreLease, 2 * time.Second, 3 * time.Second}
 
-// TestNoTwoStoresActUnderLeadersOfDifferentVersions has each leader grant leases of another length.
+// TestNoTwoStoresActUnderLeadersOfDifferentVersions lets successive leaders grant leases of different durations.
 func TestNoTwoStoresActUnderLeadersOfDifferentVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		double, lengths := playVersions(rapid.Uint64Range(0, 1<<20).Draw(t, "seed"), false)
@@ -350,7 +350,7 @@
 	})
 }
 
-// TestModelNoticesLeadersThatCountTheirOwnLeaseAlone shows that the model tells of it.
+// TestModelNoticesLeadersThatCountTheirOwnLeaseAlone checks that the model detects leaders that ignore the recorded lease duration.
 func TestModelNoticesLeadersThatCountTheirOwnLeaseAlone(t *testing.T) {
 	const maxSeeds = 300
 	for seed := range uint64(maxSeeds) {
@@ -362,7 +362,7 @@
 	t.Fatalf("not noticed under %d seeds", maxSeeds)
 }
 
-// playVersions returns what was seen of two stores that act for a partition, and how many lengths of leases were recorded.
+// playVersions returns a description of two stores that act for the same partition, if any, and the number of recorded lease durations.
 func playVersions(seed uint64, ignoresRecorded bool) (double string, lengths int) {
 	const steps, calm = 1000, 25
 	draw := seededDraws(seed)
@@ -404,7 +404,7 @@
 	})
 }
 
-// run plays a model without events.
+// run runs a model without faults.
 func run(t *testing.T, w *modelWorld, steps int, draw func(int) int) {
 	t.Helper()
 	for range steps {
@@ -453,7 +453,7 @@
 	must.False(t, findStore(w.committed.Stores, w.stores[0].node).Leaving)
 }
 
-// owned counts the partitions that each store owns by the committed table.
+// owned counts the partitions of each store in the committed map.
 func (w *modelWorld) owned() map[string]int {
 	owned := make(map[string]int)
 	for _, ownership := range w.committed.Partitions {
@@ -472,7 +472,7 @@
 	ill.impaired = true
 	run(t, w, 6*second, draw)
 	must.Eq(t, 0, w.owned()[ill.node])
-	must.Len(t, 4, activeStores(w.committed)) // its copies count as before
+	must.Len(t, 4, activeStores(w.committed)) // its copies still count
 	ill.impaired = false
 	run(t, w, 12*second, draw)
 	must.Eq(t, partitionCount/4, w.owned()[ill.node])
--- a/internal/controlplane/planner_test.go
+++ b/internal/controlplane/planner_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// The planner looks at the moment when a lease is certainly over, since its partitions have no other way to an owner that runs.
+// The planner must run when a lease is certainly over, since nothing else moves its partitions to a running owner.
 func TestPlannerRunsWhenALeaseIsOver(t *testing.T) {
 	w := newTermFixture(t)
 	for _, request := range w.requests {
@@ -28,7 +28,7 @@
 	must.Eq(t, maxPlanInterval, w.term.nextPlanDelay(over))
 }
 
-// renewedAt is when a store renewed its lease last.
+// renewedAt returns when a store last renewed its lease.
 func (n *simNetwork) renewedAt(store string) time.Time {
 	term := n.leader().running().server.currentTerm()
 	term.mutex.Lock()
@@ -36,7 +36,7 @@
 	return term.stores[store].renewedAt
 }
 
-// A store that is gone owns partitions no longer than its lease may last, and what a plan and its commit take.
+// A lost store owns partitions for at most its lease, the margin, and the time that a plan and its commit take.
 func TestPartitionsOfALostStoreMoveOnceItsLeaseIsOver(t *testing.T) {
 	directory := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/controlplane/power_loss_test.go
+++ b/internal/controlplane/power_loss_test.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	powerLossMembersVariable = "DARK_MEMBERS" // plays so many stores and dispatchers
+	powerLossMembersVariable = "DARK_MEMBERS" // number of stores and dispatchers
 	powerLossMembers         = 300
 	powerLossMembersRace     = 60 // with the race detector
-	membersPerStore          = 5  // one of so many members is a store
+	membersPerStore          = 5  // of this many members, one is a store
 	powerLossRoutes          = 1440
 	simLinkMbps              = 100
-	simWarmUp                = 14 * time.Second       // from the start to the dark
-	stableLeaderTime         = 5 * time.Second        // that the leader must last once all are served
-	maxHeartbeatWait         = 175 * time.Millisecond // a quarter of the leader's lease
-	electionTime             = 2 * time.Second        // until somebody leads, and all have found it
+	simWarmUp                = 14 * time.Second       // from the start to the first fault
+	stableLeaderTime         = 5 * time.Second        // time for which the leader must remain after all members are served
+	maxHeartbeatWait         = 175 * time.Millisecond // a quarter of the duration of the leader's lease
+	electionTime             = 2 * time.Second        // until there is a leader that all members have found
 )
 
-// manyRoutes is a configuration whose routes have names as different as an operator's.
+// manyRoutes returns a configuration whose route names compress as badly as those of real operators.
 func manyRoutes(version uint64) string {
 	random := rand.New(rand.NewPCG(1, 1))
 	names := make([]string, powerLossRoutes)
@@ -36,9 +36,9 @@
 	return configWith(int(version), names...)
 }
 
-// TestAllMachinesReturnFromPowerLossAtOnce has all machines lose power and come back at one moment, and again a leader alone. All of them need the
-// configuration of the leader, over links of which heartbeats must take their part: the first to lead stays the leader, and all are served
-// within twice the time that the bytes need on one link.
+// TestAllMachinesReturnFromPowerLossAtOnce powers all machines off and on at the same time, and then kills the leader. All members need the
+// leader's configuration over links that heartbeats share: the first leader must remain the leader, and all members must be served within
+// twice the time that sending the bytes over one link takes.
 func TestAllMachinesReturnFromPowerLossAtOnce(t *testing.T) {
 	directory := t.TempDir()
 	members := powerLossMembers
@@ -81,15 +81,15 @@
 	})
 }
 
-// bytesForAll is the length of what all members need that hold nothing.
+// bytesForAll returns the number of bytes that all members need if they hold nothing.
 func (n *simNetwork) bytesForAll() int {
 	state := n.leader().running().server.state.committed()
 	needed := len(configPart(state).Data) + len(mapPart(state, n.tolerance+1).Data)
 	return needed * len(n.members)
 }
 
-// mustBeServedByOneLeader waits until all members are served, and checks that one leader was enough and that no heartbeat waited long. It
-// returns how many bytes were streamed meanwhile.
+// mustBeServedByOneLeader waits until all members are served, and checks that there was only one leader and that no heartbeat was delayed for
+// long. It returns the number of bytes streamed in that time.
 func (n *simNetwork) mustBeServedByOneLeader(moment string, within time.Duration) int {
 	began, epochs := time.Now(), map[uint64]bool{}
 	n.links.longestHeartbeatWait()
--- a/internal/controlplane/repair_test.go
+++ b/internal/controlplane/repair_test.go
@@ -9,7 +9,7 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// termFixture is a term with three stores that hold leases, of which the last is being emptied and owns nothing.
+// termFixture is a term with three stores that hold leases, of which the last is retiring and owns no partition.
 type termFixture struct {
 	t        *testing.T
 	now      time.Time
@@ -38,7 +38,7 @@
 	return w
 }
 
-// run renews all stores and plans for a time, and reports whether the retirement has completed.
+// run renews all stores and plans for a time, and reports whether the retirement completed.
 func (w *termFixture) run(length time.Duration) bool {
 	const step = 100 * time.Millisecond
 	for end := w.now.Add(length); w.now.Before(end); w.now = w.now.Add(step) {
@@ -60,7 +60,7 @@
 	must.True(t, w.run(time.Second))
 }
 
-// A store that does not know yet that it is being emptied may still take copies that count.
+// A store that does not know yet that it is retiring may still accept copies that count.
 func TestRetirementWaitsUntilTheStoreKnowsOfIt(t *testing.T) {
 	w := newTermFixture(t)
 	w.requests[2].MapVersion = 4
@@ -70,7 +70,7 @@
 	must.True(t, w.run(time.Second))
 }
 
-// A holder tells of copies that their owner may not know; so does the store that is being emptied.
+// A store reports copies that their owner may not know of; the retiring store may do so too.
 func TestRetirementWaitsForCopiesThatTheOwnerMayNotKnow(t *testing.T) {
 	for _, holder := range []int{1, 2} {
 		w := newTermFixture(t)
@@ -84,7 +84,7 @@
 	}
 }
 
-// It waits for those alone that were begun to be placed before the store was known to leave, or nobody knows when.
+// Retirement waits only for copies whose placement began before the map marked the store as leaving, or at an unknown time.
 func TestRetirementWaitsForUnconfirmedCopiesByTheirTable(t *testing.T) {
 	for _, holder := range []int{1, 2} {
 		w := newTermFixture(t)
@@ -101,7 +101,7 @@
 	}
 }
 
-// Copies that were begun to be placed once the store was known to leave have no copy there, also where they come all the time.
+// A message whose placement began after the map marked the store as leaving has no copy there, so retirement doesn't wait for it.
 func TestRetirementDoesNotWaitForLaterCopies(t *testing.T) {
 	w := newTermFixture(t)
 	w.requests[1].UnderCopied, w.requests[1].Unconfirmed, w.requests[1].UnconfirmedUnder = 3, 3, 5
@@ -120,7 +120,7 @@
 	return w
 }
 
-// isWhole renews all stores for a time, and reports whether the lost disk counts as made up for.
+// isWhole renews all stores for a time, and reports whether the store with the lost disk counts as whole.
 func (w *termFixture) isWhole(length time.Duration) bool {
 	const step = 100 * time.Millisecond
 	for end := w.now.Add(length); w.now.Before(end); w.now = w.now.Add(step) {
@@ -136,7 +136,7 @@
 	return false
 }
 
-// A disk that replaces a lost one is not whole while a holder tells of copies that their owner may not know.
+// A disk that replaces a lost one is not whole while a store reports copies that their owner may not know of.
 func TestDiskIsNotWholeWhileAHolderTellsOfUnknownCopies(t *testing.T) {
 	w := newLostDiskFixture(t)
 	w.requests[1].UnderCopied = 2
@@ -145,7 +145,7 @@
 	must.True(t, w.isWhole(2*time.Second))
 }
 
-// Those that were begun to be placed under a table with the new disk have no copy on the lost one.
+// Messages whose placement began under a map with the new disk have no copy on the lost one.
 func TestDiskIsNotWholeWhileCopiesOfBeforeItsTableAreUnconfirmed(t *testing.T) {
 	w := newLostDiskFixture(t)
 	w.requests[1].UnderCopied, w.requests[1].Unconfirmed = 2, 2
@@ -157,12 +157,12 @@
 	must.True(t, w.isWhole(2*time.Second))
 }
 
-// A store that is away for long is given up once owners know the copies that were begun to be placed before it was known to be leaving.
+// A silent store is removed once the owners know of the copies whose placement began before the map marked it as leaving.
 func TestSilentStoreIsGivenUpBesideLaterCopies(t *testing.T) {
 	for _, placedUnder := range []uint64{4, 5} {
 		w := newTermFixture(t)
 		w.state.Retirements = nil
-		w.state.Stores[2].Leaving = true // as an earlier look has left it
+		w.state.Stores[2].Leaving = true // as an earlier plan has left it
 		w.requests[0].MapVersion, w.requests[1].MapVersion = 5, 5
 		w.requests[1].UnderCopied, w.requests[1].Unconfirmed, w.requests[1].UnconfirmedUnder = 1, 1, placedUnder
 		w.requests = w.requests[:2]
@@ -181,7 +181,7 @@
 	}
 }
 
-// What a disk may have lost was begun under tables before the first one that names its successor.
+// The copies that a lost disk may have held were placed under maps before the first one that contains its successor.
 func TestFirstMapWithDisk(t *testing.T) {
 	state := &rpc.ControlState{MapVersion: 5, Stores: []*rpc.StoreMember{{Node: "store-0", Disk: "disk-0"}}}
 	must.EqOp(t, 5, firstMapWithDisk(state, &rpc.StoreMember{Node: "store-0", Disk: "disk-0"}))
--- a/internal/controlplane/retire_test.go
+++ b/internal/controlplane/retire_test.go
@@ -10,7 +10,7 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// releaseRequested gives up what the newest map asks a store for.
+// releaseRequested releases the partitions that the latest map asks a store for.
 func (s *testStore) releaseRequested(newest *receivedView) {
 	var asked []*rpc.PartitionEpoch
 	_ = newest.check(func(view *rpc.View) error {
@@ -27,7 +27,7 @@
 	}
 }
 
-// assignPartitions renews stores until all partitions have owners among them.
+// assignPartitions renews stores until all partitions are assigned to them.
 func assignPartitions(t *testing.T, stores []*testStore, newest *receivedView) {
 	t.Helper()
 	eventually(t, func() error {
@@ -87,7 +87,7 @@
 	})
 }
 
-// awaitEmpty plays stores until one owns nothing.
+// awaitEmpty renews stores and releases partitions until one store owns none.
 func awaitEmpty(t *testing.T, stores []*testStore, newest *receivedView, node string) {
 	t.Helper()
 	eventually(t, func() error {
--- a/internal/controlplane/scaling_bench_test.go
+++ b/internal/controlplane/scaling_bench_test.go
@@ -11,19 +11,19 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// scalingMachines are sizes of a fleet, of which one machine in membersPerStore is a store.
+// scalingMachines are fleet sizes. One machine in membersPerStore is a store.
 var scalingMachines = []int{30, 300, 3000}
 
 const (
 	scalingCopies  = 3
-	scalingWorkers = 2 // listed for each machine
+	scalingWorkers = 2 // for each machine
 )
 
-// scalingState is the replicated state of a fleet whose stores own the partitions in turn.
+// scalingState returns the replicated state of a fleet whose stores own the partitions in turn.
 func scalingState(machines int) *rpc.ControlState {
 	state := &rpc.ControlState{MapVersion: 1}
 	stores := machines / membersPerStore
-	random := rand.New(rand.NewPCG(1, 1)) // what compresses no better than in service
+	random := rand.New(rand.NewPCG(1, 1)) // random names compress as badly as real ones
 	for number := range stores {
 		renewal := budgetRenewal(number, roleStore)
 		renewal.Incarnation, renewal.Disk = fmt.Sprintf("%016x", random.Uint64()), fmt.Sprintf("%016x", random.Uint64())
@@ -37,7 +37,7 @@
 	return state
 }
 
-// scalingList is a platform's list of workers, of which the last one has another capacity where changed.
+// scalingList returns a list of workers. If changed, the last one has another capacity.
 func scalingList(machines int, changed bool) *rpc.WorkerList {
 	list := &rpc.WorkerList{Epoch: 1, Version: 1}
 	random := rand.New(rand.NewPCG(1, 2))
@@ -52,8 +52,8 @@
 	return list
 }
 
-// BenchmarkFleetSlopes is what grows with the machines of a fleet: the bytes of what one newcomer needs and of a change, the time to encode
-// a table, and the time in which the leader takes the renewals of all.
+// BenchmarkFleetSlopes measures what grows with the size of a fleet: the bytes that a new member needs, the bytes of a change, the time to
+// encode a map, and the time in which the leader handles the renewals of all members.
 func BenchmarkFleetSlopes(b *testing.B) {
 	for _, machines := range scalingMachines {
 		state, list := scalingState(machines), scalingList(machines, false)
--- a/internal/controlplane/sim_checker_test.go
+++ b/internal/controlplane/sim_checker_test.go
@@ -21,41 +21,41 @@
 const (
 	simMinRunTime     = 5 * time.Millisecond
 	simMaxRunTime     = 60 * time.Millisecond
-	simAttemptTimeout = 600 * time.Millisecond // of an attempt, as the route says
+	simAttemptTimeout = 600 * time.Millisecond // for one attempt, as configured for the route
 	simKeys           = 6
-	simMaxDelay       = 4 * time.Second // the longest that a client asks for
+	simMaxDelay       = 4 * time.Second // longest delay that a client requests
 	simCapacity       = 200
-	simQueryWorkers   = 8 // of states, at a time
-	// simStatusRetention is for how long after its end the state of a message must be told: the retention of the routes.
+	simQueryWorkers   = 8 // concurrent goroutines that query the state of messages
+	// simStatusRetention is how long after its end the state of a message must be available: the retention of the routes.
 	simStatusRetention = 90 * time.Second
 )
 
-// simMessage is one message, as its client and the workers saw it.
+// simMessage is a message as its client and the workers see it.
 type simMessage struct {
 	name       string
-	id         string // that it was accepted under
-	key        string // of its order; empty for none
+	id         string // message ID, if it was accepted
+	key        string // order key; empty for none
 	body       []byte
 	sentAt     time.Time
-	acceptedAt time.Time // zero where it was not accepted
-	refused    bool      // the client was told that it never runs
+	acceptedAt time.Time // zero if it was not accepted
+	refused    bool      // the client received a response that the message never runs
 	starts     int
-	endedAt    time.Time // the first success at a worker
+	endedAt    time.Time // first success at a worker
 	stamps     map[string]bool
 }
 
-// simChecker holds what clients and workers saw, and checks the rules.
+// simChecker records what clients and workers observe, and checks the guarantees.
 type simChecker struct {
 	network *simNetwork
 
-	acceptances       chan struct{} // holds the newest acceptance
+	acceptances       chan struct{} // signals the latest acceptance
 	queriesPerMessage int           // dispatchers that are asked for the state of each message; 0 for all
 
 	mutex          sync.Mutex
 	messages       map[string]*simMessage
-	byKey          map[string][]*simMessage // accepted ones
+	byKey          map[string][]*simMessage // accepted messages
 	requests       sync.WaitGroup
-	faultFreeSince time.Time // what is sent later runs once; zero while there is trouble
+	faultFreeSince time.Time // messages sent later must run once; zero while faults are injected
 	violations     []string
 }
 
@@ -63,13 +63,13 @@
 	return &simChecker{network: network, acceptances: make(chan struct{}, 1), messages: map[string]*simMessage{}, byKey: map[string][]*simMessage{}}
 }
 
-// violate notes that a rule was broken. The mutex is held.
+// violate records a violation. Callers hold the lock.
 func (j *simChecker) violate(rule string, m *simMessage, format string, values ...any) {
 	line := fmt.Sprintf("%8.3f %s %s (key %q, sent %.3f): ", time.Since(j.network.started).Seconds(), rule, m.name, m.key, m.sentAt.Sub(j.network.started).Seconds())
 	j.violations = append(j.violations, line+fmt.Sprintf(format, values...))
 }
 
-// send has a client send a message to any dispatcher, and notes the answer.
+// send sends a message from a client to a dispatcher and records the response.
 func (j *simChecker) send(number int) {
 	n := j.network
 	m := &simMessage{name: fmt.Sprintf("m%d", number), sentAt: time.Now(), stamps: map[string]bool{}}
@@ -113,7 +113,7 @@
 	})
 }
 
-// start notes that a worker begins to run a message, and returns its stamp.
+// start records that a worker starts to run a message, and returns the stamp of the run.
 func (j *simChecker) start(job *delivery.Job, store string) (stamp string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -138,7 +138,7 @@
 	return stamp
 }
 
-// checkOwner checks that the newest table that was ever committed gives a message's partition to the store that sends it.
+// checkOwner checks that the latest committed map assigns the partition of a message to the store that sends it.
 func (j *simChecker) checkOwner(job *delivery.Job, store string) {
 	table := j.network.latestState()
 	prefix, _, _ := strings.Cut(job.Name, "-")
@@ -161,7 +161,7 @@
 	}
 }
 
-// acceptedSince counts the messages sent since a moment, and those of them that were accepted.
+// acceptedSince counts the messages sent since a time, and how many of them were accepted.
 func (j *simChecker) acceptedSince(moment time.Time) (accepted, sent int) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -177,7 +177,7 @@
 	return accepted, sent
 }
 
-// accepted returns the messages that were accepted.
+// accepted returns the accepted messages.
 func (j *simChecker) accepted() []*simMessage {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -202,7 +202,7 @@
 	return count
 }
 
-// checkStates asks every dispatcher for every accepted message: all have ended, and all dispatchers say so.
+// checkStates asks the dispatchers for every accepted message: all must have completed, and each dispatcher must report it.
 func (j *simChecker) checkStates() {
 	accepted := j.accepted()
 	share := len(accepted)/simQueryWorkers + 1
@@ -251,7 +251,7 @@
 	return false
 }
 
-// simPlatform lists one worker. It implements http.RoundTripper.
+// simPlatform is a platform API that lists one worker. It implements http.RoundTripper.
 type simPlatform struct{}
 
 // RoundTrip implements http.RoundTripper.
@@ -264,7 +264,7 @@
 	return response, err
 }
 
-// simWorkers plays the delivery engine of a store, and the workers that it calls. It implements storenode.Engine.
+// simWorkers simulates the delivery engine of a store and the workers that it calls. It implements storenode.Engine.
 type simWorkers struct {
 	process *simStoreProcess
 }
@@ -291,7 +291,7 @@
 	}()
 }
 
-// attempt has a worker run the job. Some answers are lost.
+// attempt runs the job at a simulated worker. While calls are being lost, some responses of workers are lost too.
 func (w *simWorkers) attempt(job *delivery.Job, guard func() bool) delivery.Outcome {
 	n := w.process.machine.network
 	time.Sleep(n.delay())
--- a/internal/controlplane/sim_links_test.go
+++ b/internal/controlplane/sim_links_test.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	linkWindowBytes   = 64 << 10 // bytes of one connection that wait on a link at a time
-	callOverheadBytes = 400      // bytes of the heads of a call or an answer
+	linkWindowBytes   = 64 << 10 // bytes of one connection that may be queued on a link
+	callOverheadBytes = 400      // bytes of the headers of a request or response
 	replicatePath     = "/Replicate"
 )
 
-// simLinks are the links of machines: all that a machine sends leaves one after the other, at one rate.
+// simLinks are the outgoing links of machines. Everything that a machine sends is queued on its link and sent at one rate.
 type simLinks struct {
-	rate float64 // bytes a second
+	rate float64 // bytes per second
 
 	mutex         sync.Mutex
-	idleFrom      map[string]time.Time // when a link has sent all that it was given, by address
+	idleFrom      map[string]time.Time // by address: when the link has sent everything that is queued
 	streamed      int                  // bytes of all streams
-	heartbeatWait time.Duration        // the longest that a heartbeat or its answer waited for what was before it
+	heartbeatWait time.Duration        // longest time that a heartbeat or its response was queued
 }
 
 func newSimLinks(rate float64) *simLinks {
 	return &simLinks{rate: rate, idleFrom: map[string]time.Time{}}
 }
 
-// send returns once bytes have left a machine.
+// send returns once the given number of bytes has been sent.
 func (l *simLinks) send(from, path string, length int) {
 	if l == nil {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// put puts bytes on a link and returns when they will have left.
+// enqueue queues bytes on a link and returns the time until they are sent.
 func (l *simLinks) enqueue(from, path string, length int) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -53,14 +53,14 @@
 	return left
 }
 
-// streamedBytes returns what all streams have sent.
+// streamedBytes returns the number of bytes sent on all streams.
 func (l *simLinks) streamedBytes() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.streamed
 }
 
-// longestHeartbeatWait returns the longest wait since it was asked last.
+// longestHeartbeatWait returns the longest queueing time of a heartbeat since the previous call.
 func (l *simLinks) longestHeartbeatWait() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/controlplane/sim_machine_test.go
+++ b/internal/controlplane/sim_machine_test.go
@@ -20,7 +20,7 @@
 	"foldlb.example/foldlb/internal/storenode"
 )
 
-// Stores and dispatchers of the simulation are the product's own, with messages. The workers that stores call are a stand-in.
+// The simulation runs the real stores and dispatchers, with messages. The workers that stores call are simulated.
 
 const (
 	simStorePort   = 7000
@@ -40,15 +40,15 @@
 	zone    string
 	ip      string
 	address string
-	disks   int // folders made so far
+	disks   int // number of data directories created so far
 
-	// Guarded by the mutex of the network.
+	// The following fields are guarded by the mutex of the network.
 	process    *simStoreProcess // nil while none runs
-	poweredOff bool             // without power: nothing is refused, all is silent
-	stalled    chan struct{}    // the disk answers nothing until it is closed; nil while it does
+	poweredOff bool             // powered off: connections are not refused but time out
+	stalled    chan struct{}    // non-nil while the disk does not respond; closed at the end of the stall
 }
 
-// simStoreProcess is one life of a store.
+// simStoreProcess is one run of a store.
 type simStoreProcess struct {
 	machine *simStore
 	folder  string
@@ -56,19 +56,19 @@
 	dead    chan struct{} // closed when it ends
 
 	mutex  sync.Mutex
-	synced int64 // bytes of the log that a sync has covered
+	synced int64 // length of the log's synced part in bytes
 }
 
 func zoneName(number int) string { return fmt.Sprintf("zone-%d", number) }
 
-// addStores makes stores that do not run yet, in zones of their own.
+// addStores adds stores in separate zones without starting them.
 func (n *simNetwork) addStores(count int) {
 	for range count {
 		n.addStore()
 	}
 }
 
-// addStore makes a store that does not run yet, in a zone of its own. No other store has ever had its name.
+// addStore adds a store in a zone of its own without starting it. Names are not reused.
 func (n *simNetwork) addStore() *simStore {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -80,7 +80,7 @@
 	return store
 }
 
-// remove takes the power of a store's machine for good, and its disk with it.
+// remove powers a store's machine off permanently and discards its disk.
 func (s *simStore) remove() {
 	s.loseDisk()
 	s.network.mutex.Lock()
@@ -103,7 +103,7 @@
 	return s.process
 }
 
-// start begins a life of the store, if none runs.
+// start starts the store if it is not running.
 func (s *simStore) start() {
 	n := s.network
 	if s.running() != nil {
@@ -132,7 +132,7 @@
 	n.logEvent("%s starts, disk %d", s.name, s.disks)
 }
 
-// kill ends the process at once. Without power its disk keeps what was synced and no more.
+// kill ends the process at once. With powerLoss its disk keeps only what was synced.
 func (s *simStore) kill(powerLoss bool) {
 	n := s.network
 	n.mutex.Lock()
@@ -150,20 +150,20 @@
 		content = content[:min(process.synced, int64(len(content)))]
 		process.mutex.Unlock()
 	}
-	s.newDisk() // what the process still does as it ends is not seen
+	s.newDisk() // discards writes of the process while it ends
 	must.NoError(n.t, os.WriteFile(filepath.Join(s.folder(), messageLog), content, 0o644))
 	go func() { _ = process.node.Close() }()
 	n.logEvent("%s is killed, power lost %t, %d bytes", s.name, powerLoss, len(content))
 }
 
-// loseDisk takes the power and the disk.
+// loseDisk powers the machine off and replaces its disk by an empty one.
 func (s *simStore) loseDisk() {
 	s.kill(true)
 	s.newDisk()
 	s.network.logEvent("%s loses its disk", s.name)
 }
 
-// stall has the disk answer nothing until the function returned is called.
+// stall makes the disk not respond until the returned function is called.
 func (s *simStore) stall() (heal func()) {
 	stalled := make(chan struct{})
 	s.network.mutex.Lock()
@@ -177,7 +177,7 @@
 	}
 }
 
-// sync takes the time of a disk, and notes what the log's file holds for good after it.
+// sync takes as long as a disk sync and records the length of the log that is then durable.
 func (p *simStoreProcess) sync(commit func() error) error {
 	n := p.machine.network
 	time.Sleep(n.between(time.Millisecond, simMaxSyncTime))
@@ -212,13 +212,13 @@
 	name    string
 	zone    string
 
-	// Guarded by the mutex of the network.
+	// The following fields are guarded by the mutex of the network.
 	process *ingest.Process // nil while none runs
 	cancel  context.CancelFunc
 	dead    chan struct{} // closed when it ends
 }
 
-// addDispatchers makes dispatchers that do not run yet.
+// addDispatchers adds dispatchers without starting them.
 func (n *simNetwork) addDispatchers(count int) {
 	for number := range count {
 		n.dispatchers = append(n.dispatchers, &simDispatcher{network: n, name: fmt.Sprintf("front-%d", number), zone: zoneName(number)})
@@ -256,20 +256,20 @@
 	f.network.logEvent("%s is killed", f.name)
 }
 
-// simAnswer is what a client of a dispatcher learns; status is 0 where no answer came.
+// simAnswer is the response that a client of a dispatcher receives; status is 0 if there was none.
 type simAnswer struct {
 	status int
-	id     string // of the message
+	id     string // message ID
 	body   []byte
 }
 
-// ask sends a request to the dispatcher, and waits for its answer no longer than a client does.
+// call sends a request to the dispatcher and waits at most simCallTime for the response.
 func (f *simDispatcher) call(method, path string, headers map[string]string, body []byte) simAnswer {
 	f.network.mutex.Lock()
 	process, dead := f.process, f.dead
 	f.network.mutex.Unlock()
 	if process == nil {
-		return simAnswer{status: http.StatusServiceUnavailable} // the connection is refused
+		return simAnswer{status: http.StatusServiceUnavailable} // connection refused
 	}
 	answers := make(chan simAnswer, 1)
 	go func() {
@@ -299,7 +299,7 @@
 	return simAnswer{}
 }
 
-// callUntilDefinite asks until there is an answer other than that the client may come back, a few times.
+// callUntilDefinite repeats a request up to simTries times until the response is neither missing nor 503.
 func (f *simDispatcher) callUntilDefinite(method, path string) simAnswer {
 	for range simTries {
 		answer := f.call(method, path, nil, nil)
--- a/internal/controlplane/sim_member_test.go
+++ b/internal/controlplane/sim_member_test.go
@@ -28,27 +28,27 @@
 	streamPath     = "/internal/watch"
 )
 
-// TestMain starts the goroutine that delivers signals, which lasts for ever, outside of any simulation.
+// TestMain starts the goroutine that delivers signals, which never ends, outside of the synctest bubbles.
 func TestMain(m *testing.M) {
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 	m.Run()
 }
 
-// simMember is a store or dispatcher machine as the control plane sees it: the product's client of it, without messages.
+// simMember is a store or dispatcher machine reduced to the real client of the control plane, without messages.
 type simMember struct {
 	network *simNetwork
 	role    string
 	name    string
 	starts  int
-	client  *clusterclient.Client // nil while it does not run
+	client  *clusterclient.Client // nil while it is not running
 	cancel  context.CancelFunc
 	dead    chan struct{} // closed when the process ends
 }
 
-// addMembers makes members that do not run yet.
+// addMembers adds the usual number of members without starting them.
 func (n *simNetwork) addMembers() { n.addManyMembers(simStores, simDispatchers) }
 
-// addManyMembers is addMembers for numbers of stores and dispatchers.
+// addManyMembers is like addMembers for the given numbers of stores and dispatchers.
 func (n *simNetwork) addManyMembers(stores, dispatchers int) {
 	for number := range stores {
 		n.members = append(n.members, &simMember{network: n, role: clusterclient.RoleStore, name: fmt.Sprintf("store-%d", number)})
@@ -58,7 +58,7 @@
 	}
 }
 
-// startMembers starts the members, stores and dispatchers that do not run.
+// startMembers starts the members, stores and dispatchers that are not running.
 func (n *simNetwork) startMembers() {
 	for _, store := range n.stores {
 		store.start()
@@ -73,7 +73,7 @@
 	}
 }
 
-// stopMembers ends all members, stores and dispatchers at one moment, with or without a loss of power.
+// stopMembers ends all members, stores and dispatchers at the same time, with or without a power loss.
 func (n *simNetwork) stopMembers(powerLoss bool) {
 	for _, store := range n.stores {
 		store.kill(powerLoss)
@@ -88,7 +88,7 @@
 
 func (m *simMember) incarnation() string { return fmt.Sprintf("%08x-%s", m.starts, m.name) }
 
-// start begins a life of the process, which knows nothing but its settings.
+// start starts a process, which initially knows only its settings.
 func (m *simMember) start() {
 	m.starts++
 	ctx, cancel := context.WithCancel(context.Background())
@@ -116,7 +116,7 @@
 	m.client = nil
 }
 
-// isServed reports whether the member acts by the newest committed state: it holds that, and its lease or a confirmation of it.
+// isServed reports whether the member holds the latest committed configuration and map, a valid lease, and a confirmation of that configuration.
 func (m *simMember) isServed(state *rpc.ControlState) bool {
 	view := m.client.View()
 	if view.ConfigVersion != state.ConfigVersion || view.Map.GetVersion() != state.MapVersion {
@@ -125,14 +125,14 @@
 	return m.client.LeaseValid() && m.client.ConfigConfirmed(view.ConfigVersion)
 }
 
-// ownsAsItRuns reports whether the partitions given to the member name the process that runs.
+// ownsAsItRuns reports whether every ownership of the member names its running incarnation.
 func (m *simMember) ownsAsItRuns(state *rpc.ControlState) bool {
 	return !slices.ContainsFunc(state.Partitions, func(owned *rpc.Ownership) bool {
 		return owned.Node == m.name && owned.Incarnation != m.incarnation()
 	})
 }
 
-// unserved lists the members that run and are not served, but for stores that were emptied, and partitions without an owner that runs.
+// unserved describes the running members that are not served, except retired stores, and the lack of partition owners.
 func (n *simNetwork) unserved() []string {
 	leader := n.leader()
 	if leader == nil {
@@ -154,7 +154,7 @@
 	return lines
 }
 
-// awaitService waits until every member is served, and lists what is not once the time for it has passed.
+// awaitService waits until every member is served. After the timeout it returns a description of those that are not.
 func (n *simNetwork) awaitService(within time.Duration) []string {
 	var unserved []string
 	for end := time.Now().Add(within); time.Now().Before(end); {
@@ -167,7 +167,7 @@
 	return append(unserved, n.describe()...)
 }
 
-// simMemberTransport is the way of a member to the control processes. It implements http.RoundTripper.
+// simMemberTransport carries the calls of a member to the control processes. It implements http.RoundTripper.
 type simMemberTransport struct {
 	network *simNetwork
 	from    string
@@ -185,7 +185,7 @@
 	return t.network.carry(t.from, t.dead, request)
 }
 
-// stream opens a response without end.
+// stream opens a streaming response.
 func (n *simNetwork) stream(from string, callerDead <-chan struct{}, request *http.Request) (*http.Response, error) {
 	target, err := n.connect(from, callerDead, request)
 	if err != nil {
@@ -219,14 +219,14 @@
 	return response, nil
 }
 
-// simStreamWriter takes what a control process streams. What is cut off on its way is never read.
+// simStreamWriter receives what a control process streams. Data sent while the link is cut is never delivered.
 type simStreamWriter struct {
 	*httptest.ResponseRecorder
 	network  *simNetwork
 	from, to string
 	pipe     *io.PipeWriter
 	ctx      context.Context // of the caller
-	begun    chan struct{}   // closed once the head of the answer is written
+	begun    chan struct{}   // closed once the response headers are written
 	hasBegun bool
 }
 
@@ -258,5 +258,5 @@
 	return w.pipe.Write(data)
 }
 
-// SetWriteDeadline is there for http.ResponseController; a cut ends with the caller's patience instead.
+// SetWriteDeadline exists for http.ResponseController; a write to a cut link ends with the caller's context instead.
 func (w *simStreamWriter) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/controlplane/sim_network_test.go
+++ b/internal/controlplane/sim_network_test.go
@@ -27,73 +27,73 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// The simulation runs control processes as they are, on real records, in virtual time and over a network of its own.
+// The simulation runs the real control processes on real record files, in virtual time and over a simulated network.
 
 var (
 	errSimRefused = errors.New("simulation: connection refused")
 	errSimReset   = errors.New("simulation: connection reset")
 )
 
-// simNetwork carries calls between control processes and from operators.
+// simNetwork carries calls between control processes, members and operators.
 type simNetwork struct {
 	t         *testing.T
 	directory string
 	seeds     []string
-	tolerance int // machines that may be lost at one time
+	tolerance int // machines that may fail at the same time
 	started   time.Time
 	ended     chan struct{} // closed at the end of the simulation
 
 	mutex         sync.Mutex
 	random        *rand.Rand
 	servers       []*simServer
-	members       []*simMember         // belong to the goroutine that plays the course
-	stores        []*simStore          // none where members are enough
-	storesMade    int                  // also those that were taken away
-	dispatchers   []*simDispatcher     // likewise
-	checker       *simChecker          // of their messages
-	route         string               // that messages are sent on
+	members       []*simMember         // accessed only by the goroutine that runs the scenario
+	stores        []*simStore          // empty if the test needs only members
+	storesMade    int                  // number of stores ever added, including removed ones
+	dispatchers   []*simDispatcher     // empty if the test needs only members
+	checker       *simChecker          // checks the messages
+	route         string               // on which messages are sent
 	cuts          map[[2]string]bool   // links that carry nothing, by sender and receiver
-	stalledUntil  map[string]time.Time // addresses from and to which nothing moves until a moment
-	lossRate      float64              // share of calls whose request or answer is lost
-	rate          int                  // bytes a second of each call; 0 for no bound
-	noDelays      bool                 // nothing is late on its way
-	links         *simLinks            // what all calls and streams of a machine share; nil for no bound
-	receivedBytes map[string]int       // bytes of requests that came, by receiver
-	transfers     map[string][]string  // versions of the contents that came, by receiver; once for each time
+	stalledUntil  map[string]time.Time // by address: end of the time in which nothing is sent or received
+	lossRate      float64              // share of calls whose request or response is lost
+	rate          int                  // bytes per second of each call; 0 for no limit
+	noDelays      bool                 // no call is delayed by more than the usual latency
+	links         *simLinks            // links shared by all calls and streams of a machine; nil for no limit
+	receivedBytes map[string]int       // bytes of received requests, by receiver
+	transfers     map[string][]string  // state versions received by Replicate, by receiver, including repeated ones
 	trace         []string
 }
 
-// simServer is what runs at one address. It outlives processes and disks.
+// simServer is the machine at one address. It outlives processes and disks.
 type simServer struct {
 	network  *simNetwork
 	address  string
 	zone     string
 	seeds    []string // in its settings; nil for those of the network
-	diskless bool     // it runs without a disk, and so has no vote
-	disks    int      // folders made so far
+	diskless bool     // runs without a disk and so has no vote
+	disks    int      // number of data directories created so far
 	version  simVersion
 
-	// Guarded by the mutex of the network.
+	// The following fields are guarded by the mutex of the network.
 	process    *simProcess   // nil while none runs
-	processes  []*simProcess // all that ever ran, in turn
-	poweredOff bool          // without power: nothing is refused, all is silent
-	removed    bool          // for good
+	processes  []*simProcess // all that ever ran, in order
+	poweredOff bool          // powered off: connections are not refused but time out
+	removed    bool          // permanently
 }
 
-// simVersion is what versions of the program differ in. The zero value is the present one.
+// simVersion contains the differences between program versions. The zero value is the current one.
 type simVersion struct {
 	timing     failover.Timing
 	storeLease time.Duration
 }
 
-// simProcess is one life of a control process.
+// simProcess is one run of a control process.
 type simProcess struct {
 	server *Server
 	cancel context.CancelFunc
 	dead   chan struct{} // closed when it is killed
 }
 
-// simManyFds are the descriptors of a machine that serves a large fleet.
+// simManyFds is the file descriptor limit of a machine that serves a large fleet.
 const simManyFds = 4100
 
 func newSimNetwork(t *testing.T, seed uint64, directory string) *simNetwork {
@@ -104,7 +104,7 @@
 	}
 }
 
-// note adds a line to the trace that a failure prints.
+// logEvent adds a line to the trace that is printed if the test fails.
 func (n *simNetwork) logEvent(format string, values ...any) {
 	line := fmt.Sprintf("%8.3f ", time.Since(n.started).Seconds()) + fmt.Sprintf(format, values...)
 	n.mutex.Lock()
@@ -112,7 +112,7 @@
 	n.trace = append(n.trace, line)
 }
 
-// intN draws a number from [0, most).
+// intN returns a random number in [0, most).
 func (n *simNetwork) intN(most int) int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -123,7 +123,7 @@
 	return float64(n.intN(1<<20))/(1<<20) < probability
 }
 
-// between draws a time of at least least.
+// between returns a random duration in [least, most).
 func (n *simNetwork) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(n.intN(int((most-least)/time.Microsecond)))*time.Microsecond
 }
@@ -135,7 +135,7 @@
 	return n.between(300*time.Microsecond, 4*time.Millisecond)
 }
 
-// add makes a server that does not run yet.
+// addServer adds a server without starting it.
 func (n *simNetwork) addServer() *simServer {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// start begins a life of the process; the first one of all founds the group.
+// start starts a process; bootstrap makes it found the group.
 func (s *simServer) start(bootstrap bool) {
 	network := s.network
 	if s.disks == 0 && !s.diskless {
@@ -183,7 +183,7 @@
 	network.logEvent("%s starts, disk %d", s.address, s.disks)
 }
 
-// settings are those that the process reads at its start, or after SIGHUP.
+// settings returns the settings that the process reads at its start or after SIGHUP.
 func (s *simServer) settings() *settings.Settings {
 	seeds := s.seeds
 	if seeds == nil {
@@ -217,8 +217,8 @@
 	return s.process
 }
 
-// latestState returns the newest table that any control process has committed, in this life or one before: a leader may be killed
-// once a store acts by the table, and before any other process has learnt that it is committed.
+// latestState returns the state with the highest map version that any control process has committed, including ended processes: a leader may
+// be killed after a store has acted on a map and before any other process has learned that it is committed.
 func (n *simNetwork) latestState() *rpc.ControlState {
 	n.mutex.Lock()
 	var processes []*simProcess
@@ -235,7 +235,7 @@
 	return newest
 }
 
-// kill ends the process at once. Its disk holds what was synced.
+// kill ends the process at once. Its disk keeps what was synced.
 func (s *simServer) kill(powerLoss bool) {
 	s.network.mutex.Lock()
 	process := s.process
@@ -254,7 +254,7 @@
 	}
 }
 
-// simTransport is the way of one process to the others. It implements http.RoundTripper.
+// simTransport carries the calls of one process to the others. It implements http.RoundTripper.
 type simTransport struct {
 	from *simServer
 }
@@ -268,7 +268,7 @@
 	return t.from.network.carry(t.from.address, caller.dead, request)
 }
 
-// carry takes a request there and its answer back. What is cut or lost on its way brings no answer until the caller gives up.
+// carry delivers a request and returns its response. If either is cut off or lost, it blocks until the caller gives up.
 func (n *simNetwork) carry(from string, callerDead <-chan struct{}, request *http.Request) (*http.Response, error) {
 	body := []byte{}
 	if request.Body != nil {
@@ -314,7 +314,7 @@
 	return recorder.Result(), nil
 }
 
-// stallLinks has nothing leave or reach some addresses for a time; it goes on its way afterwards.
+// stallLinks stops all traffic to and from some addresses for a time. The traffic is delivered afterwards.
 func (n *simNetwork) stallLinks(length time.Duration, addresses ...string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -323,7 +323,7 @@
 	}
 }
 
-// awaitStallEnd returns once neither of two addresses is held up, or with the error of a context that ends before.
+// awaitStallEnd returns once neither of two addresses is stalled, or with the error of the context if it ends before.
 func (n *simNetwork) awaitStallEnd(ctx context.Context, from, to string) error {
 	for {
 		n.mutex.Lock()
@@ -340,7 +340,7 @@
 	}
 }
 
-// silence waits until the caller of a request that brings no answer gives up.
+// awaitCallerTimeout waits until the caller of a request without a response gives up.
 func (n *simNetwork) awaitCallerTimeout(callerDead <-chan struct{}, request *http.Request) error {
 	select {
 	case <-request.Context().Done():
@@ -352,7 +352,7 @@
 	}
 }
 
-// simService is one life of a process that serves.
+// simService is one run of a serving process.
 type simService struct {
 	handler http.Handler
 	dead    <-chan struct{} // closed when it ends
@@ -369,7 +369,7 @@
 	}
 }
 
-// reach takes a request to the process that it is for.
+// connect returns the service to which a request is addressed, after the latency of the network.
 func (n *simNetwork) connect(from string, callerDead <-chan struct{}, request *http.Request) (*simService, error) {
 	time.Sleep(n.delay())
 	if err := n.awaitStallEnd(request.Context(), from, request.URL.Host); err != nil {
@@ -385,7 +385,7 @@
 	return service, request.Context().Err()
 }
 
-// serviceAt returns what serves at an address, nil where nothing runs. It is silent where no machine is there, or none with power.
+// serviceAt returns the service at an address, nil if none runs. isSilent reports that there is no powered-on machine to refuse connections.
 func (n *simNetwork) serviceAt(address string) (service *simService, isSilent bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -410,7 +410,7 @@
 	return nil, true
 }
 
-// transferTime is how long a body takes.
+// transferTime returns the time that sending a body takes.
 func (n *simNetwork) transferTime(length int) time.Duration {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -420,7 +420,7 @@
 	return time.Duration(float64(length) / float64(n.rate) * float64(time.Second))
 }
 
-// count notes a request that came.
+// countRequest records a received request.
 func (n *simNetwork) countRequest(request *http.Request, body []byte) {
 	replicate := &rpc.ReplicateRequest{}
 	hasContents := strings.HasSuffix(request.URL.Path, replicatePath) && proto.Unmarshal(body, replicate) == nil && replicate.State != nil
@@ -433,14 +433,14 @@
 	}
 }
 
-// came returns how many bytes came to a server, and the versions of the contents among them.
+// received returns how many bytes a server has received, and the state versions among them.
 func (n *simNetwork) received(server *simServer) (receivedBytes int, transfers []string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.receivedBytes[server.address], slices.Clone(n.transfers[server.address])
 }
 
-// isLost reports whether a call or its answer does not come through.
+// isLost reports whether a call or its response is lost.
 func (n *simNetwork) isLost(from, to string) bool {
 	n.mutex.Lock()
 	lossRate := n.lossRate
@@ -448,7 +448,7 @@
 	return n.isCut(from, to) || lossRate > 0 && n.chance(lossRate)
 }
 
-// isLossy reports whether calls are lost.
+// isLossy reports whether calls are being lost.
 func (n *simNetwork) isLossy() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -461,7 +461,7 @@
 	return n.cuts[[2]string{from, to}]
 }
 
-// cut stops what goes from one of some servers to one of others, and back where both is set.
+// cut cuts the links from some servers to others, and the opposite ones if both is set.
 func (n *simNetwork) cut(some, others []*simServer, both bool) {
 	from, to := addressesOf(some), addressesOf(others)
 	n.cutLinks(from, to)
@@ -470,7 +470,7 @@
 	}
 }
 
-// cutLinks stops what goes from one of some addresses to one of others.
+// cutLinks cuts the links from some addresses to others.
 func (n *simNetwork) cutLinks(some, others []string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -491,7 +491,7 @@
 	return addresses
 }
 
-// addresses lists the servers that are there, as the settings of a newcomer do.
+// addresses returns the addresses of the servers that were not removed.
 func (n *simNetwork) addresses() []string {
 	var addresses []string
 	for _, server := range n.allServers() {
@@ -502,8 +502,8 @@
 	return addresses
 }
 
-// hasRecovered reports whether there is a leader, all voters are processes that are there, and no change of them is under way:
-// until its last version is committed, a majority of the former voters is needed too.
+// hasRecovered reports whether there is a leader, no voter was removed, and no change of the voters is in progress: until such a change is
+// committed, a majority of the old voters is needed as well.
 func (n *simNetwork) hasRecovered() bool {
 	leader := n.leader()
 	if leader == nil {
@@ -518,7 +518,7 @@
 	return !status.Exchanging && len(status.Members) == simVoters
 }
 
-// allAddresses lists where control processes, stores and dispatchers are.
+// allAddresses returns the addresses of the control processes, stores and dispatchers.
 func (n *simNetwork) allAddresses() []string {
 	addresses := n.addresses()
 	for _, store := range n.stores {
@@ -530,7 +530,7 @@
 	return addresses
 }
 
-// powerOffAll takes the power of all machines at one moment.
+// powerOffAll powers off all machines at the same time.
 func (n *simNetwork) powerOffAll() {
 	n.logEvent("all machines lose power")
 	n.stopMembers(true)
@@ -539,7 +539,7 @@
 	}
 }
 
-// end ends the simulation, all processes and their goroutines.
+// end ends the simulation with all processes and their goroutines.
 func (n *simNetwork) end() {
 	close(n.ended)
 	n.stopMembers(false)
@@ -549,7 +549,7 @@
 	time.Sleep(time.Minute)
 }
 
-// endAndLog ends the network, and prints what happened on it where the test has failed.
+// endAndLog ends the simulation and prints the trace if the test has failed.
 func (n *simNetwork) endAndLog() {
 	n.end()
 	if n.t.Failed() {
@@ -564,7 +564,7 @@
 	n.lossRate = 0
 }
 
-// startServers starts the control processes that do not run.
+// startServers starts the control processes that are not running.
 func (n *simNetwork) startServers() {
 	for _, server := range n.allServers() {
 		if server.running() == nil && !server.removed {
@@ -573,7 +573,7 @@
 	}
 }
 
-// leader returns a server that believes to lead, nil for none.
+// leader returns a server that considers itself the leader, nil if there is none.
 func (n *simNetwork) leader() *simServer {
 	for _, server := range n.allServers() {
 		if process := server.running(); process != nil && process.server.node.Status().Leader {
@@ -583,14 +583,14 @@
 	return nil
 }
 
-// describe tells what each server believes of the group.
+// describe returns the status of the group as each server sees it.
 func (n *simNetwork) describe() []string {
 	var lines []string
 	for _, server := range n.allServers() {
 		line := fmt.Sprintf("%s gone %t disk %d", server.address, server.removed, server.disks)
 		if process := server.running(); process != nil {
 			status := process.server.node.Status()
-			status.State = nil // long
+			status.State = nil // too long to print
 			line += fmt.Sprintf(" id %s status %+v", process.server.identity(), status)
 		}
 		lines = append(lines, line)
--- a/internal/controlplane/sim_operator_test.go
+++ b/internal/controlplane/sim_operator_test.go
@@ -15,26 +15,26 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// simCall is one call of an operator, repeated until it has a clear answer.
+// simCall is one call of an operator, repeated until it has a definite outcome.
 type simCall struct {
 	read      bool
-	order     int // number of the order, from 1
+	order     int // number of the change request, from 1
 	ifVersion uint64
-	version   uint64 // that the order gives
+	version   uint64 // version that the request sets
 }
 
-// simOutcome is what the operator learnt.
+// simOutcome is the outcome as the operator knows it.
 type simOutcome struct {
-	status  int    // 0 where no clear answer came
-	version uint64 // read
-	order   int    // whose configuration was read
+	status  int    // 0 if there was no definite outcome
+	version uint64 // version that was read
+	order   int    // number of the request whose configuration was read
 }
 
-// simState is the configuration as the model of the history has it.
+// simState is the configuration in the model of the history.
 type simState struct {
 	version uint64
 	order   int
-	applied string // orders, each between commas
+	applied string // numbers of the applied requests, each enclosed in commas
 }
 
 func (s simState) hasApplied(order int) bool {
@@ -48,7 +48,7 @@
 	return simState{version: call.version, order: call.order, applied: s.applied + strconv.Itoa(call.order) + ","}
 }
 
-// configModel is a register with compare-and-set that knows orders again.
+// configModel is a register with compare-and-set that recognizes repeated requests.
 var configModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{simState{}} },
 	Step: func(state, input, output any) []any {
@@ -56,7 +56,7 @@
 	},
 }).ToModel()
 
-// stepConfig returns the states that may follow a call with its outcome; none where it contradicts the state.
+// stepConfig returns the possible states after a call with a given outcome; none if the outcome contradicts the state.
 func stepConfig(state simState, call simCall, outcome simOutcome) []any {
 	if call.read {
 		isSame := outcome.status == http.StatusOK && outcome.version == state.version && outcome.order == state.order
@@ -92,18 +92,18 @@
 	reads      int
 	repeats    int
 	newest     uint64        // highest version that was confirmed or read
-	confirms   int           // renewals that a leader answered
+	confirms   int           // renewals that a leader replied to
 	retired    time.Duration // when a retirement was first confirmed; 0 for never
 	violation  string
 }
 
-// record adds a call that began at a moment and has its outcome now.
+// record adds a call with its start, end and outcome.
 func (h *simHistory) record(client int, call simCall, outcome simOutcome, began, ended time.Duration) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	returned := ended.Nanoseconds()
 	if outcome.status == 0 {
-		returned = math.MaxInt64 // it may take effect at any time after its begin, or never
+		returned = math.MaxInt64 // it may take effect at any time after its start, or never
 		if call.read {
 			return
 		}
@@ -132,16 +132,16 @@
 	}
 }
 
-// simOperator sends orders and reads.
+// simOperator sends change requests and reads.
 type simOperator struct {
 	network *simNetwork
 	history *simHistory
 	number  int
-	known   uint64 // version
+	known   uint64 // latest version that it knows
 	sent    []sentOrder
 }
 
-// sentOrder is an order that was confirmed and may be sent again.
+// sentOrder is a change request that was confirmed and may be sent again.
 type sentOrder struct {
 	call simCall
 	body string
@@ -152,7 +152,7 @@
 	simTries       = 30
 )
 
-// run works until the simulation ends.
+// run sends random calls until the simulation ends.
 func (o *simOperator) run() {
 	for !o.isOver() {
 		switch o.network.intN(8) {
@@ -180,7 +180,7 @@
 
 func (o *simOperator) now() time.Duration { return time.Since(o.network.started) }
 
-// order builds on the version that this operator knows. Another one may give the same number to another configuration.
+// order sends a change based on the version that this operator knows. Another operator may use the same version for another configuration.
 func (o *simOperator) order() {
 	o.history.mutex.Lock()
 	o.history.orders++
@@ -191,7 +191,7 @@
 	o.send(call, body)
 }
 
-// repeat sends an order again that was confirmed before, after whatever came since.
+// repeat sends a confirmed change request again, regardless of later changes.
 func (o *simOperator) repeat() {
 	if len(o.sent) == 0 {
 		return
@@ -220,7 +220,7 @@
 	}
 }
 
-// read reads the configuration, and reports whether a clear answer came.
+// read reads the configuration, and reports whether there was a definite outcome.
 func (o *simOperator) read() bool {
 	began := o.now()
 	answer := o.callUntilDefinite(http.MethodGet, readPath, "", "")
@@ -233,7 +233,7 @@
 	return answer.status != 0
 }
 
-// readBack returns the version of a configuration, and the order that its only route names.
+// readBack returns the version of a configuration, and the number of the request that its only route names.
 func readBack(body string) (version uint64, order int) {
 	var config struct {
 		Version uint64
@@ -252,7 +252,7 @@
 	return config.Version, order
 }
 
-// retire orders a retirement, or reads it: once it was confirmed, nobody is told that there is none.
+// retire starts a retirement or reads it: after a start was confirmed, no read may return that there is none.
 func (o *simOperator) retire() {
 	began := o.now()
 	if o.network.chance(0.3) {
@@ -273,7 +273,7 @@
 	}
 }
 
-// callUntilDefinite calls one process after the other until one answers clearly. Redirects are followed twice.
+// callUntilDefinite calls random processes until one returns a definite outcome. It follows up to two redirects.
 func (o *simOperator) callUntilDefinite(method, path, ifVersion, body string) apiResponse {
 	pause := 50 * time.Millisecond
 	for range simTries {
--- a/internal/controlplane/sim_test.go
+++ b/internal/controlplane/sim_test.go
@@ -17,33 +17,33 @@
 )
 
 const (
-	simSeedsVariable  = "CONTROLPLANE_SEEDS" // plays so many seeds
-	simSeedVariable   = "CONTROLPLANE_SEED"  // plays this one
+	simSeedsVariable  = "CONTROLPLANE_SEEDS" // number of seeds to run
+	simSeedVariable   = "CONTROLPLANE_SEED"  // runs only this seed
 	simSeeds          = 16
 	simFaultPhase     = 50 * time.Second
 	simQuietPhase     = 20 * time.Second
 	simVoters         = 3
 	simOperators      = 3
-	simCheckTimeout   = 20 * time.Second // of real time
+	simCheckTimeout   = 20 * time.Second // real time
 	simProposeTimeout = 50 * time.Millisecond
 	overlapNote       = "a loss while another lasts"
 )
 
-// simGroup is the size of a simulated group.
+// simGroup is the size of a simulated group of control processes.
 type simGroup struct {
-	tolerance int // machines that may be lost at one time
+	tolerance int // machines that may fail at the same time
 	processes int
 }
 
-// voters is how many voters the group keeps.
+// voters returns the number of voters that the group has.
 func (g simGroup) voters() int { return 2*g.tolerance + 1 }
 
-// simGroups bear one loss and two.
+// simGroups tolerate one and two lost machines.
 var simGroups = []simGroup{{tolerance: 1, processes: 4}, {tolerance: 2, processes: 8}}
 
-// TestOperatorsSeeOneConfiguration has operators order, repeat and read through processes that are cut off, killed, without
-// power, wiped or replaced, and checks their history for linearizability: one content for a number, no repeated order refused,
-// nothing older read, nothing refused by what is no longer in force.
+// TestOperatorsSeeOneConfiguration has operators change, repeat and read the configuration through processes that are cut off, killed,
+// powered off, wiped or replaced, and checks the history for linearizability: each version has one content, no repeated request is rejected,
+// no read returns an earlier version, and no request is rejected because of a version that was replaced.
 func TestOperatorsSeeOneConfiguration(t *testing.T) {
 	for _, seed := range seedsToPlay(simSeedsVariable, simSeedVariable, simSeeds) {
 		for _, group := range simGroups {
@@ -59,7 +59,7 @@
 	}
 }
 
-// seedsToPlay lists the seed that one variable of the environment names, else so many as the other one says, else as many as usual.
+// seedsToPlay returns the seed in the environment variable seedVariable, else as many seeds as countVariable says, else the usual number.
 func seedsToPlay(countVariable, seedVariable string, usual uint64) []uint64 {
 	if seed, err := strconv.ParseUint(os.Getenv(seedVariable), 10, 64); err == nil {
 		return []uint64{seed}
@@ -74,7 +74,7 @@
 	return seeds
 }
 
-// newGroupNetwork makes the control processes of a group, of which the first are the seeds. None runs yet.
+// newGroupNetwork adds the control processes of a group, of which the first simVoters are the seeds. It starts none of them.
 func newGroupNetwork(t *testing.T, seed uint64, directory string, group simGroup) *simNetwork {
 	network := newSimNetwork(t, seed, directory)
 	network.tolerance = group.tolerance
@@ -87,7 +87,7 @@
 	return network
 }
 
-// checkHistory looks for an order of the calls in which each outcome follows from the ones before.
+// checkHistory searches for an order of the calls in which each outcome follows from the previous ones.
 func checkHistory(t *testing.T, history *simHistory, trace []string) {
 	result := porcupine.CheckOperationsTimeout(configModel, history.operations, simCheckTimeout)
 	overlaps := 0
@@ -142,8 +142,8 @@
 	return history, network.trace
 }
 
-// confirmRenewals plays a dispatcher that renews at any process, and holds the version that a leader names against what was confirmed to an operator
-// before the renewal was sent.
+// confirmRenewals renews as a dispatcher at random processes, and compares the version in a leader's reply with the highest version confirmed
+// to an operator before the renewal was sent.
 func confirmRenewals(network *simNetwork, history *simHistory) {
 	request := &rpc.RenewRequest{Node: "front-1", Incarnation: "1", Zone: "1", Role: roleDispatcher}
 	for {
@@ -173,16 +173,16 @@
 	}
 }
 
-// simFaults draws what goes wrong, and ends it again. No more disks are lost at a time than the group bears.
+// simFaults injects random faults and clears them. It loses no more disks at the same time than the group tolerates.
 type simFaults struct {
 	network  *simNetwork
 	group    simGroup
 	cutUntil time.Time
-	isolated *simServer // the only process that is cut off; nil where links fail otherwise
+	isolated *simServer // the only process that is cut off; nil if other links fail
 	replaced bool
 }
 
-// begin draws one trouble.
+// inject injects one random fault.
 func (f *simFaults) inject() {
 	n := f.network
 	if !f.cutUntil.IsZero() && time.Now().After(f.cutUntil) {
@@ -216,14 +216,14 @@
 	}
 }
 
-// heal brings all links back.
+// heal restores all links.
 func (f *simFaults) heal() {
 	f.network.heal()
 	f.cutUntil, f.isolated = time.Time{}, nil
 	f.network.logEvent("links are back")
 }
 
-// cutOff cuts a process off from the others, or in one direction, for up to twenty seconds. Operators reach all.
+// cutOff cuts a process off from the others, in both directions or one, for up to 20 s. Operators still reach all processes.
 func (f *simFaults) cutOff(target *simServer) {
 	n := f.network
 	length := n.between(time.Second, 20*time.Second)
@@ -244,7 +244,7 @@
 	n.logEvent("%s is cut off, both ways %t, outward %t, for %s", target.address, both, outward, length)
 }
 
-// split cuts the processes into two halves.
+// split cuts the processes into two random halves.
 func (f *simFaults) split() {
 	n := f.network
 	var halves [2][]*simServer
@@ -257,7 +257,7 @@
 	n.logEvent("two halves")
 }
 
-// down ends a process, which comes back after a time.
+// restart kills a process and starts it again after a time.
 func (f *simFaults) restart(target *simServer, powerLoss bool, length time.Duration) {
 	if target.running() == nil {
 		return
@@ -287,9 +287,9 @@
 	n.startMembers()
 }
 
-// mayLoseDisk reports whether the group bears another loss: fewer voters than it may lose are cut off or do not run on the disks that the list
-// names, and that list stands alone. While voters are exchanged, the list that comes is told as the members, but the one before still
-// counts, and a disk that is gone with it.
+// mayLoseDisk reports whether the group tolerates another lost disk: no change of the voters is in progress, and fewer voters than the
+// tolerance are cut off or not running on the disk that the member list names. During a change the status contains only the new list, but
+// a majority of the old one is still needed.
 func (f *simFaults) mayLoseDisk() bool {
 	leader := f.network.leader()
 	if leader == nil || !f.cutUntil.IsZero() && f.isolated == nil || !isSettled(leader) {
@@ -316,7 +316,7 @@
 	return lost < f.group.tolerance
 }
 
-// isSettled reports whether no change of voters is under way: a change of nothing ends at once, or with the one that is.
+// isSettled reports whether no change of the voters is in progress: then an empty change completes at once.
 func isSettled(leader *simServer) bool {
 	process := leader.running()
 	if process == nil {
@@ -327,7 +327,7 @@
 	return process.server.node.ProposeMembers(ctx, nil, "") == nil
 }
 
-// loseDisk takes a disk, at times at the moment when all others lose power.
+// loseDisk replaces the disk of a process by an empty one, at times while all others lose power.
 func (f *simFaults) loseDisk(target *simServer) {
 	if !f.mayLoseDisk() || target.running() == nil {
 		return
@@ -344,7 +344,7 @@
 	target.start(false)
 }
 
-// replace takes a process away for good; an empty one comes at another address.
+// replace removes a process permanently and adds an empty one at another address.
 func (f *simFaults) replace(target *simServer) {
 	if f.replaced || !f.mayLoseDisk() || target.running() == nil {
 		return
@@ -359,7 +359,7 @@
 	f.network.addServer().start(false)
 }
 
-// clearAll ends all trouble.
+// clearAll clears all faults.
 func (f *simFaults) clearAll() {
 	f.network.heal()
 	f.network.startServers()
--- a/internal/controlplane/steady_state_test.go
+++ b/internal/controlplane/steady_state_test.go
@@ -16,7 +16,7 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// receivedView is what a subscriber has put together from the stream.
+// receivedView is the View that a subscriber has received.
 type receivedView struct {
 	mutex sync.Mutex
 	view  *rpc.View
@@ -65,7 +65,7 @@
 	return newest
 }
 
-// renewAll renews a store once and tells it the newest map, as the stream does.
+// renew renews a store once, and acknowledges the latest received map.
 func (s *testStore) renew(newest *receivedView) *rpc.RenewReply {
 	_ = newest.check(func(view *rpc.View) error {
 		s.request.MapVersion = view.Map.GetVersion()
--- a/internal/controlplane/transport_test.go
+++ b/internal/controlplane/transport_test.go
@@ -10,7 +10,7 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// overTheWire encodes a request and reads it back as the receiver does.
+// overTheWire encodes a request and decodes it as the receiver does.
 func overTheWire(t *testing.T, request failover.ReplicateRequest) failover.ReplicateRequest {
 	t.Helper()
 	sent, err := replicateToWire(request)
--- a/internal/controlplane/unconfirmed_test.go
+++ b/internal/controlplane/unconfirmed_test.go
@@ -17,13 +17,13 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// cutOffNode is a leader that a majority no longer answers. Its state may be older than the newest.
+// cutOffNode is the node of a leader that no longer reaches a majority. Its state may be outdated.
 type cutOffNode struct {
 	node
 	state      *rpc.ControlState
-	readErr    error // of a read, and of a proposal that makes no new version; nil once a majority answers
-	leaseEnded bool  // by the time of the answer
-	calls      int   // reads, and proposals without a new version
+	readErr    error // of reads, and of proposals that change nothing; nil if a majority responds
+	leaseEnded bool  // the lease is valid only until the first call
+	calls      int   // number of reads and proposals
 }
 
 func (n *cutOffNode) Status() failover.Status {
@@ -34,7 +34,7 @@
 	return failover.Status{Leader: true, LeaderAddress: "10.0.0.1:1", StateEpoch: 1, StateSeq: 1, State: encoded}
 }
 
-// LeaseValid holds until something was asked, so that a handler begins.
+// LeaseValid returns true until the first read or proposal, so that the handler starts.
 func (n *cutOffNode) LeaseValid() bool { return !n.leaseEnded || n.calls == 0 }
 
 func (n *cutOffNode) Read(context.Context) error {
@@ -55,7 +55,7 @@
 	return err
 }
 
-// definiteResponses are calls that a leader in touch answers clearly on the state that serverOn gives it.
+// definiteResponses are calls to which a leader with a majority gives a definite response on the state that serverOn sets.
 var definiteResponses = []struct {
 	name, method, path, ifVersion, body string
 	status                              int
@@ -71,7 +71,7 @@
 	{"retirement never ordered", http.MethodGet, "/api/retire/store-1/read", "", "", http.StatusNotFound},
 }
 
-// serverOn returns a server on a stand-in for its node, which holds a configuration and a retirement.
+// serverOn returns a server with the given node, whose state contains a configuration and a retirement.
 func serverOn(t *testing.T, n *cutOffNode) *Server {
 	taken := newConfigRequest(requestReplace, 0, []byte(configWith(5, "a")))
 	n.state = &rpc.ControlState{
@@ -97,7 +97,7 @@
 	}
 }
 
-// TestNothingIsAnsweredThatNoMajorityConfirmed has the lease hold, while nobody answers the round of heartbeats.
+// TestNothingIsAnsweredThatNoMajorityConfirmed keeps the lease valid while no majority confirms the leadership.
 func TestNothingIsAnsweredThatNoMajorityConfirmed(t *testing.T) {
 	for _, readErr := range []error{context.DeadlineExceeded, errors.New("overloaded")} {
 		for _, called := range definiteResponses {
@@ -108,7 +108,7 @@
 	}
 }
 
-// TestNothingIsAnsweredOnceTheLeaseHasEnded has a majority confirm, and the lease end before the answer.
+// TestNothingIsAnsweredOnceTheLeaseHasEnded has a majority confirm, but the lease end before the response.
 func TestNothingIsAnsweredOnceTheLeaseHasEnded(t *testing.T) {
 	for _, called := range definiteResponses {
 		server := serverOn(t, &cutOffNode{leaseEnded: true})
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestRequestWithDroppedDigestIsNotRejected has so many orders taken after one that its digest is dropped.
+// TestRequestWithDroppedDigestIsNotRejected applies so many requests after one that its digest is dropped.
 func TestRequestWithDroppedDigestIsNotRejected(t *testing.T) {
 	n := &cutOffNode{}
 	server := serverOn(t, n)
@@ -133,7 +133,7 @@
 		statusOf(server, http.MethodPost, replacePath, "2000", configWith(int(recent)+9, "z")))
 }
 
-// TestDigestsOfOlderStatesAreKnown reads a state whose digests are whole.
+// TestDigestsOfOlderStatesAreKnown uses a state with untruncated digests, as earlier versions stored them.
 func TestDigestsOfOlderStatesAreKnown(t *testing.T) {
 	order := newConfigRequest(requestReplace, 0, []byte("{}"))
 	state := &rpc.ControlState{Taken: []*rpc.Taken{{Digest: append(append([]byte{}, order.digest...), 1, 2, 3)}}}
--- a/internal/controlplane/view_test.go
+++ b/internal/controlplane/view_test.go
@@ -17,8 +17,8 @@
 	"foldlb.example/foldlb/internal/workerlist"
 )
 
-// A new leader sends the whole view to every process at once. What that takes on its link must end well before the lease does,
-// or its own heartbeats queue behind it.
+// A new leader sends the whole view to every process at the same time. Sending it must take much less time than the duration of the
+// leader's lease, or heartbeats are queued behind it.
 func TestConfigurationTravelsInAFifthOfItsBytes(t *testing.T) {
 	config := &catalog.Config{Version: 1}
 	for i := range 60 {
@@ -36,7 +36,7 @@
 	must.Eq(t, encoded, view.Config.Config)
 }
 
-// A change in a configuration of many routes costs its own size at each process, not that of the whole.
+// The size of a change is independent of the number of routes in the configuration.
 func TestChangeTravelsAsADifference(t *testing.T) {
 	from := &catalog.Config{Version: 1, Services: []catalog.Service{{Name: "s"}}}
 	for i := range 900 {
@@ -76,7 +76,7 @@
 	must.Eq(t, to.Digest(), last.ConfigChanges[0].Digest)
 }
 
-// A store that follows gets what is new in the list; the first list of a term is sent whole.
+// Subscribers receive only the changes of the list; the first list of a term is sent whole.
 func TestListOfWorkersTravelsAsADifference(t *testing.T) {
 	var workers []*rpc.Worker
 	for i := range 300 {
@@ -94,7 +94,7 @@
 	must.SliceEmpty(t, workersPart(before, workerlist.New(4, 1, workers)).Delta)
 }
 
-// TCP repeats a lost opening packet after a second; a dial must have been given up long before.
+// TCP retransmits a lost SYN after 1 s; a dial must time out long before.
 func TestPeerDialEndsBeforeTheOpeningPacketIsRepeated(t *testing.T) {
 	must.LessEq(t, time.Second/4, peerDialTimeout)
 }
