--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -19,7 +19,7 @@
 	Streams          int                `json:"streams"`
 	Voters           []string           `json:"voters"`
 	VotersWanted     int                `json:"votersWanted"`     // required by the fault tolerance in the settings
-	VotersExchanging bool               `json:"votersExchanging"` // a change of the voters is in progress; until it ends, majorities of the old voters are needed as well
+	VotersChanging   bool               `json:"votersExchanging"` // a change of the voters is in progress; until it ends, majorities of the old voters are needed as well
 	ControlAddresses []string           `json:"controlAddresses"`
 	Stores           []StoreStatus      `json:"stores"`
 	Dispatchers      []DispatcherStatus `json:"dispatchers"`
@@ -29,10 +29,10 @@
 	FaultTolerance   int                `json:"faultTolerance"` // stores that may fail at the same time
 }
 
-// Waiting returns the number of partitions whose owner has not completed the takeover, and the active stores that hold no lease. An owner
+// PendingTakeovers returns the number of partitions whose owner has not completed the takeover, and the active stores that hold no lease. An owner
 // must first learn which copies the other stores hold. If more stores hold no lease than may fail at the same time, takeovers wait until
 // some of them return or are abandoned.
-func (s *Status) Waiting() (partitions int, silent []string) {
+func (s *Status) PendingTakeovers() (partitions int, silent []string) {
 	for _, store := range s.Stores {
 		switch {
 		case store.Lease:
@@ -107,7 +107,7 @@
 		Retirements:      make(map[string]string),
 		FaultTolerance:   s.requiredCopies() - 1,
 		VotersWanted:     s.wantedVoters(),
-		VotersExchanging: known.Exchanging,
+		VotersChanging:   known.Exchanging,
 	}
 	for _, member := range known.Members {
 		status.Voters = append(status.Voters, member.Address)
