--- a/internal/controlplane/contacts.go
+++ b/internal/controlplane/contacts.go
@@ -81,7 +81,7 @@
 }
 
 // planContacts returns the contacts to save: the known ones without those silent for contactRetention, and the recent ones. Beyond
-// maxContacts, those silent for longest are dropped. It updates seenAt.
+// maxContacts, those silent for longest are dropped. It updates lastSeen.
 func planContacts(known []string, recent []peer, lastSeen map[string]time.Time, now time.Time) []string {
 	planned := slices.Clone(known)
 	for _, address := range known {
--- a/internal/controlplane/join.go
+++ b/internal/controlplane/join.go
@@ -12,13 +12,13 @@
 	joinInterval      = 500 * time.Millisecond
 	joinRetryInterval = 500 * time.Millisecond // while no leader is known
 	joinTimeout       = 700 * time.Millisecond
-	hintExpiry        = 5 * time.Second // of a hint
+	hintExpiry        = 5 * time.Second // of a leaderHint
 
 	// searchLogDelay is how long this process must have found no leader before it logs that.
 	searchLogDelay = 3 * time.Second
 )
 
-// hint is the leader's address as received from another process.
+// leaderHint is the leader's address as received from another process.
 type leaderHint struct {
 	address    string
 	receivedAt time.Time
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -48,7 +48,7 @@
 		ctx, cancel := context.WithTimeout(t.context, proposeTimeout)
 		err := s.node.ProposeMembers(ctx, change.add, change.removeID)
 		cancel()
-		s.log.Info("voters change", "add", change.add, "remove", change.removeID, "error", errorTextOrNone(err))
+		s.log.Info("proposed a change of the voters", "add", change.add, "remove", change.removeID, "error", errorTextOrNone(err))
 	}
 }
 
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -13,7 +13,7 @@
 	joins    atomic.Uint64
 }
 
-// Metrics returns the metrics of this process. Only the leader counts dispatchers.
+// Figures returns the metrics of this process. Only the leader counts dispatchers.
 func (s *Server) Figures() []metrics.Figure {
 	status := s.Status()
 	leader := uint64(0)
--- a/internal/controlplane/planner.go
+++ b/internal/controlplane/planner.go
@@ -17,10 +17,10 @@
 	maxConcurrentHandovers = 32                     // partitions that are being handed over at the same time
 )
 
-// errTableChanged reports that the map changed after a plan was made on it.
+// errTableChanged reports that the committed table changed after a plan was made on it.
 var errTableChanged = errors.New("the partition map changed after this plan was made: plan again")
 
-// notifyPlanner triggers a plan.
+// wakePlanner triggers a plan.
 func (s *Server) wakePlanner() {
 	select {
 	case s.plannerWake <- struct{}{}:
--- a/internal/controlplane/repair.go
+++ b/internal/controlplane/repair.go
@@ -20,8 +20,8 @@
 
 // startPoint is the time at which a condition began, and the first map version that reflects it.
 type startPoint struct {
-	at    time.Time
-	table uint64
+		at    time.Time
+	table uint64 // map version
 }
 
 // firstMapWithDisk returns the first map version that is certain to contain the current disk of a store: the committed one or the next.
@@ -178,8 +178,8 @@
 }
 
 // replicatedFor reports whether the store has reported for confirmTime after since that every message of its partitions has enough copies,
-// and reports no copy that a dispatcher began to place under an earlier map and that the owner may not know of. A message whose placement
-// began under since.table or later has no copy on a disk that was lost by then.
+// not counting unconfirmed ones, and reports no unconfirmed copy that a dispatcher began to place under a map before since.table. A message
+// whose placement began under since.table or later has no copy on a disk that was lost by then.
 func (s *storeStatus) replicatedFor(since startPoint, confirmTime time.Duration) bool {
 	if s.replicatedSince.IsZero() || s.unconfirmed && s.unconfirmedUnder < since.table {
 		return false
--- a/internal/controlplane/term.go
+++ b/internal/controlplane/term.go
@@ -43,7 +43,7 @@
 	readyCount      int       // owned partitions whose takeover is complete
 	backlog         uint64    // messages
 	underCopied     uint64    // messages with too few copies
-	replicatedSince time.Time // since when every message of its partitions has had enough copies; zero if some has too few
+	replicatedSince time.Time // since when only unconfirmed copies have been missing; zero if others are missing
 	// unconfirmed is whether it holds copies that their owners may not know of; unconfirmedUnder is the lowest map version
 	// under which a dispatcher began to place one of them.
 	unconfirmed      bool
@@ -65,7 +65,7 @@
 	node        string
 	incarnation string
 	epochs      map[uint32]uint64 // by partition
-	done        chan struct{}     // closed once the map without these ownerships is committed
+	done        chan struct{}     // closed once the planner has processed the release and committed the resulting map
 }
 
 // term holds what a leader knows beyond the replicated state. It begins with the leader's lease and is dropped
