--- a/internal/controlplane/admit_test.go
+++ b/internal/controlplane/admit_test.go
@@ -58,11 +58,11 @@
 	must.True(t, led.mayBeNewest(state, another, began.Add(diskReplacementDelay)))
 	must.True(t, led.mayBeNewest(state, old, began.Add(replacedDiskReturnDelay)))
 
-	heard := began.Add(time.Minute)
-	led.renewStore(state, renewal("disk-new", "a2"), heard)
-	must.False(t, led.mayBeNewest(state, old, heard.Add(replacedDiskReturnDelay-1)))
-	must.True(t, led.mayBeNewest(state, another, heard.Add(diskReplacementDelay)))
-	must.True(t, led.mayBeNewest(state, old, heard.Add(replacedDiskReturnDelay)))
+	renewedAt := began.Add(time.Minute)
+	led.renewStore(state, renewal("disk-new", "a2"), renewedAt)
+	must.False(t, led.mayBeNewest(state, old, renewedAt.Add(replacedDiskReturnDelay-1)))
+	must.True(t, led.mayBeNewest(state, another, renewedAt.Add(diskReplacementDelay)))
+	must.True(t, led.mayBeNewest(state, old, renewedAt.Add(replacedDiskReturnDelay)))
 }
 
 func TestReplacedDisksAreRememberedWithinABound(t *testing.T) {
--- a/internal/controlplane/catchup_test.go
+++ b/internal/controlplane/catchup_test.go
@@ -239,8 +239,8 @@
 // each loss within syncS, before the next one may occur. If the leader was lost, an election of random duration comes on top.
 func TestVoterIsExchangedBeforeTheNextLoss(t *testing.T) {
 	const (
-		syncS        = 4400 * time.Millisecond // from the start of the successor
-		electionMost = 3 * time.Second
+		syncS       = 4400 * time.Millisecond // from the start of the successor
+		maxElection = 3 * time.Second
 	)
 	inGroup(t, func(t *testing.T, network *simNetwork, operator *simOperator) {
 		operator.change(oneRoute)
@@ -258,7 +258,7 @@
 			network.seeds = network.addresses()
 			network.addServer().start(false)
 			for !network.hasRecovered() {
-				must.Less(t, time.Second+syncS+electionMost, time.Since(began), must.Sprint("round ", round))
+				must.Less(t, time.Second+syncS+maxElection, time.Since(began), must.Sprint("round ", round))
 				time.Sleep(10 * time.Millisecond)
 			}
 			took := time.Since(began)
--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -55,7 +55,7 @@
 		}
 	}
 	for index, listener := range listeners {
-		wanted := &settings.Settings{
+		configured := &settings.Settings{
 			Node:           fmt.Sprintf("front-%d", index),
 			Zone:           fmt.Sprintf("zone-%d", index),
 			Listen:         settings.Listen{Control: listener.Addr().String()},
@@ -65,17 +65,17 @@
 			FaultTolerance: settings.FaultTolerance{Machines: 1},
 		}
 		if change != nil {
-			change(wanted)
+			change(configured)
 		}
-		c.servers = append(c.servers, startServer(t, wanted, listener))
+		c.servers = append(c.servers, startServer(t, configured, listener))
 	}
 	t.Cleanup(c.close)
 	return c
 }
 
-func startServer(t *testing.T, wanted *settings.Settings, listener net.Listener) *testServer {
+func startServer(t *testing.T, configured *settings.Settings, listener net.Listener) *testServer {
 	t.Helper()
-	options := Options{Settings: wanted, Log: logr.Discard()}
+	options := Options{Settings: configured, Log: logr.Discard()}
 	server, err := New(options)
 	must.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/controlplane/corrupt_record_test.go
+++ b/internal/controlplane/corrupt_record_test.go
@@ -51,13 +51,13 @@
 	folder := t.TempDir()
 	breakRecord(t, folder)
 	var logged logLines
-	wanted := &settings.Settings{
+	configured := &settings.Settings{
 		Listen:    settings.Listen{Control: "127.0.0.1:1"},
 		Seeds:     []string{"127.0.0.1:1"},
 		Bootstrap: true,
 		DataDir:   folder,
 	}
-	server, err := New(Options{Settings: wanted, Log: logged.logger()})
+	server, err := New(Options{Settings: configured, Log: logged.logger()})
 	must.NoError(t, err)
 	t.Cleanup(server.close)
 	status := server.node.Status()
--- a/internal/controlplane/large_deployment_test.go
+++ b/internal/controlplane/large_deployment_test.go
@@ -117,17 +117,17 @@
 		time.Sleep(simPollInterval)
 		leader = n.leader()
 	}
-	rival := &simOperator{network: n, history: &simHistory{}}
-	rival.read()
+	second := &simOperator{network: n, history: &simHistory{}}
+	second.read()
 	routes := slices.Clone(c.routes)
 	statuses := make(chan int, 1)
 	go func() {
-		answer := rival.tryChange(func(version uint64) string { return configWith(int(version), routes...) })
+		answer := second.tryChange(func(version uint64) string { return configWith(int(version), routes...) })
 		statuses <- answer.status
 	}()
 	leader.kill(false)
 	status := c.configure()
 	leader.start(false)
-	n.logEvent("two operators were told %d and %d", status, <-statuses)
+	n.logEvent("two operators received %d and %d", status, <-statuses)
 	time.Sleep(largeRest)
 }
--- a/internal/controlplane/membership_test.go
+++ b/internal/controlplane/membership_test.go
@@ -40,9 +40,9 @@
 }
 
 func TestSilentVoterIsExchangedForAStandby(t *testing.T) {
-	heard := peersOf("a", "c", "d")
-	must.True(t, planVoters(testVoters("a", "b", "c"), "a", heard, 3, voterSilenceTimeout-1).isEmpty())
-	change := planVoters(testVoters("a", "b", "c"), "a", heard, 3, voterSilenceTimeout)
+	recent := peersOf("a", "c", "d")
+	must.True(t, planVoters(testVoters("a", "b", "c"), "a", recent, 3, voterSilenceTimeout-1).isEmpty())
+	change := planVoters(testVoters("a", "b", "c"), "a", recent, 3, voterSilenceTimeout)
 	must.EqOp(t, "b", change.removeID)
 	must.EqOp(t, "d", change.add.ID)
 	must.True(t, planVoters(testVoters("a", "b", "c"), "a", peersOf("a", "c"), 3, time.Hour).isEmpty())
@@ -66,8 +66,8 @@
 				table.record(&rpc.JoinRequest{Id: id, Address: "address-" + id, Zone: "zone-" + id, Disk: true}, joined)
 			}
 		}
-		heard := recentPeers(table.recent(now), now)
-		if change := planVoters(testVoters("a", "b", "c"), "b", heard, 3, now.Sub(began)); !change.isEmpty() {
+		recent := recentPeers(table.recent(now), now)
+		if change := planVoters(testVoters("a", "b", "c"), "b", recent, 3, now.Sub(began)); !change.isEmpty() {
 			must.EqOp(t, "a", change.removeID)
 			must.EqOp(t, "d", change.add.ID)
 			return
@@ -83,21 +83,21 @@
 		peers[index].seenAt = now
 	}
 	peers[2].seenAt = now.Add(-voterSilenceTimeout)
-	heard := recentPeers(peers, now)
-	must.True(t, planVoters(testVoters("a", "b", "c"), "a", heard, 3, time.Hour).isEmpty())
-	must.True(t, planVoters(testVoters("a", "c"), "a", heard, 3, time.Hour).isEmpty())
+	recent := recentPeers(peers, now)
+	must.True(t, planVoters(testVoters("a", "b", "c"), "a", recent, 3, time.Hour).isEmpty())
+	must.True(t, planVoters(testVoters("a", "c"), "a", recent, 3, time.Hour).isEmpty())
 }
 
 func TestProcessWithoutADiskIsNoVoter(t *testing.T) {
-	heard := peersOf("a", "b", "c")
-	heard[2].disk = false
-	must.True(t, planVoters(testVoters("a", "b"), "a", heard, 3, time.Hour).isEmpty())
+	recent := peersOf("a", "b", "c")
+	recent[2].disk = false
+	must.True(t, planVoters(testVoters("a", "b"), "a", recent, 3, time.Hour).isEmpty())
 }
 
 func TestZoneWithFewestVotersIsChosen(t *testing.T) {
-	heard := peersOf("a", "b", "c", "d")
-	heard[2].zone = "zone-a"
-	change := planVoters(testVoters("a", "b"), "a", heard, 3, 0)
+	recent := peersOf("a", "b", "c", "d")
+	recent[2].zone = "zone-a"
+	change := planVoters(testVoters("a", "b"), "a", recent, 3, 0)
 	must.EqOp(t, "d", change.add.ID)
 	must.EqOp(t, "", change.removeID)
 }
@@ -106,7 +106,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const wanted = 3
 		var voters []failover.Member
-		var heard []peer
+		var recent []peer
 		processes := rapid.IntRange(wanted, 7).Draw(t, "processes")
 		for index := range processes {
 			id := fmt.Sprintf("%c", 'a'+index)
@@ -114,17 +114,17 @@
 				voters = append(voters, testVoters(id)...)
 			}
 			if index < wanted || rapid.Bool().Draw(t, "is heard") {
-				heard = append(heard, peersOf(id)...)
+				recent = append(recent, peersOf(id)...)
 			}
 		}
 		for range 2*processes + wanted {
-			change := planVoters(voters, "a", heard, wanted, time.Hour)
+			change := planVoters(voters, "a", recent, wanted, time.Hour)
 			must.False(t, change.removeID == "a")
 			voters = applyChange(voters, change)
 		}
 		must.Len(t, wanted, voters)
 		for _, voter := range voters {
-			must.True(t, containsPeer(heard, voter.ID))
+			must.True(t, containsPeer(recent, voter.ID))
 		}
 	})
 }
--- a/internal/controlplane/model_test.go
+++ b/internal/controlplane/model_test.go
@@ -95,10 +95,10 @@
 		}
 	}
 	recorded := recordedStoreLease(w.committed)
-	wanted := requiredStoreLease(recorded, w.ownLease, []failover.Member{{ID: "leader"}}, recent)
-	if !w.ignoresRecorded && w.term.mayRecordStoreLease(recorded, wanted, w.now) {
+	required := requiredStoreLease(recorded, w.ownLease, []failover.Member{{ID: "leader"}}, recent)
+	if !w.ignoresRecorded && w.term.mayRecordStoreLease(recorded, required, w.now) {
 		w.committed = proto.CloneOf(w.committed)
-		w.committed.StoreLeaseMs = wanted.Milliseconds()
+		w.committed.StoreLeaseMs = required.Milliseconds()
 	}
 }
 
--- a/internal/controlplane/planner.go
+++ b/internal/controlplane/planner.go
@@ -115,8 +115,8 @@
 // admitStores records the new stores and incarnations that renewed within the duration of a lease.
 func (t *term) admitStores(state *rpc.ControlState, next *table, now time.Time) {
 	for _, status := range t.stores {
-		isThere := now.Sub(status.renewedAt) < t.leases.duration()
-		if isThere && admissionOf(state, status) == admissionNew {
+		renewedRecently := now.Sub(status.renewedAt) < t.leases.duration()
+		if renewedRecently && admissionOf(state, status) == admissionNew {
 			if next.admit(status) {
 				status.admittedAt = now
 			}
@@ -241,9 +241,9 @@
 
 // applyReleases hands released partitions over. A release for an earlier epoch has taken effect already and is ignored.
 func applyReleases(members []placement.Member, partitions []placement.Partition, released []*release) ([]placement.Partition, error) {
-	for _, wanted := range released {
-		for partition, epoch := range wanted.epochs {
-			if !isReleaseOf(partitions, int(partition), wanted) {
+	for _, request := range released {
+		for partition, epoch := range request.epochs {
+			if !isReleaseOf(partitions, int(partition), request) {
 				continue
 			}
 			next, err := placement.Release(members, partitions, int(partition), epoch)
@@ -257,12 +257,12 @@
 }
 
 // isReleaseOf reports whether a release was requested by the current owner of the partition.
-func isReleaseOf(partitions []placement.Partition, partition int, wanted *release) bool {
+func isReleaseOf(partitions []placement.Partition, partition int, request *release) bool {
 	if partition >= len(partitions) {
 		return false
 	}
 	owned := partitions[partition]
-	return owned.Owner == wanted.node && owned.Incarnation == wanted.incarnation
+	return owned.Owner == request.node && owned.Incarnation == request.incarnation
 }
 
 // placementTable converts ownerships to partitions of package placement. Without ownerships, all partitions are unowned.
--- a/internal/controlplane/power_loss_test.go
+++ b/internal/controlplane/power_loss_test.go
@@ -63,7 +63,7 @@
 		operator.change(manyRoutes)
 		if unserved := network.awaitService(servedWithin); len(unserved) > 0 {
 			network.end()
-			t.Fatalf("not served before the dark:\n%s", strings.Join(unserved, "\n"))
+			t.Fatalf("not served before the power loss:\n%s", strings.Join(unserved, "\n"))
 		}
 		needed := network.bytesForAll()
 		within := electionTime + time.Duration(2*float64(needed)/network.links.rate*float64(time.Second))
@@ -73,9 +73,9 @@
 			server.start(false)
 		}
 		network.startMembers()
-		network.mustBeServedByOneLeader("all are back", within)
+		network.mustBeServedByOneLeader("after the power loss", within)
 		network.leader().kill(true)
-		sent := network.mustBeServedByOneLeader("the leader is gone", within)
+		sent := network.mustBeServedByOneLeader("after the loss of the leader", within)
 		must.Less(t, needed/2, sent, must.Sprint("what members hold already is sent again"))
 		network.end()
 	})
--- a/internal/controlplane/repair.go
+++ b/internal/controlplane/repair.go
@@ -20,7 +20,7 @@
 
 // startPoint is the time at which a condition began, and the first map version that reflects it.
 type startPoint struct {
-		at    time.Time
+	at    time.Time
 	table uint64 // map version
 }
 
--- a/internal/controlplane/repair_test.go
+++ b/internal/controlplane/repair_test.go
@@ -167,7 +167,7 @@
 		w.requests[1].UnderCopied, w.requests[1].Unconfirmed, w.requests[1].UnconfirmedUnder = 1, 1, placedUnder
 		w.requests = w.requests[:2]
 		w.now = w.now.Add(time.Minute) // the lease of the silent store has ended
-		given := false
+		removed := false
 		for range 50 {
 			w.now = w.now.Add(100 * time.Millisecond)
 			for _, request := range w.requests {
@@ -175,9 +175,9 @@
 			}
 			next := copyTable(w.state)
 			w.term.removeSilentStores(w.state, next, modelCopies, w.now)
-			given = given || findStore(next.stores, "store-2").Address == ""
+			removed = removed || findStore(next.stores, "store-2").Address == ""
 		}
-		must.EqOp(t, placedUnder == 5, given)
+		must.EqOp(t, placedUnder == 5, removed)
 	}
 }
 
--- a/internal/controlplane/request_error.go
+++ b/internal/controlplane/request_error.go
@@ -20,7 +20,7 @@
 }
 
 // versionMismatch rejects a change request that is not based on the current version.
-func versionMismatch(wanted, current uint64) *RequestError {
+func versionMismatch(requested, current uint64) *RequestError {
 	return reject(http.StatusPreconditionFailed,
-		"X-If-Version is %d but the current version is %d: read the configuration and base the change on it", wanted, current)
+		"X-If-Version is %d but the current version is %d: read the configuration and base the change on it", requested, current)
 }
--- a/internal/controlplane/sim_network_test.go
+++ b/internal/controlplane/sim_network_test.go
@@ -113,10 +113,10 @@
 }
 
 // intN returns a random number in [0, most).
-func (n *simNetwork) intN(most int) int {
+func (n *simNetwork) intN(bound int) int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.random.IntN(most)
+	return n.random.IntN(bound)
 }
 
 func (n *simNetwork) chance(probability float64) bool {
@@ -124,8 +124,8 @@
 }
 
 // between returns a random duration in [least, most).
-func (n *simNetwork) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(n.intN(int((most-least)/time.Microsecond)))*time.Microsecond
+func (n *simNetwork) between(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(n.intN(int((maximum-minimum)/time.Microsecond)))*time.Microsecond
 }
 
 func (n *simNetwork) delay() time.Duration {
@@ -166,10 +166,10 @@
 	if s.disks == 0 && !s.diskless {
 		s.newDisk()
 	}
-	wanted := s.settings()
-	wanted.Bootstrap = bootstrap
+	configured := s.settings()
+	configured.Bootstrap = bootstrap
 	server, err := New(Options{
-		Log: logr.Discard(), RoundTripper: &simTransport{from: s}, Platform: simPlatform{}, Settings: wanted, Timing: s.version.timing,
+		Log: logr.Discard(), RoundTripper: &simTransport{from: s}, Platform: simPlatform{}, Settings: configured, Timing: s.version.timing,
 		StoreLease: s.version.storeLease,
 	})
 	must.NoError(network.t, err)
--- a/internal/controlplane/sim_test.go
+++ b/internal/controlplane/sim_test.go
@@ -132,11 +132,11 @@
 	faults.clearAll()
 	time.Sleep(simQuietPhase)
 	if unserved := network.awaitService(servedWithin); len(unserved) > 0 {
-		history.violate("not served after the trouble\n%s", strings.Join(unserved, "\n"))
+		history.violate("not served after the faults\n%s", strings.Join(unserved, "\n"))
 	}
 	finalRead := &simOperator{network: network, history: history, number: simOperators}
 	if !finalRead.read() {
-		history.violate("nothing can be read after the trouble\n%s", strings.Join(network.describe(), "\n"))
+		history.violate("nothing can be read after the faults\n%s", strings.Join(network.describe(), "\n"))
 	}
 	network.end()
 	return history, network.trace
@@ -363,5 +363,5 @@
 func (f *simFaults) clearAll() {
 	f.network.heal()
 	f.network.startServers()
-	f.network.logEvent("all troubles are over")
+	f.network.logEvent("all faults are cleared")
 }
