--- a/internal/controlplane/config_api.go
+++ b/internal/controlplane/config_api.go
@@ -97,11 +97,11 @@
 
 // confirmOutcome checks a change that is not applicable to the committed state known here against the latest state.
 func (s *Server) confirmOutcome(change configRequest) error {
-	newest, err := s.state.readLatest()
+	latest, err := s.state.readLatest()
 	if err != nil {
 		return err
 	}
-	if _, err := change.prepare(newest); err != nil {
+	if _, err := change.prepare(latest); err != nil {
 		return err
 	}
 	return errors.New("the configuration changed in the meantime: send the request again")
--- a/internal/controlplane/config_request.go
+++ b/internal/controlplane/config_request.go
@@ -51,11 +51,11 @@
 }
 
 // prepare parses the request and validates it against a state. Errors are errAlreadyApplied, errDigestDropped or a RequestError.
-func (o configRequest) prepare(state *rpc.ControlState) (*preparedRequest, error) {
-	if err := o.checkVersion(state); err != nil {
+func (r configRequest) prepare(state *rpc.ControlState) (*preparedRequest, error) {
+	if err := r.checkVersion(state); err != nil {
 		return nil, err
 	}
-	config, encoded, err := o.read(state)
+	config, encoded, err := r.read(state)
 	if err != nil {
 		return nil, reject(http.StatusBadRequest, "%v", err)
 	}
@@ -63,28 +63,28 @@
 		return nil, reject(http.StatusBadRequest, "version %d is not above the current version %d: give a higher one",
 			config.Version, state.ConfigVersion)
 	}
-	return &preparedRequest{configRequest: o, version: config.Version, config: encoded}, nil
+	return &preparedRequest{configRequest: r, version: config.Version, config: encoded}, nil
 }
 
 // checkVersion returns an error unless the request is new and based on the version of a state: errAlreadyApplied,
 // errDigestDropped or a RequestError.
-func (o configRequest) checkVersion(state *rpc.ControlState) error {
+func (r configRequest) checkVersion(state *rpc.ControlState) error {
 	switch {
-	case wasApplied(state, o.digest):
+	case wasApplied(state, r.digest):
 		return errAlreadyApplied
-	case digestMayBeDropped(state, o.ifVersion):
+	case digestMayBeDropped(state, r.ifVersion):
 		return errDigestDropped
-	case state.ConfigVersion != o.ifVersion:
-		return versionMismatch(o.ifVersion, state.ConfigVersion)
+	case state.ConfigVersion != r.ifVersion:
+		return versionMismatch(r.ifVersion, state.ConfigVersion)
 	}
 	return nil
 }
 
 // read returns the whole configuration that results from the request, validated.
-func (o configRequest) read(state *rpc.ControlState) (*catalog.Config, []byte, error) {
-	if o.kind == requestReplace {
-		config, err := catalog.Parse(o.body)
-		return config, o.body, err
+func (r configRequest) read(state *rpc.ControlState) (*catalog.Config, []byte, error) {
+	if r.kind == requestReplace {
+		config, err := catalog.Parse(r.body)
+		return config, r.body, err
 	}
 	var base *catalog.Config
 	if len(state.Config) > 0 {
@@ -94,7 +94,7 @@
 		}
 		base = current
 	}
-	config, err := catalog.ApplyUpdate(base, o.body)
+	config, err := catalog.ApplyUpdate(base, r.body)
 	if err != nil {
 		return nil, nil, err
 	}
