--- a/internal/controlplane/catchup_test.go
+++ b/internal/controlplane/catchup_test.go
@@ -205,8 +205,8 @@
 
 func readBackVersion(operator *simOperator) (uint64, int) {
 	answer := operator.callUntilDefinite(http.MethodGet, readPath, "", "")
-	version, order := readBack(answer.body)
-	return version, order
+	version, request := readBack(answer.body)
+	return version, request
 }
 
 // TestMemberWithTornRecordJoinsUnderNewIdentity damages both files of a record: the process has lost its votes, so it must join under
--- a/internal/controlplane/sim_operator_test.go
+++ b/internal/controlplane/sim_operator_test.go
@@ -18,7 +18,7 @@
 // simCall is one call of an operator, repeated until it has a definite outcome.
 type simCall struct {
 	read      bool
-	order     int // number of the change request, from 1
+	request   int // number of the change request, from 1
 	ifVersion uint64
 	version   uint64 // version that the request sets
 }
@@ -27,25 +27,25 @@
 type simOutcome struct {
 	status  int    // 0 if there was no definite outcome
 	version uint64 // version that was read
-	order   int    // number of the request whose configuration was read
+	request int    // number of the request whose configuration was read
 }
 
 // simState is the configuration in the model of the history.
 type simState struct {
 	version uint64
-	order   int
+	request int
 	applied string // numbers of the applied requests, each enclosed in commas
 }
 
-func (s simState) hasApplied(order int) bool {
-	return strings.Contains(s.applied, fmt.Sprintf(",%d,", order))
+func (s simState) hasApplied(request int) bool {
+	return strings.Contains(s.applied, fmt.Sprintf(",%d,", request))
 }
 
 func (s simState) apply(call simCall) simState {
 	if s.applied == "" {
 		s.applied = ","
 	}
-	return simState{version: call.version, order: call.order, applied: s.applied + strconv.Itoa(call.order) + ","}
+	return simState{version: call.version, request: call.request, applied: s.applied + strconv.Itoa(call.request) + ","}
 }
 
 // configModel is a register with compare-and-set that recognizes repeated requests.
@@ -59,24 +59,24 @@
 // stepConfig returns the possible states after a call with a given outcome; none if the outcome contradicts the state.
 func stepConfig(state simState, call simCall, outcome simOutcome) []any {
 	if call.read {
-		isSame := outcome.status == http.StatusOK && outcome.version == state.version && outcome.order == state.order
+		isSame := outcome.status == http.StatusOK && outcome.version == state.version && outcome.request == state.request
 		isNone := outcome.status == http.StatusNotFound && state.version == 0
 		if isSame || isNone || outcome.status == 0 {
 			return []any{state}
 		}
 		return nil
 	}
-	mayApply := !state.hasApplied(call.order) && state.version == call.ifVersion && call.version > state.version
+	mayApply := !state.hasApplied(call.request) && state.version == call.ifVersion && call.version > state.version
 	switch {
 	case outcome.status == 0 && mayApply:
 		return []any{state, state.apply(call)}
 	case outcome.status == 0:
 		return []any{state}
-	case outcome.status == http.StatusOK && state.hasApplied(call.order):
+	case outcome.status == http.StatusOK && state.hasApplied(call.request):
 		return []any{state}
 	case outcome.status == http.StatusOK && mayApply:
 		return []any{state.apply(call)}
-	case outcome.status == http.StatusPreconditionFailed && !state.hasApplied(call.order) && state.version != call.ifVersion:
+	case outcome.status == http.StatusPreconditionFailed && !state.hasApplied(call.request) && state.version != call.ifVersion:
 		return []any{state}
 	}
 	return nil
@@ -86,7 +86,7 @@
 type simHistory struct {
 	mutex      sync.Mutex
 	operations []porcupine.Operation
-	orders     int
+	requests   int
 	confirmed  int
 	refused    int
 	reads      int
@@ -138,11 +138,11 @@
 	history *simHistory
 	number  int
 	known   uint64 // latest version that it knows
-	sent    []sentOrder
+	sent    []sentRequest
 }
 
-// sentOrder is a change request that was confirmed and may be sent again.
-type sentOrder struct {
+// sentRequest is a change request that was confirmed and may be sent again.
+type sentRequest struct {
 	call simCall
 	body string
 }
@@ -163,7 +163,7 @@
 		case 4:
 			o.retire()
 		default:
-			o.order()
+			o.request()
 		}
 		time.Sleep(o.network.between(10*time.Millisecond, 700*time.Millisecond))
 	}
@@ -180,13 +180,13 @@
 
 func (o *simOperator) now() time.Duration { return time.Since(o.network.started) }
 
-// order sends a change based on the version that this operator knows. Another operator may use the same version for another configuration.
-func (o *simOperator) order() {
+// request sends a change based on the version that this operator knows. Another operator may use the same version for another configuration.
+func (o *simOperator) request() {
 	o.history.mutex.Lock()
-	o.history.orders++
-	number := o.history.orders
+	o.history.requests++
+	number := o.history.requests
 	o.history.mutex.Unlock()
-	call := simCall{order: number, ifVersion: o.known, version: o.known + 1 + uint64(o.network.intN(2))}
+	call := simCall{request: number, ifVersion: o.known, version: o.known + 1 + uint64(o.network.intN(2))}
 	body := configWith(int(call.version), fmt.Sprintf("order-%d", number))
 	o.send(call, body)
 }
@@ -211,12 +211,12 @@
 	switch answer.status {
 	case http.StatusOK:
 		o.known = max(o.known, call.version)
-		o.sent = append(o.sent, sentOrder{call: call, body: body})
+		o.sent = append(o.sent, sentRequest{call: call, body: body})
 	case http.StatusPreconditionFailed:
 		o.read()
 	case 0:
 	default:
-		o.history.violate("order %d got %d: %s", call.order, answer.status, answer.body)
+		o.history.violate("request %d got %d: %s", call.request, answer.status, answer.body)
 	}
 }
 
@@ -226,7 +226,7 @@
 	answer := o.callUntilDefinite(http.MethodGet, readPath, "", "")
 	outcome := simOutcome{status: answer.status}
 	if answer.status == http.StatusOK {
-		outcome.version, outcome.order = readBack(answer.body)
+		outcome.version, outcome.request = readBack(answer.body)
 		o.known = outcome.version
 	}
 	o.history.record(o.number, simCall{read: true}, outcome, began, o.now())
@@ -234,7 +234,7 @@
 }
 
 // readBack returns the version of a configuration, and the number of the request that its only route names.
-func readBack(body string) (version uint64, order int) {
+func readBack(body string) (version uint64, request int) {
 	var config struct {
 		Version uint64
 		Routes  []struct{ Name string }
@@ -245,11 +245,11 @@
 	if len(config.Routes) != 1 {
 		return config.Version, -1
 	}
-	order, err := strconv.Atoi(strings.TrimPrefix(config.Routes[0].Name, "order-"))
+	request, err := strconv.Atoi(strings.TrimPrefix(config.Routes[0].Name, "order-"))
 	if err != nil {
 		return config.Version, -1
 	}
-	return config.Version, order
+	return config.Version, request
 }
 
 // retire starts a retirement or reads it: after a start was confirmed, no read may return that there is none.
--- a/internal/controlplane/sim_test.go
+++ b/internal/controlplane/sim_test.go
@@ -96,7 +96,7 @@
 			overlaps++
 		}
 	}
-	t.Logf("%d orders confirmed, %d of them repeats, %d refused, %d reads, %d calls in all, %d losses while another lasted: %s", history.confirmed,
+	t.Logf("%d requests confirmed, %d of them repeats, %d refused, %d reads, %d calls in all, %d losses while another lasted: %s", history.confirmed,
 		history.repeats, history.refused, history.reads, len(history.operations), overlaps, result)
 	if result == porcupine.Ok && history.violation == "" {
 		must.Positive(t, history.confirmed)
