--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -69,9 +69,9 @@
 	MapVersion    uint64 `json:"mapVersion"`
 	ConfigVersion uint64 `json:"configVersion"`
 	ListVersion   uint64 `json:"listVersion"`
-	Ready         int    `json:"ready"`
-	Backlog       uint64 `json:"backlog"`
-	UnderCopied   uint64 `json:"underCopied"`
+	Ready         int    `json:"ready"`       // owned partitions whose takeover is complete
+	Backlog       uint64 `json:"backlog"`     // messages that have not ended
+	UnderCopied   uint64 `json:"underCopied"` // messages with too few copies
 }
 
 // DispatcherStatus describes a dispatcher that renewed in this term. AgeMs is the time since its latest renewal.
--- a/internal/controlplane/term.go
+++ b/internal/controlplane/term.go
@@ -17,8 +17,10 @@
 	diskReplacementDelay = 900 * time.Millisecond
 	// replacedDiskReturnDelay is the same for a disk that was replaced before: its successor may only be restarting.
 	replacedDiskReturnDelay = 10 * time.Second
-	firstAssignmentDelay    = 1500 * time.Millisecond // from the first renewal of a store to the first assignment
-	maxFirstAssignmentDelay = 3 * time.Second         // bound of the wait for further stores
+	// The first assignment waits for firstAssignmentDelay after the first renewal of a store, and for at most
+	// maxFirstAssignmentDelay if known stores hold no lease.
+	firstAssignmentDelay    = 1500 * time.Millisecond
+	maxFirstAssignmentDelay = 3 * time.Second
 	// impairedHoldTime is how long a store counts as impaired after its last report of it, so that a disk with
 	// intermittent faults does not move partitions back and forth.
 	impairedHoldTime = 3 * time.Second
@@ -41,7 +43,7 @@
 	configVersion   uint64
 	listVersion     uint64
 	readyCount      int       // owned partitions whose takeover is complete
-	backlog         uint64    // messages
+	backlog         uint64    // messages that have not ended
 	underCopied     uint64    // messages with too few copies
 	replicatedSince time.Time // since when only unconfirmed copies have been missing; zero if others are missing
 	// unconfirmed is whether it holds copies that their owners may not know of; unconfirmedUnder is the lowest map version
@@ -86,7 +88,7 @@
 	drainedSince   map[string]startPoint // by retiring machine: since when it has owned no partition
 	leaselessSince map[string]startPoint // by machine: since when its store has held no lease, and the map in which it was first marked as leaving
 	releases       []*release
-	listVersion    uint64 // version of the list of workers
+	listVersion    uint64 // version of the published list of workers
 }
 
 // newTerm begins the term of a leader that grants leases of at most storeLease to stores.
