--- a/internal/controlplane/catchup_test.go
+++ b/internal/controlplane/catchup_test.go
@@ -77,8 +77,9 @@
 	return time.Since(began)
 }
 
-// TestMemberThatWasOffForAThousandChangesCatchesUpByOneTransfer also covers a member that returns while changes continue. If the transfer takes
-// longer than the leader needs to save the address of the returned member, that version arrives by a second transfer.
+// TestMemberThatWasOffForAThousandChangesCatchesUpByOneTransfer also covers a member that returns while changes continue. If
+// the transfer takes longer than the leader needs to save the address of the returned member, that version arrives by a
+// second transfer.
 func TestMemberThatWasOffForAThousandChangesCatchesUpByOneTransfer(t *testing.T) {
 	inGroup(t, func(t *testing.T, network *simNetwork, operator *simOperator) {
 		operator.change(oneRoute)
--- a/internal/controlplane/model_test.go
+++ b/internal/controlplane/model_test.go
@@ -215,7 +215,8 @@
 	}
 }
 
-// doubleOwner checks the invariant that no two processes act for a partition at the same time. It returns a description of a violation, or "".
+// doubleOwner checks the invariant that no two processes act for a partition at the same time. It returns a description
+// of a violation, or "".
 func (w *modelWorld) doubleOwner() string {
 	for partition := range partitionCount {
 		acting := ""
--- a/internal/controlplane/sim_member_test.go
+++ b/internal/controlplane/sim_member_test.go
@@ -116,7 +116,8 @@
 	m.client = nil
 }
 
-// isServed reports whether the member holds the latest committed configuration and map, a valid lease, and a confirmation of that configuration.
+// isServed reports whether the member holds the latest committed configuration and map, a valid lease, and a confirmation
+// of that configuration.
 func (m *simMember) isServed(state *rpc.ControlState) bool {
 	view := m.client.View()
 	if view.ConfigVersion != state.ConfigVersion || view.Map.GetVersion() != state.MapVersion {
--- a/internal/controlplane/sim_operator_test.go
+++ b/internal/controlplane/sim_operator_test.go
@@ -180,7 +180,8 @@
 
 func (o *simOperator) now() time.Duration { return time.Since(o.network.started) }
 
-// request sends a change based on the version that this operator knows. Another operator may use the same version for another configuration.
+// request sends a change based on the version that this operator knows. Another operator may use the same version for
+// another configuration.
 func (o *simOperator) request() {
 	o.history.mutex.Lock()
 	o.history.requests++
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -19,7 +19,7 @@
 	Streams          int                `json:"streams"`
 	Voters           []string           `json:"voters"`
 	VotersWanted     int                `json:"votersWanted"`     // required by the fault tolerance in the settings
-	VotersChanging   bool               `json:"votersExchanging"` // a change of the voters is in progress; until it ends, majorities of the old voters are needed as well
+	VotersChanging   bool               `json:"votersExchanging"` // until the change ends, a majority of the old voters is needed as well
 	ControlAddresses []string           `json:"controlAddresses"`
 	Stores           []StoreStatus      `json:"stores"`
 	Dispatchers      []DispatcherStatus `json:"dispatchers"`
@@ -29,9 +29,9 @@
 	FaultTolerance   int                `json:"faultTolerance"` // stores that may fail at the same time
 }
 
-// PendingTakeovers returns the number of partitions whose owner has not completed the takeover, and the active stores that hold no lease. An owner
-// must first learn which copies the other stores hold. If more stores hold no lease than may fail at the same time, takeovers wait until
-// some of them return or are abandoned.
+// PendingTakeovers returns the number of partitions whose owner has not completed the takeover, and the active stores that
+// hold no lease. An owner must first learn which copies the other stores hold. If more stores hold no lease than may fail at
+// the same time, takeovers wait until some of them return or are abandoned.
 func (s *Status) PendingTakeovers() (partitions int, silent []string) {
 	for _, store := range s.Stores {
 		switch {
--- a/internal/controlplane/term.go
+++ b/internal/controlplane/term.go
@@ -35,7 +35,7 @@
 	zone        string
 
 	renewedAt       time.Time
-	admittedAt      time.Time // when its incarnation was recorded in this term; no earlier map contains it. Zero if it was recorded before
+	admittedAt      time.Time // when its incarnation was recorded in this term, so that no earlier map contains it; else zero
 	granted         bool      // a lease was granted to it in this term
 	leaving         bool
 	impairedUntil   time.Time // end of the time in which it counts as impaired
@@ -214,7 +214,7 @@
 	return changed
 }
 
-// impaired reports whether the store could not accept messages within impairedHoldTime because its disk was full or did not respond.
+// impaired reports whether the store has reported within impairedHoldTime that its disk was full or did not respond.
 func (s *storeStatus) impaired(now time.Time) bool { return now.Before(s.impairedUntil) }
 
 // mayGrant reports whether a lease can't make the store act for a partition that was assigned to another. A store
