--- a/internal/controlplane/catchup_test.go
+++ b/internal/controlplane/catchup_test.go
@@ -263,7 +263,7 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			took := time.Since(began)
-			t.Logf("leader lost %t: exchanged after %s", round%2 == 1, took)
+			t.Logf("leader lost %t: replaced after %s", round%2 == 1, took)
 			if round%2 == 0 {
 				must.Less(t, time.Second+syncS, took)
 			}
--- a/internal/controlplane/deployment_faults_test.go
+++ b/internal/controlplane/deployment_faults_test.go
@@ -201,7 +201,7 @@
 		answer := operator.callUntilDefinite(http.MethodPost, retirePath(leaving.name, "start"), "", `{"deadlineS":10}`)
 		if answer.status == http.StatusOK {
 			c.retiring = leaving
-			n.logEvent("%s is to be emptied", leaving.name)
+			n.logEvent("%s is to be retired", leaving.name)
 		}
 	}
 	c.removeRetired()
@@ -214,7 +214,7 @@
 	for end := time.Now().Add(retirementTimeout); c.retiring != nil && time.Now().Before(end); time.Sleep(simPollInterval) {
 		answer := operator.callUntilDefinite(http.MethodGet, retirePath(c.retiring.name, "read"), "", "")
 		if answer.status == http.StatusOK && strings.Contains(answer.body, retirementCompleted) {
-			n.logEvent("%s is empty", c.retiring.name)
+			n.logEvent("%s is retired", c.retiring.name)
 			c.retiring.remove()
 			c.retiring = nil
 			c.retired++
--- a/internal/controlplane/deployment_test.go
+++ b/internal/controlplane/deployment_test.go
@@ -229,7 +229,7 @@
 			accepted++
 		}
 	}
-	c.network.t.Logf("%d messages, %d accepted, %d refused, %d runs, %d stores emptied, %d violations", len(j.messages), accepted, refused, starts,
+	c.network.t.Logf("%d messages, %d accepted, %d refused, %d runs, %d stores retired, %d violations", len(j.messages), accepted, refused, starts,
 		c.retired, len(j.violations))
 	if len(j.violations) > 0 {
 		c.network.t.Fatalf("%s\n%s", strings.Join(j.violations[:min(12, len(j.violations))], "\n"), strings.Join(c.network.trace, "\n"))
--- a/internal/controlplane/lease_duration_test.go
+++ b/internal/controlplane/lease_duration_test.go
@@ -12,22 +12,22 @@
 
 func TestLongestLeaseOfThoseThatMayLeadIsRecorded(t *testing.T) {
 	const own, recorded = 1500 * time.Millisecond, 1700 * time.Millisecond
-	recent := func(id string, disk bool, told int64) peer {
+	recent := func(id string, disk bool, leaseMs int64) peer {
 		table := newPeerTable()
-		table.record(&rpc.JoinRequest{Id: id, Address: id, Disk: disk, StoreLeaseMs: told}, time.Now())
+		table.record(&rpc.JoinRequest{Id: id, Address: id, Disk: disk, StoreLeaseMs: leaseMs}, time.Now())
 		return table.recent(time.Now())[0]
 	}
 	for name, c := range map[string]struct {
 		recent []peer
 		wanted time.Duration
 	}{
-		"all have one length":                  {[]peer{recent("a", true, 1500), recent("b", true, 1500)}, own},
-		"a voter counts on more":               {[]peer{recent("a", true, 2000), recent("b", true, 1500)}, 2 * time.Second},
-		"one that may become a voter does":     {[]peer{recent("a", true, 1500), recent("b", true, 1500), recent("c", true, 3000)}, 3 * time.Second},
-		"one that can't become a voter does":   {[]peer{recent("a", true, 1500), recent("b", true, 1500), recent("c", false, 3000)}, own},
-		"a voter tells none":                   {[]peer{recent("a", true, 0), recent("b", true, 1000)}, unspecifiedStoreLease},
-		"a voter is not heard":                 {[]peer{recent("a", true, 1500)}, recorded},
-		"another counts on more than recorded": {[]peer{recent("a", true, 2500)}, 2500 * time.Millisecond},
+		"all report the same duration":                                       {[]peer{recent("a", true, 1500), recent("b", true, 1500)}, own},
+		"a voter reports a longer one":                                       {[]peer{recent("a", true, 2000), recent("b", true, 1500)}, 2 * time.Second},
+		"a process that may become a voter does":                             {[]peer{recent("a", true, 1500), recent("b", true, 1500), recent("c", true, 3000)}, 3 * time.Second},
+		"a process that cannot become a voter does":                          {[]peer{recent("a", true, 1500), recent("b", true, 1500), recent("c", false, 3000)}, own},
+		"a voter reports none":                                               {[]peer{recent("a", true, 0), recent("b", true, 1000)}, unspecifiedStoreLease},
+		"a voter sent no recent Join":                                        {[]peer{recent("a", true, 1500)}, recorded},
+		"a voter reports more than is recorded, another sent no recent Join": {[]peer{recent("a", true, 2500)}, 2500 * time.Millisecond},
 	} {
 		must.Eq(t, c.wanted, requiredStoreLease(recorded, own, []failover.Member{{ID: "a"}, {ID: "b"}}, c.recent), must.Sprint(name))
 	}
--- a/internal/controlplane/membership_test.go
+++ b/internal/controlplane/membership_test.go
@@ -73,7 +73,7 @@
 			return
 		}
 	}
-	t.Fatal("the lost voter was not exchanged in time")
+	t.Fatal("the lost voter was not replaced in time")
 }
 
 func TestSilentProcessBecomesNoVoter(t *testing.T) {
--- a/internal/controlplane/sim_network_test.go
+++ b/internal/controlplane/sim_network_test.go
@@ -587,7 +587,7 @@
 func (n *simNetwork) describe() []string {
 	var lines []string
 	for _, server := range n.allServers() {
-		line := fmt.Sprintf("%s gone %t disk %d", server.address, server.removed, server.disks)
+		line := fmt.Sprintf("%s removed %t disk %d", server.address, server.removed, server.disks)
 		if process := server.running(); process != nil {
 			status := process.server.node.Status()
 			status.State = nil // too long to print
