--- a/choice/api.go
+++ b/choice/api.go
@@ -142,22 +142,22 @@
 
 // The outcome codes.
 const (
-	Done      Code = iota
-	Errored        // the worker answered with an error: may have run
-	Busy           // turned away unseen: never ran
-	TimedOut       // may have run or be running
-	NoConnect      // never ran
-	Reset          // the connection broke: may have run
-	Cancelled      // may have run
-	Skipped        // never sent
-	Cut            // the connection came up and broke before the job was written: never ran
-	Stale          // a kept connection had ended: may have run, and says nothing of the worker
-	Returned       // taken and handed back unstarted, as the worker said later: never ran
+	Done             Code = iota
+	Errored               // the worker answered with an error: may have run
+	Busy                  // turned away unseen: never ran
+	TimedOut              // may have run or be running
+	NoConnect             // never ran
+	Reset                 // the connection broke: may have run
+	Cancelled             // may have run
+	Skipped               // never sent
+	BrokenBeforeSend      // the connection came up and broke before the job was written: never ran
+	StaleConnection       // a kept connection had ended: may have run, and says nothing of the worker
+	Returned              // taken and handed back unstarted, as the worker said later: never ran
 )
 
 // NeverRan reports whether the code proves that the attempt did not run.
 func (c Code) NeverRan() bool {
-	return c == Busy || c == NoConnect || c == Skipped || c == Cut || c == Returned
+	return c == Busy || c == NoConnect || c == Skipped || c == BrokenBeforeSend || c == Returned
 }
 
 // Outcome is the end of one attempt.
@@ -173,7 +173,7 @@
 }
 
 // Note is news of a running attempt.
-type Note struct {
+type AttemptUpdate struct {
 	Request string
 	Worker  string
 	Attempt int
@@ -204,7 +204,7 @@
 	Timer(delay float64, token uint64)
 	Probe(worker string)
 	CloseIdle(worker string)
-	Tell(peer int, data []byte) // to all peers where peer is below 0
+	SendToPeer(peer int, data []byte) // to all peers where peer is below 0
 	Subscribe(on bool)
 	ListAll()
 	Log(text string)
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -123,7 +123,7 @@
 // Fleet takes how many dispatchers may be acting from now on. Danger: those that join take over a part of
 // what this one carries, and its memory of that fades slowly: all together would overdrive a cold worker
 // for that long. Where some have gone, what is carried rises by itself.
-func (d *Dispatcher) Fleet(dispatchers int) {
+func (d *Dispatcher) SetDispatchers(dispatchers int) {
 	if part := float64(d.s.Dispatchers) / float64(dispatchers); part < 1 {
 		for _, k := range d.kindList {
 			k.carried, k.work.sum, k.squares.sum = k.carried*part, k.work.sum*part, k.squares.sum*part
@@ -568,10 +568,10 @@
 		if till := now + max(retryPause, fullPart*d.response(now, r.Class, w)); till > w.fullTill {
 			w.fullTill, w.fullSlots = till, r.Slots
 		}
-	case Errored, Reset, NoConnect, Cut:
+	case Errored, Reset, NoConnect, BrokenBeforeSend:
 		// Danger: one that fails fast empties its count of jobs in flight and would draw ever more.
 		w.lifeAt = now
-		w.failed(now, (o.Code == Reset || o.Code == Cut) && d.warmth(now, w) == 1, 0.75+d.rng.Float64()/2)
+		w.failed(now, (o.Code == Reset || o.Code == BrokenBeforeSend) && d.warmth(now, w) == 1, 0.75+d.rng.Float64()/2)
 	}
 }
 
@@ -585,7 +585,7 @@
 }
 
 // StoodStill says that nothing could be read until now: what is out tells nothing of the workers.
-func (d *Dispatcher) StoodStill() {
+func (d *Dispatcher) ProcessStalled() {
 	for _, r := range d.reqs {
 		r.judged = true
 	}
@@ -602,7 +602,7 @@
 }
 
 // Note takes news of a running attempt.
-func (d *Dispatcher) Note(now float64, n Note) {
+func (d *Dispatcher) AttemptUpdate(now float64, n AttemptUpdate) {
 	r := d.reqs[n.Request]
 	if r == nil || n.Attempt < 0 || n.Attempt >= len(r.attempts) {
 		return
@@ -632,7 +632,7 @@
 }
 
 // Heard takes a peer's message. Peers tell nothing yet.
-func (d *Dispatcher) Heard(_ float64, _ int, _ []byte) {}
+func (d *Dispatcher) PeerMessage(_ float64, _ int, _ []byte) {}
 
 // Timer takes a timer that has come due.
 func (d *Dispatcher) Timer(now float64, token uint64) {
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -28,7 +28,7 @@
 func (h *host) Timer(t float64, k uint64)  { h.add(sent{what: "timer", value: t, token: k}) }
 func (h *host) Probe(w string)             { h.add(sent{what: "probe", worker: w}) }
 func (h *host) CloseIdle(w string)         { h.add(sent{what: "close", worker: w}) }
-func (h *host) Tell(p int, _ []byte)       { h.add(sent{what: "tell", value: float64(p)}) }
+func (h *host) SendToPeer(p int, _ []byte) { h.add(sent{what: "tell", value: float64(p)}) }
 func (h *host) ListAll()                   { h.add(sent{what: "list"}) }
 func (h *host) Log(string)                 {}
 func (h *host) Subscribe(on bool) {
@@ -174,7 +174,7 @@
 	if a == b {
 		b = d.byID["b"]
 	}
-	d.Note(2.5, Note{Request: "r", Started: true})
+	d.AttemptUpdate(2.5, AttemptUpdate{Request: "r", Started: true})
 	d.Outcome(2.6, Outcome{Request: "r", Code: Done, Latency: 0.6, Final: true})
 	for i, c := range d.classes {
 		if a.inv[i] > b.inv[i]/1.3 || math.Abs(c.sum-a.inv[i]-b.inv[i]) > 1e-6 {
@@ -202,7 +202,7 @@
 		d, _ := start(t, s, fleet("a"))
 		d.Request(2, Request{ID: "r", Deadline: 100, Tenant: -1, Slots: 2})
 		now := 2 + tc.wait
-		d.Note(now, Note{Request: "r", Started: true})
+		d.AttemptUpdate(now, AttemptUpdate{Request: "r", Started: true})
 		small := &request{Request: ask("s", now)}
 		if free := d.available(now+tc.at, small, d.byID["a"]); free != tc.free {
 			t.Errorf("%.1f s after a wait of %.2f s: free %v", tc.at, tc.wait, free)
@@ -241,8 +241,8 @@
 		{Busy, Idempotent, "assign"}, {Busy, Deduplicated, "assign"}, {Busy, AtMostOnce, "assign"},
 		{NoConnect, Idempotent, "assign"}, {NoConnect, AtMostOnce, "assign"},
 		{Skipped, Idempotent, "assign"}, {Skipped, AtMostOnce, "assign"},
-		{Cut, Idempotent, "assign"}, {Cut, Deduplicated, "assign"}, {Cut, AtMostOnce, "assign"},
-		{Stale, Idempotent, "assign"}, {Stale, Deduplicated, "assign"}, {Stale, AtMostOnce, "fail"},
+		{BrokenBeforeSend, Idempotent, "assign"}, {BrokenBeforeSend, Deduplicated, "assign"}, {BrokenBeforeSend, AtMostOnce, "assign"},
+		{StaleConnection, Idempotent, "assign"}, {StaleConnection, Deduplicated, "assign"}, {StaleConnection, AtMostOnce, "fail"},
 	} {
 		d, h := start(t, plain(tc.effect), fleet("a", "b"))
 		d.Request(2, ask("r", 2))
@@ -431,7 +431,7 @@
 	if a, b := d.byID["a"].inv[0], d.byID["b"].inv[0]; a > b/5 {
 		t.Errorf("silent for 2 s at 0.1 s a job, it still has 1/R %.2f against %.2f", a, b)
 	}
-	d.Note(4, Note{Request: d.byID["a"].out[0].req.ID, Worker: "a", Started: true})
+	d.AttemptUpdate(4, AttemptUpdate{Request: d.byID["a"].out[0].req.ID, Worker: "a", Started: true})
 	d.refresh(4)
 	if d.byID["a"].inv[0] < 5 {
 		t.Error("a note did not count as life")
@@ -469,10 +469,10 @@
 		d.Outcome(now, Outcome{Request: id, Worker: "a", Code: code, Final: true})
 		return w.barTill - now
 	}
-	if bar := fails(Stale, 2); bar > 0 {
+	if bar := fails(StaleConnection, 2); bar > 0 {
 		t.Errorf("barred for %.2f s after a stale connection", bar)
 	}
-	if bar := fails(Cut, 2.5); bar <= 0 || bar > errBar/4 {
+	if bar := fails(BrokenBeforeSend, 2.5); bar <= 0 || bar > errBar/4 {
 		t.Errorf("barred for %.2f s after one cut connection", bar)
 	}
 	if bar := fails(Reset, 3); bar <= 0 || bar > errBar/2 {
@@ -671,11 +671,11 @@
 	d, h := start(t, plain(Idempotent), fleet("a"))
 	d.Outcome(2, Outcome{Request: "?", Code: Done})
 	d.Withdrawn(2, "?")
-	d.Note(2, Note{Request: "?", Attempt: 3})
+	d.AttemptUpdate(2, AttemptUpdate{Request: "?", Attempt: 3})
 	d.FirstByte(2, "?", 0)
 	d.Probed(2, Probe{Worker: "?", Code: Done, Report: []float64{1}})
 	d.Timer(2, 999)
-	d.Heard(2, 1, nil)
+	d.PeerMessage(2, 1, nil)
 	d.Request(2, Request{ID: "x", Class: 7})
 	d.List(2, ListAll, nil)
 	if got := h.take(); len(got) > 0 {
@@ -698,7 +698,7 @@
 		first := h.log[0].worker
 		d.paidMoves, d.late = 5, tc.late
 		if tc.started {
-			d.Note(2.01, Note{Request: "r", Worker: first, Started: true})
+			d.AttemptUpdate(2.01, AttemptUpdate{Request: "r", Worker: first, Started: true})
 		}
 		for _, tm := range append([]sent(nil), h.log...) {
 			if tm.what == "timer" {
@@ -731,7 +731,7 @@
 		d.paidMoves = 5
 		d.Request(2, ask("r", 2))
 		if taken {
-			d.Note(2.01, Note{Request: "r", Worker: h.log[0].worker, Taken: true})
+			d.AttemptUpdate(2.01, AttemptUpdate{Request: "r", Worker: h.log[0].worker, Taken: true})
 		}
 		wait := h.log[1]
 		h.take()
@@ -767,7 +767,7 @@
 		first := log[0].worker
 		d.List(2, ListChanges, list[2:])
 		if tc.taken {
-			d.Note(2.01, Note{Request: "r", Worker: first, Taken: true})
+			d.AttemptUpdate(2.01, AttemptUpdate{Request: "r", Worker: first, Taken: true})
 		}
 		h.take()
 		for i, timers := 1, log[1:]; i <= 2 && len(timers) > 0; i++ {
@@ -794,8 +794,8 @@
 		d, h := start(t, s, fleet("a"))
 		d.Request(2, ask("r", 2))
 		h.log = nil
-		d.Note(2.1, Note{Request: "r", Worker: "a", Started: true})
-		d.Note(3, Note{Request: "r", Worker: "a", Share: 0.5})
+		d.AttemptUpdate(2.1, AttemptUpdate{Request: "r", Worker: "a", Started: true})
+		d.AttemptUpdate(3, AttemptUpdate{Request: "r", Worker: "a", Share: 0.5})
 		for now := 2.1; now < 4.4; { // the timers that listen
 			if len(h.log) == 0 {
 				break
@@ -860,7 +860,7 @@
 				t.Fatalf("%d attempts of a job that was called off", len(r.attempts))
 			}
 			if free {
-				d.Note(now+0.101, Note{Request: id, Attempt: 1, Started: true})
+				d.AttemptUpdate(now+0.101, AttemptUpdate{Request: id, Attempt: 1, Started: true})
 			}
 			due(r, 1, now+0.2)
 			d.Outcome(now+0.5, Outcome{Request: id, Attempt: 1, Code: Done, Latency: 0.4, Final: true})
@@ -899,7 +899,7 @@
 	d, h := start(t, s, fleet("a"))
 	d.Request(2, ask("r", 2))
 	h.take()
-	d.Note(4, Note{Request: "r", Worker: "a", Started: true})
+	d.AttemptUpdate(4, AttemptUpdate{Request: "r", Worker: "a", Started: true})
 	if d.late == 0 {
 		t.Error("a start 2 s after the send was not seen as late")
 	}
@@ -919,7 +919,7 @@
 	d.refresh(2.3)
 	once := d.late
 	d.refresh(2.5)
-	d.Note(2.6, Note{Request: "r", Started: true})
+	d.AttemptUpdate(2.6, AttemptUpdate{Request: "r", Started: true})
 	if once == 0 || d.late != once {
 		t.Errorf("%.3f are late after 0.3 s, %.3f after its start", once, d.late)
 	}
@@ -928,7 +928,7 @@
 	d, _ = start(t, s, fleet("a", "b"))
 	d.Request(2, ask("r", 2))
 	d.Outcome(2.19, Outcome{Request: "r", Code: Cancelled, Latency: 0.19})
-	d.Note(2.25, Note{Request: "r", Attempt: 1, Started: true})
+	d.AttemptUpdate(2.25, AttemptUpdate{Request: "r", Attempt: 1, Started: true})
 	if d.late == 0 {
 		t.Error("a job that began 0.25 s after it came, at its second worker, counts as in time")
 	}
@@ -940,14 +940,14 @@
 	s.TellsStart = true
 	d, _ := start(t, s, fleet("a"))
 	d.Request(2, ask("r", 2))
-	d.StoodStill()
+	d.ProcessStalled()
 	d.refresh(2.5)
-	d.Note(2.6, Note{Request: "r", Started: true})
+	d.AttemptUpdate(2.6, AttemptUpdate{Request: "r", Started: true})
 	if d.late != 0 {
 		t.Errorf("%.3f are late after a pause", d.late)
 	}
 	d.Request(3, ask("q", 2))
-	d.Note(3.6, Note{Request: "q", Started: true})
+	d.AttemptUpdate(3.6, AttemptUpdate{Request: "q", Started: true})
 	if d.late == 0 {
 		t.Error("a request that came after the pause was not judged")
 	}
@@ -1161,7 +1161,7 @@
 // TestNoWorkerTwiceWhereItMayHaveRun: a worker gets a request again where it was never reached, or turned it away unseen, and not where it may have
 // run there or the worker handed it back by a message, which may come again.
 func TestNoWorkerTwiceWhereItMayHaveRun(t *testing.T) {
-	for code, again := range map[Code]bool{NoConnect: true, Busy: true, Errored: false, Reset: false, Stale: false, Returned: false} {
+	for code, again := range map[Code]bool{NoConnect: true, Busy: true, Errored: false, Reset: false, StaleConnection: false, Returned: false} {
 		d, _ := start(t, plain(Idempotent), fleet("a"))
 		d.Request(1, ask("r", 1))
 		r, w := d.reqs["r"], d.byID["a"]
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -16,7 +16,7 @@
 func (printer) Timer(float64, uint64)                    {}
 func (printer) Probe(string)                             {}
 func (printer) CloseIdle(string)                         {}
-func (printer) Tell(int, []byte)                         {}
+func (printer) SendToPeer(int, []byte)                   {}
 func (printer) Subscribe(bool)                           {}
 func (printer) ListAll()                                 {}
 func (printer) Log(string)                               {}
--- a/choice/property_test.go
+++ b/choice/property_test.go
@@ -158,7 +158,7 @@
 	}
 }
 func (c *checker) CloseIdle(string) {}
-func (c *checker) Tell(int, []byte) {
+func (c *checker) SendToPeer(int, []byte) {
 	if !c.s.CanTell {
 		c.t.Fatal("message where none is allowed")
 	}
@@ -264,7 +264,7 @@
 			d.Probed(c.now, Probe{Worker: list[rng.IntN(len(list))].ID, Code: Done, Report: []float64{rng.Float64() * 5}})
 		case k < 12 && len(c.out) > 0:
 			a := c.out[rng.IntN(len(c.out))]
-			d.Note(c.now, Note{Request: a.id, Worker: a.worker, Attempt: a.no, Started: rng.IntN(2) == 0, Share: 0.5})
+			d.AttemptUpdate(c.now, AttemptUpdate{Request: a.id, Worker: a.worker, Attempt: a.no, Started: rng.IntN(2) == 0, Share: 0.5})
 		case k < 13 && len(open) > 0:
 			if r := c.reqs[open[rng.IntN(len(open))]]; !r.withdrawn {
 				r.ended, r.withdrawn = true, true
--- a/choice/state.go
+++ b/choice/state.go
@@ -62,7 +62,7 @@
 const quietAfter = 1.5
 
 // heard enters that a worker told of an attempt. One that it has begun is listened to from then on.
-func (d *Dispatcher) heard(now float64, a *attempt, n Note) {
+func (d *Dispatcher) heard(now float64, a *attempt, n AttemptUpdate) {
 	begins := !a.started && !n.Taken
 	a.taken, a.started, a.heardAt = true, a.started || !n.Taken, now
 	if c := &d.classes[a.req.Class]; begins && c.Effect != AtMostOnce && d.s.CanCancel && d.s.ProgressEvery > 0 {
@@ -279,7 +279,7 @@
 }
 
 // Barred counts the listed workers in service that are barred for their failures.
-func (d *Dispatcher) Barred(now float64) (n int) {
+func (d *Dispatcher) EjectedCount(now float64) (n int) {
 	for _, w := range d.workers {
 		if w.listed && w.State == InService && now < w.barTill {
 			n++
--- a/cmd/foldlb-scale/backlog.go
+++ b/cmd/foldlb-scale/backlog.go
@@ -133,8 +133,8 @@
 		return nil, err
 	}
 	for partition := range uint32(backlogPartitions) {
-		restarted.table.Own(partition, 2)
-		restarted.table.Ready(partition, time.Second)
+		restarted.table.BeginOwnership(partition, 2)
+		restarted.table.MarkReady(partition, time.Second)
 	}
 	b.ReplayUsPerMsg = b.perMessage(started)
 	restarted.log = log
@@ -147,7 +147,7 @@
 	if err := proto.Unmarshal(data[recordHeaderBytes:], read); err != nil {
 		return errors.Wrap(err, "read a message")
 	}
-	entry := message.FromMessage(read, 0)
+	entry := message.NewEntry(read, 0)
 	entry.Body, entry.Stored, entry.Record = nil, true, at
 	entry.AddHolder("0123456789abcdef")
 	s.table.Add(entry, 0)
@@ -171,7 +171,7 @@
 	started := now()
 	visited := 0
 	table.Each(func(entry *message.Entry) {
-		if !entry.Ended() && entry.Copies(nil, "") > 1 {
+		if !entry.Ended() && entry.CountCopies(nil, "") > 1 {
 			visited++
 		}
 	})
@@ -183,11 +183,11 @@
 	started := now()
 	for number := range backlogRoutes {
 		for {
-			entry := table.Start(routeOf(number), scheduleAim, time.Second)
+			entry := table.StartNext(routeOf(number), scheduleAim, time.Second)
 			if entry == nil {
 				break
 			}
-			table.Finish(entry, rpc.State_COMPLETED, "stamp", time.Second)
+			table.FinishAttempt(entry, rpc.State_COMPLETED, "stamp", time.Second)
 		}
 	}
 	b.DrainUsPerMsg = b.perMessage(started)
--- a/cmd/foldlb-scale/relay.go
+++ b/cmd/foldlb-scale/relay.go
@@ -70,7 +70,7 @@
 	go running.follow(ctx, leader)
 	go func() {
 		<-ctx.Done()
-		running.hub.Disconnect()
+		running.hub.DisconnectAll()
 		_ = server.Close()
 	}()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
--- a/coord/applog/errors.go
+++ b/coord/applog/errors.go
@@ -16,26 +16,26 @@
 	// ErrTooLarge says that a payload is longer than MaxPayloadBytes.
 	ErrTooLarge = errors.New("the payload is too large for one record: split it below 16 MiB")
 
-	// ErrFailed says that a write or a sync failed for another reason than space. What the file holds since
+	// ErrWriteFailed says that a write or a sync failed for another reason than space. What the file holds since
 	// the last sync is unknown, so the log refuses all further writes.
-	ErrFailed = errors.New("the disk failed the log: restart the process, which replays what was kept")
+	ErrWriteFailed = errors.New("the disk failed the log: restart the process, which replays what was kept")
 
 	// ErrClosed says that the log was closed.
 	ErrClosed = errors.New("the log is closed: open it again")
 )
 
-// failedError is an ErrFailed with the cause that the system reported.
+// failedError is an ErrWriteFailed with the cause that the system reported.
 type failedError struct {
 	operation string
 	cause     error
 }
 
 func (e *failedError) Error() string {
-	return ErrFailed.Error() + " (" + e.operation + ": " + e.cause.Error() + ")"
+	return ErrWriteFailed.Error() + " (" + e.operation + ": " + e.cause.Error() + ")"
 }
 
-// Is reports whether target is ErrFailed.
-func (e *failedError) Is(target error) bool { return target == ErrFailed }
+// Is reports whether target is ErrWriteFailed.
+func (e *failedError) Is(target error) bool { return target == ErrWriteFailed }
 
 // Unwrap returns the cause that the system reported.
 func (e *failedError) Unwrap() error { return e.cause }
--- a/coord/applog/log.go
+++ b/coord/applog/log.go
@@ -118,7 +118,7 @@
 }
 
 // Append adds a record, which is not yet written and can be read at once. It copies payload. It waits while a
-// Rewrite runs or more than 1 MiB is waiting for the disk. Errors: ErrFull, ErrTooLarge, ErrFailed,
+// Rewrite runs or more than 1 MiB is waiting for the disk. Errors: ErrFull, ErrTooLarge, ErrWriteFailed,
 // ErrClosed; after each of them nothing was appended.
 func (l *Log) Append(payload []byte) (Position, error) {
 	if len(payload) > MaxPayloadBytes {
@@ -182,7 +182,7 @@
 }
 
 // Buffered returns the number of bytes that are not yet written.
-func (l *Log) Buffered() int {
+func (l *Log) BufferedBytes() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return len(l.flushing) + len(l.active)
--- a/coord/applog/log_test.go
+++ b/coord/applog/log_test.go
@@ -163,7 +163,7 @@
 		_, err := log.Append([]byte("payload"))
 		must.NoError(t, err)
 		group.Add(1)
-		log.Sync(func(err error) {
+		log.RequestSync(func(err error) {
 			must.NoError(t, err)
 			group.Done()
 		})
@@ -189,17 +189,17 @@
 	must.NoError(t, err)
 	file.set(nil, unix.EIO)
 	err = log.Wait()
-	must.ErrorIs(t, err, ErrFailed)
+	must.ErrorIs(t, err, ErrWriteFailed)
 	must.ErrorIs(t, err, unix.EIO)
 	must.StrContains(t, err.Error(), "restart the process")
 	file.set(nil, nil)
 	_, err = log.Append([]byte("later"))
-	must.ErrorIs(t, err, ErrFailed)
-	must.ErrorIs(t, log.Wait(), ErrFailed)
-	must.ErrorIs(t, log.Rewrite(nil), ErrFailed)
+	must.ErrorIs(t, err, ErrWriteFailed)
+	must.ErrorIs(t, log.Wait(), ErrWriteFailed)
+	must.ErrorIs(t, log.Rewrite(nil), ErrWriteFailed)
 	_, err = log.Read(position)
 	must.NoError(t, err)
-	must.ErrorIs(t, log.Close(), ErrFailed)
+	must.ErrorIs(t, log.Close(), ErrWriteFailed)
 }
 
 func TestFullDiskKeepsRecords(t *testing.T) {
@@ -312,21 +312,21 @@
 
 func TestWaitingShowsADiskThatDoesNotAnswer(t *testing.T) {
 	log, file := openFaulty(t, t.TempDir(), Options{})
-	must.Eq(t, 0, log.Waiting())
+	must.Eq(t, 0, log.OldestSyncWait())
 	file.syncBegan = make(chan struct{})
 	file.syncMayEnd = make(chan struct{})
 	_, err := log.Append([]byte("payload"))
 	must.NoError(t, err)
 	first := make(chan error, 1)
 	began := time.Now()
-	log.Sync(func(err error) { first <- err })
+	log.RequestSync(func(err error) { first <- err })
 	<-file.syncBegan
 	second := make(chan error, 1)
 	_, err = log.Append([]byte("behind it"))
 	must.NoError(t, err)
-	log.Sync(func(err error) { second <- err })
-	must.Positive(t, log.Buffered())
-	for log.Waiting() < 10*time.Millisecond { // that of the sync under way, not of the later one
+	log.RequestSync(func(err error) { second <- err })
+	must.Positive(t, log.BufferedBytes())
+	for log.OldestSyncWait() < 10*time.Millisecond { // that of the sync under way, not of the later one
 		must.Less(t, time.Minute, time.Since(began))
 	}
 	file.syncMayEnd <- struct{}{}
@@ -335,8 +335,8 @@
 	file.syncMayEnd <- struct{}{}
 	must.NoError(t, <-second)
 	must.NoError(t, log.Close())
-	must.Eq(t, 0, log.Waiting())
-	must.Eq(t, 0, log.Buffered())
+	must.Eq(t, 0, log.OldestSyncWait())
+	must.Eq(t, 0, log.BufferedBytes())
 }
 
 func TestFullTellsOfADiskWithoutSpaceUntilThereIsSome(t *testing.T) {
--- a/coord/applog/rewrite.go
+++ b/coord/applog/rewrite.go
@@ -22,9 +22,9 @@
 // Rewrite replaces the content of the log by the records that emit gives to write, in their order. When it
 // returns nil, they are synced, the positions from write are valid, and all older ones are not: the caller
 // exchanges its index before it reads again. After an error the log and its positions are as before
-// (ErrFailed excepted). Appends wait while it runs; emit may call Read, but not Append, Wait or Close.
+// (ErrWriteFailed excepted). Appends wait while it runs; emit may call Read, but not Append, Wait or Close.
 // Requests for a sync that wait meanwhile are answered with the new file in place. Errors: ErrFull,
-// ErrTooLarge, ErrFailed, ErrClosed, or that of emit.
+// ErrTooLarge, ErrWriteFailed, ErrClosed, or that of emit.
 func (l *Log) Rewrite(emit func(write func(payload []byte) (Position, error)) error) error {
 	l.ioMutex.Lock()
 	defer l.ioMutex.Unlock()
--- a/coord/applog/sync.go
+++ b/coord/applog/sync.go
@@ -12,9 +12,9 @@
 
 // Sync asks for a sync of all that was appended so far and returns at once. The log's goroutine calls done
 // after it: with nil, with ErrFull where there was no space (the records stay readable, and the next
-// sync tries again), with ErrFailed, or with ErrClosed. While a sync runs, requests collect for the next one.
+// sync tries again), with ErrWriteFailed, or with ErrClosed. While a sync runs, requests collect for the next one.
 // done must not block and must not call Wait, Rewrite or Close.
-func (l *Log) Sync(done func(error)) {
+func (l *Log) RequestSync(done func(error)) {
 	l.mutex.Lock()
 	if l.closed {
 		l.mutex.Unlock()
@@ -30,7 +30,7 @@
 }
 
 // Waiting returns for how long the oldest request for a sync has waited, 0 where there is none.
-func (l *Log) Waiting() time.Duration {
+func (l *Log) OldestSyncWait() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	switch {
@@ -46,7 +46,7 @@
 // Wait returns when all that was appended before the call is synced. Its errors are those of Sync.
 func (l *Log) Wait() error {
 	result := make(chan error, 1)
-	l.Sync(func(err error) { result <- err })
+	l.RequestSync(func(err error) { result <- err })
 	return <-result
 }
 
--- a/coord/lease/lease.go
+++ b/coord/lease/lease.go
@@ -48,16 +48,16 @@
 
 // Options set the terms of all leases of a table.
 type Options struct {
-	Length    time.Duration // of a lease, from its renewal
-	Former    time.Duration // the longest length under which earlier leaders may have granted leases; 0 for Length
-	Margin    time.Duration // after which a lease that has run out counts as ended
-	StartedAt time.Duration // when this leader began; earlier leaders may have granted leases until then
+	Duration           time.Duration // of a lease, from its renewal
+	MaxEarlierDuration time.Duration // the longest length under which earlier leaders may have granted leases; 0 for Length
+	Margin             time.Duration // after which a lease that has run out counts as ended
+	LeaderStartedAt    time.Duration // when this leader began; earlier leaders may have granted leases until then
 	// Newer reports whether candidate is a later incarnation of a node than current. Where it isn't, candidate
 	// gets a lease only after the one of current has ended; this keeps a renewal that the network held up
 	// from displacing a living process. If nil, an incarnation that the table hasn't seen counts as newer.
-	Newer func(candidate, current string) bool
+	IsNewer func(candidate, current string) bool
 	// Reusable lets an ended incarnation renew. It is for members that own nothing.
-	Reusable bool
+	AllowRenewalAfterEnd bool
 }
 
 // Holder is the newest incarnation of a node and the state of its lease.
--- a/coord/lease/table.go
+++ b/coord/lease/table.go
@@ -33,15 +33,15 @@
 }
 
 // Grace returns the time until which leases of earlier leaders count as held.
-func (t *Table) Grace() time.Duration {
-	return t.options.StartedAt + cmp.Or(t.options.Former, t.options.Length) + t.options.Margin
+func (t *Table) GraceEnd() time.Duration {
+	return t.options.LeaderStartedAt + cmp.Or(t.options.MaxEarlierDuration, t.options.Duration) + t.options.Margin
 }
 
 // Length is that of the leases that are granted or renewed now.
-func (t *Table) Length() time.Duration { return t.options.Length }
+func (t *Table) Duration() time.Duration { return t.options.Duration }
 
-// SetLength sets the length of the leases that are granted or renewed from now on.
-func (t *Table) SetLength(length time.Duration) { t.options.Length = length }
+// SetDuration sets the length of the leases that are granted or renewed from now on.
+func (t *Table) SetDuration(length time.Duration) { t.options.Duration = length }
 
 // Restore tells the table of an incarnation that an earlier leader knew. Its state is Unknown until it renews
 // or Grace has come, when it has ended for good. A new leader restores each member that owns anything, before
@@ -65,12 +65,12 @@
 			return errors.Wrapf(ErrSuperseded, "node %s, incarnation %s", node, incarnation)
 		}
 		held.supersede(incarnation)
-	case !t.options.Reusable && t.stateOf(held, now) == Ended:
+	case !t.options.AllowRenewalAfterEnd && t.stateOf(held, now) == Ended:
 		return errors.Wrapf(ErrEnded, "node %s, incarnation %s", node, incarnation)
 	}
 	held.renewed = true
 	held.released = false
-	held.validUntil = max(held.validUntil, now+t.options.Length)
+	held.validUntil = max(held.validUntil, now+t.options.Duration)
 	return nil
 }
 
@@ -79,7 +79,7 @@
 	if slices.Contains(held.former, incarnation) {
 		return false
 	}
-	if t.options.Newer == nil || t.options.Newer(incarnation, held.incarnation) {
+	if t.options.IsNewer == nil || t.options.IsNewer(incarnation, held.incarnation) {
 		return true
 	}
 	return t.stateOf(held, now) == Ended
@@ -140,7 +140,7 @@
 	if !held.renewed {
 		return false // nobody has heard from the holder, so it proves nothing
 	}
-	return t.options.Newer == nil || t.options.Newer(held.incarnation, incarnation)
+	return t.options.IsNewer == nil || t.options.IsNewer(held.incarnation, incarnation)
 }
 
 // stateOf returns the state of the newest incarnation of a node.
@@ -161,7 +161,7 @@
 
 // stateAfterGrace returns the state of a lease that only an earlier leader can have granted.
 func (t *Table) stateAfterGrace(now time.Duration) State {
-	if now < t.Grace() {
+	if now < t.GraceEnd() {
 		return Unknown
 	}
 	return Ended
@@ -178,13 +178,13 @@
 }
 
 // Expired returns the holders whose lease has ended, sorted by node.
-func (t *Table) Expired(now time.Duration) []Holder {
+func (t *Table) EndedHolders(now time.Duration) []Holder {
 	return slices.DeleteFunc(t.Holders(now), func(holder Holder) bool { return holder.State != Ended })
 }
 
-// NextChange returns the earliest time after now at which a state changes if nobody renews, or false where
+// NextStateChange returns the earliest time after now at which a state changes if nobody renews, or false where
 // none will.
-func (t *Table) NextChange(now time.Duration) (time.Duration, bool) {
+func (t *Table) NextStateChange(now time.Duration) (time.Duration, bool) {
 	var next time.Duration
 	found := false
 	consider := func(at time.Duration) {
@@ -196,7 +196,7 @@
 		switch {
 		case held.released:
 		case !held.renewed:
-			consider(t.Grace())
+			consider(t.GraceEnd())
 		default:
 			consider(held.validUntil)
 			consider(held.validUntil + t.options.Margin)
@@ -206,7 +206,7 @@
 }
 
 // Forget removes a node whose lease has ended, and reports whether it did. It is for nodes that were removed.
-func (t *Table) Forget(node string, now time.Duration) bool {
+func (t *Table) Remove(node string, now time.Duration) bool {
 	held := t.grants[node]
 	if held == nil || t.stateOf(held, now) != Ended {
 		return false
--- a/coord/lease/table_test.go
+++ b/coord/lease/table_test.go
@@ -16,7 +16,7 @@
 )
 
 func newTable() *Table {
-	return New(Options{Length: length, Margin: margin, StartedAt: begin})
+	return New(Options{Duration: length, Margin: margin, LeaderStartedAt: begin})
 }
 
 func TestLeaseRunsOut(t *testing.T) {
@@ -40,7 +40,7 @@
 }
 
 func TestReusableIncarnationRenewsAfterItsEnd(t *testing.T) {
-	table := New(Options{Length: length, Margin: margin, Reusable: true})
+	table := New(Options{Duration: length, Margin: margin, AllowRenewalAfterEnd: true})
 	must.NoError(t, table.Renew("a", "1", 0))
 	must.True(t, table.Ended("a", "1", time.Hour))
 	must.NoError(t, table.Renew("a", "1", time.Hour))
@@ -51,7 +51,7 @@
 	table := newTable()
 	table.Restore("a", "1")
 	grace := begin + length + margin
-	must.EqOp(t, grace, table.Grace())
+	must.EqOp(t, grace, table.GraceEnd())
 	for _, node := range []string{"a", "never seen"} {
 		must.EqOp(t, Unknown, table.State(node, "1", grace-1))
 		must.EqOp(t, Ended, table.State(node, "1", grace))
@@ -72,7 +72,7 @@
 }
 
 func TestOlderIncarnationWaitsForEnd(t *testing.T) {
-	table := New(Options{Length: length, Margin: margin, Newer: func(a, b string) bool { return a > b }})
+	table := New(Options{Duration: length, Margin: margin, IsNewer: func(a, b string) bool { return a > b }})
 	table.Restore("a", "2")
 	must.ErrorIs(t, table.Renew("a", "1", 0), ErrSuperseded)
 	must.NoError(t, table.Renew("a", "2", 1))
@@ -82,7 +82,7 @@
 }
 
 func TestLateRenewalDoesNotEndNewerIncarnation(t *testing.T) {
-	table := New(Options{Length: length, Margin: margin, Newer: func(a, b string) bool { return a > b }})
+	table := New(Options{Duration: length, Margin: margin, IsNewer: func(a, b string) bool { return a > b }})
 	must.NoError(t, table.Renew("a", "1", 0)) // of a process that has ended since
 	must.EqOp(t, Unknown, table.State("a", "2", 1))
 	must.EqOp(t, Ended, table.State("a", "0", 1))
@@ -95,16 +95,16 @@
 	must.True(t, table.Alive("a", "1", begin))
 	table.Release("a", "1")
 	table.Release("b", "1")
-	must.Eq(t, []Holder{{"a", "1", Ended}, {"b", "1", Ended}}, table.Expired(begin))
+	must.Eq(t, []Holder{{"a", "1", Ended}, {"b", "1", Ended}}, table.EndedHolders(begin))
 	must.ErrorIs(t, table.Renew("a", "1", begin), ErrEnded)
 }
 
 func TestForgetRemovesOnlyEndedNodes(t *testing.T) {
 	table := newTable()
 	must.NoError(t, table.Renew("a", "1", begin))
-	must.False(t, table.Forget("a", begin+length))
-	must.True(t, table.Forget("a", begin+length+margin))
-	must.False(t, table.Forget("a", begin+length+margin))
+	must.False(t, table.Remove("a", begin+length))
+	must.True(t, table.Remove("a", begin+length+margin))
+	must.False(t, table.Remove("a", begin+length+margin))
 	must.True(t, table.Ended("a", "1", begin+length+margin))
 	must.SliceEmpty(t, table.Holders(begin+length+margin))
 }
@@ -122,7 +122,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var now time.Duration
 		lead := func() *Table {
-			return New(Options{Length: length, Margin: margin, StartedAt: now, Newer: func(a, b string) bool { return a > b }})
+			return New(Options{Duration: length, Margin: margin, LeaderStartedAt: now, IsNewer: func(a, b string) bool { return a > b }})
 		}
 		table := lead()
 		current := &holder{}
@@ -169,7 +169,7 @@
 		must.LessEq(t, now, current.validUntil)
 		ended[incarnation] = table.grants["a"] != nil && table.grants["a"].incarnation == incarnation
 	}
-	if at, found := table.NextChange(now); found {
+	if at, found := table.NextStateChange(now); found {
 		must.Greater(t, now, at)
 		must.Eq(t, table.Holders(now), table.Holders(at-1))
 		must.NotEq(t, table.Holders(now), table.Holders(at))
--- a/coord/watch/client.go
+++ b/coord/watch/client.go
@@ -17,18 +17,18 @@
 
 const (
 	dialTimeout    = 250 * time.Millisecond // a machine without power loses the opening packet, which TCP repeats after a second
-	userTimeout    = MaxSilence
+	userTimeout    = DefaultSilenceTimeout
 	readBufferSize = 4 << 10
 )
 
-// SilenceError reports that a stream carried no frame for too long. The remedy is to connect anew, at
+// SilenceTimeoutError reports that a stream carried no frame for too long. The remedy is to connect anew, at
 // another process if there is one.
-type SilenceError struct {
-	After time.Duration
+type SilenceTimeoutError struct {
+	Timeout time.Duration
 }
 
-func (e *SilenceError) Error() string {
-	return fmt.Sprintf("no frame for %v: connect anew, at another control process if there is one", e.After)
+func (e *SilenceTimeoutError) Error() string {
+	return fmt.Sprintf("no frame for %v: connect anew, at another control process if there is one", e.Timeout)
 }
 
 // NotStreamingError reports a process that does not stream. Leader is the host:port to ask, empty where
@@ -47,9 +47,9 @@
 
 // Client follows a stream. The zero value is ready for use.
 type Client struct {
-	HTTP     *http.Client  // nil for one whose dials are bounded; it must not have an overall timeout
-	Silence  time.Duration // 0 for MaxSilence
-	MaxFrame int           // in bytes; 0 for MaxFrame
+	HTTP           *http.Client  // nil for one whose dials are bounded; it must not have an overall timeout
+	SilenceTimeout time.Duration // 0 for DefaultSilenceTimeout
+	MaxFrameBytes  int           // in bytes; 0 for DefaultMaxFrameBytes
 }
 
 // NewHTTPClient returns an HTTP client for streams: dials are bounded, redirects are not followed, and a
@@ -59,7 +59,7 @@
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := dialer.DialContext(ctx, network, address)
 		if err == nil {
-			BoundUnacknowledged(connection, userTimeout)
+			SetUserTimeout(connection, userTimeout)
 		}
 		return connection, err
 	}
@@ -69,9 +69,9 @@
 	}
 }
 
-// BoundUnacknowledged sets the time after which a TCP connection ends whose peer acknowledges nothing. Other
+// SetUserTimeout sets the time after which a TCP connection ends whose peer acknowledges nothing. Other
 // connections are left as they are.
-func BoundUnacknowledged(connection net.Conn, bound time.Duration) {
+func SetUserTimeout(connection net.Conn, bound time.Duration) {
 	tcp, ok := connection.(*net.TCPConn)
 	if !ok {
 		return
@@ -87,12 +87,12 @@
 }
 
 // Follow reads the stream at an address and hands each frame to onFrame, keep-alives (empty) too, until the
-// context ends, the stream breaks or onFrame returns an error. It never returns nil. Errors: SilenceError,
+// context ends, the stream breaks or onFrame returns an error. It never returns nil. Errors: SilenceTimeoutError,
 // NotStreamingError, FrameTooLargeError, that of onFrame, that of the context, and those of the network.
 func (c *Client) Follow(ctx context.Context, address string, onFrame func(frame []byte) error) error {
-	silence := c.Silence
+	silence := c.SilenceTimeout
 	if silence == 0 {
-		silence = MaxSilence
+		silence = DefaultSilenceTimeout
 	}
 	following, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -107,7 +107,7 @@
 		return onFrame(frame)
 	})
 	if silent.Load() && ctx.Err() == nil {
-		return &SilenceError{After: silence}
+		return &SilenceTimeoutError{Timeout: silence}
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -121,9 +121,9 @@
 		return err
 	}
 	defer response.Body.Close()
-	bound := c.MaxFrame
+	bound := c.MaxFrameBytes
 	if bound == 0 {
-		bound = MaxFrame
+		bound = DefaultMaxFrameBytes
 	}
 	reader := bufio.NewReaderSize(response.Body, readBufferSize)
 	for {
--- a/coord/watch/doc.go
+++ b/coord/watch/doc.go
@@ -12,12 +12,12 @@
 import "time"
 
 const (
-	// KeepAlive is the longest time between two frames of a healthy stream.
-	KeepAlive = time.Second
-	// MaxSilence is the time without a frame after which a client takes the stream for dead.
-	MaxSilence = 3 * time.Second
-	// MaxFrame is the default bound of one frame, in bytes.
-	MaxFrame = 32 << 20
+	// KeepAliveInterval is the longest time between two frames of a healthy stream.
+	KeepAliveInterval = time.Second
+	// DefaultSilenceTimeout is the time without a frame after which a client takes the stream for dead.
+	DefaultSilenceTimeout = 3 * time.Second
+	// DefaultMaxFrameBytes is the default bound of one frame, in bytes.
+	DefaultMaxFrameBytes = 32 << 20
 	// LeaderHeader names, in a refusal, the host:port of the process that streams.
 	LeaderHeader = "X-Leader"
 )
--- a/coord/watch/frame.go
+++ b/coord/watch/frame.go
@@ -9,13 +9,13 @@
 
 // FrameTooLargeError reports a frame above the reader's bound.
 type FrameTooLargeError struct {
-	Bytes uint64 // announced length
-	Bound uint64 // largest length that is accepted
+	Bytes    uint64 // announced length
+	MaxBytes uint64 // largest length that is accepted
 }
 
 func (e *FrameTooLargeError) Error() string {
 	return fmt.Sprintf("frame of %d bytes is above the bound of %d: raise the bound of the client, or connect anew",
-		e.Bytes, e.Bound)
+		e.Bytes, e.MaxBytes)
 }
 
 // appendHeader appends the length prefix of a frame of the given number of bytes.
@@ -30,7 +30,7 @@
 		return nil, err
 	}
 	if length > uint64(bound) {
-		return nil, &FrameTooLargeError{Bytes: length, Bound: uint64(bound)}
+		return nil, &FrameTooLargeError{Bytes: length, MaxBytes: uint64(bound)}
 	}
 	frame := make([]byte, length)
 	if _, err := io.ReadFull(reader, frame); err != nil {
--- a/coord/watch/hub.go
+++ b/coord/watch/hub.go
@@ -65,7 +65,7 @@
 
 // Pace bounds the rate, in bytes a second, at which long frames are sent to all subscribers together; 0 is no bound. It is called before
 // the hub serves.
-func (h *Hub) Pace(perSecond float64) {
+func (h *Hub) LimitRate(perSecond float64) {
 	h.pacer = nil
 	if perSecond > 0 {
 		h.pacer = newPacer(perSecond)
@@ -98,7 +98,7 @@
 }
 
 // Disconnect ends all streams. Later subscribers are served again.
-func (h *Hub) Disconnect() {
+func (h *Hub) DisconnectAll() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	close(h.stopped)
@@ -106,7 +106,7 @@
 }
 
 // Subscribers is the number of streams being served.
-func (h *Hub) Subscribers() int {
+func (h *Hub) SubscriberCount() int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.subscribers
--- a/coord/watch/pace_test.go
+++ b/coord/watch/pace_test.go
@@ -87,7 +87,7 @@
 // pacedHub returns a hub with a header and a long part.
 func pacedHub() *Hub {
 	hub := NewHub(2, 10*paceFollowers)
-	hub.Pace(paceRate)
+	hub.LimitRate(paceRate)
 	hub.Publish(Part{Index: 0, Data: []byte("header")}, Part{Index: 1, Data: make([]byte, paceFrame)})
 	return hub
 }
@@ -127,7 +127,7 @@
 			at, bytes, _ := writer.came()
 			must.Greater(t, paceFrame, bytes)
 			for i := 1; i < len(at); i++ {
-				must.LessEq(t, KeepAlive+frameTime, at[i].Sub(at[i-1]))
+				must.LessEq(t, KeepAliveInterval+frameTime, at[i].Sub(at[i-1]))
 			}
 		}
 		const window = 100 * time.Millisecond
@@ -163,7 +163,7 @@
 		must.Less(t, 2*paceFrame, bytes, must.Sprint("what was overtaken while it waited is not sent"))
 		cancel()
 		synctest.Wait()
-		must.Eq(t, 0, hub.Subscribers())
+		must.Eq(t, 0, hub.SubscriberCount())
 		must.SliceEmpty(t, hub.pacer.waiting)
 	})
 }
@@ -173,12 +173,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		hub, log := NewHub(2, paceFollowers+1), &paceLog{}
-		hub.Pace(paceRate)
+		hub.LimitRate(paceRate)
 		hub.Publish(Part{Index: 0, Data: []byte("header")})
 		follower := log.follow(ctx, hub)
 		synctest.Wait()
 		hub.Publish(Part{Index: 1, Data: make([]byte, paceFrame)})
-		time.Sleep(KeepAlive / 2)
+		time.Sleep(KeepAliveInterval / 2)
 		for range paceFollowers {
 			log.follow(ctx, hub)
 		}
@@ -196,14 +196,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		log, hub := &paceLog{}, NewHub(3, 2*paceFollowers)
-		hub.Pace(paceRate)
+		hub.LimitRate(paceRate)
 		hub.Publish(Part{Index: 0, Data: []byte("header")}, Part{Index: 1, Data: make([]byte, paceFrame)}, Part{Index: 2, Data: make([]byte, paceFrame/4)})
 		for range paceFollowers {
 			log.follow(ctx, hub)
 		}
 		synctest.Wait()
 		urgent := log.followWith(ctx, hub, Subscription{Urgent: true})
-		short := log.followWith(ctx, hub, Subscription{Without: []int{1}})
+		short := log.followWith(ctx, hub, Subscription{ExcludedParts: []int{1}})
 		time.Sleep(3 * paceFrame * time.Second / paceRate)
 		synctest.Wait()
 		must.Eq(t, paceFrame/4, len(urgent.latest()))
@@ -218,7 +218,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		log, hub := &paceLog{}, NewHub(2, 2*paceFollowers)
-		hub.Pace(paceRate)
+		hub.LimitRate(paceRate)
 		hub.Publish(Part{Index: 0, Data: make([]byte, pacedBytes-1)})
 		for range paceFollowers {
 			log.follow(ctx, hub)
--- a/coord/watch/subscription.go
+++ b/coord/watch/subscription.go
@@ -28,14 +28,14 @@
 }
 
 func (s *subscription) run() error {
-	keepAlive := time.NewTimer(KeepAlive)
+	keepAlive := time.NewTimer(KeepAliveInterval)
 	defer keepAlive.Stop()
 	for {
 		changed, err := s.sendChanges()
 		if err != nil {
 			return err
 		}
-		keepAlive.Reset(KeepAlive)
+		keepAlive.Reset(KeepAliveInterval)
 		select {
 		case <-changed:
 		case <-keepAlive.C:
@@ -115,7 +115,7 @@
 func (s *subscription) awaitTurn(pacer *pacer, length int) error {
 	place := pacer.enter(length, s.wants.urgent)
 	defer pacer.giveUp(place)
-	keepAlive := time.NewTicker(KeepAlive)
+	keepAlive := time.NewTicker(KeepAliveInterval)
 	defer keepAlive.Stop()
 	for {
 		select {
--- a/coord/watch/wants.go
+++ b/coord/watch/wants.go
@@ -28,25 +28,25 @@
 
 // Subscription tells a hub what a subscriber wants. The zero value is for all parts, always whole.
 type Subscription struct {
-	Without []int          // parts that the subscriber does without
-	Deltas  bool           // changes of a part that it holds may come as deltas
-	Urgent  bool           // long frames go before those of subscribers that are not urgent
-	Held    map[int]string // versions that it holds, by part (Part.Version)
+	ExcludedParts []int          // parts that the subscriber does without
+	AcceptDeltas  bool           // changes of a part that it holds may come as deltas
+	Urgent        bool           // long frames go before those of subscribers that are not urgent
+	HeldVersions  map[int]string // versions that it holds, by part (Part.Version)
 }
 
 // Query returns the subscription as the query of a URL, with its question mark; empty for the zero value.
 func (s Subscription) Query() string {
 	values := url.Values{}
-	for _, index := range s.Without {
+	for _, index := range s.ExcludedParts {
 		values.Add(withoutParameter, strconv.Itoa(index))
 	}
-	if s.Deltas {
+	if s.AcceptDeltas {
 		values.Set(deltasParameter, strconv.FormatBool(true))
 	}
 	if s.Urgent {
 		values.Set(urgentParameter, strconv.FormatBool(true))
 	}
-	for index, version := range s.Held {
+	for index, version := range s.HeldVersions {
 		values.Add(heldParameter, strconv.Itoa(index)+heldSeparator+version)
 	}
 	if len(values) == 0 {
--- a/coord/watch/watch_test.go
+++ b/coord/watch/watch_test.go
@@ -135,7 +135,7 @@
 		fault := &NotStreamingError{}
 		must.True(t, errors.As(refused, &fault))
 		must.EqOp(t, http.StatusServiceUnavailable, fault.Status)
-		must.EqOp(t, 1, hub.Subscribers())
+		must.EqOp(t, 1, hub.SubscriberCount())
 		return errEnough
 	})
 	must.ErrorIs(t, err, errEnough)
@@ -146,7 +146,7 @@
 	server := httptest.NewServer(hub)
 	defer server.Close()
 	err := (&Client{}).Follow(context.Background(), server.URL, func([]byte) error {
-		hub.Disconnect()
+		hub.DisconnectAll()
 		return nil
 	})
 	must.Error(t, err)
@@ -180,9 +180,9 @@
 	}))
 	defer server.Close()
 	defer close(ended)
-	client := &Client{Silence: 50 * time.Millisecond}
+	client := &Client{SilenceTimeout: 50 * time.Millisecond}
 	err := client.Follow(context.Background(), server.URL, func([]byte) error { return nil })
-	fault := &SilenceError{}
+	fault := &SilenceTimeoutError{}
 	must.True(t, errors.As(err, &fault))
 }
 
@@ -222,7 +222,7 @@
 func TestSubscriberIsSparedThePartsItDoesWithout(t *testing.T) {
 	hub := NewHub(3, 1)
 	hub.Publish(Part{Index: 0, Data: []byte("h")}, Part{Index: 1, Data: []byte("one")}, Part{Index: 2, Data: []byte("two")})
-	subscription := Subscription{Without: []int{2, 0}}
+	subscription := Subscription{ExcludedParts: []int{2, 0}}
 	request := httptest.NewRequest(http.MethodGet, "/"+subscription.Query()+"&"+withoutParameter+"=x", nil)
 	parts, _, _ := hub.since(0, wantsOf(request), nil)
 	must.Eq(t, [][]byte{[]byte("h"), []byte("one")}, parts)
@@ -230,7 +230,7 @@
 
 func TestQueryNamesWhatASubscriberWants(t *testing.T) {
 	must.Eq(t, "", Subscription{}.Query())
-	wanted := Subscription{Without: []int{3}, Deltas: true, Urgent: true, Held: map[int]string{1: "7", 2: "4:1"}}
+	wanted := Subscription{ExcludedParts: []int{3}, AcceptDeltas: true, Urgent: true, HeldVersions: map[int]string{1: "7", 2: "4:1"}}
 	request := httptest.NewRequest(http.MethodGet, "/"+wanted.Query(), nil)
 	must.Eq(t, wants{without: map[int]bool{3: true}, deltas: true, urgent: true, held: map[int]string{1: "7", 2: "4:1"}}, wantsOf(request))
 	unreadable := wantsOf(httptest.NewRequest(http.MethodGet, "/?deltas=perhaps&held=x:1", nil))
--- a/internal/cluster/budget_bench_test.go
+++ b/internal/cluster/budget_bench_test.go
@@ -193,7 +193,7 @@
 	mux.HandleFunc(watchPath, control.watch)
 	control.server = httptest.NewServer(mux)
 	defer control.server.Close()
-	defer control.hub.Disconnect()
+	defer control.hub.DisconnectAll()
 	for b.Loop() {
 		before := benchHeap()
 		ctx, cancel := context.WithCancel(b.Context())
@@ -202,10 +202,10 @@
 			started = append(started, Start(ctx, Options{Role: RoleDispatcher, Incarnation: "run-1", Log: logr.Discard(),
 				Settings: &settings.Settings{Node: fmt.Sprint(index), Zone: "z", Seeds: []string{control.address()}, HeartbeatMs: 60000}}))
 		}
-		for deadline := time.Now().Add(testPatience); control.hub.Subscribers() < clients && time.Now().Before(deadline); {
+		for deadline := time.Now().Add(testPatience); control.hub.SubscriberCount() < clients && time.Now().Before(deadline); {
 			runtime.Gosched()
 		}
-		must.Eq(b, clients, control.hub.Subscribers())
+		must.Eq(b, clients, control.hub.SubscriberCount())
 		b.ReportMetric(float64(benchHeap()-before)/clients, "heap-B/client+server-side")
 		cancel()
 		for _, each := range started {
--- a/internal/cluster/client_test.go
+++ b/internal/cluster/client_test.go
@@ -117,15 +117,15 @@
 	client := start(t, Options{Role: RoleStore}, control.address())
 	await(t, client, func(view *View) bool { return view.Map.GetVersion() == 1 })
 	former := control.hub
-	t.Cleanup(former.Disconnect)
+	t.Cleanup(former.DisconnectAll)
 	control.set(func(c *standInControl) { c.hub, c.epoch = watch.NewHub(2, 10), 2 })
 	control.publish(t, &rpc.View{LeaderEpoch: 2, Map: &rpc.MapView{Version: 2}})
 	client.Kick()
 	await(t, client, func(view *View) bool { return view.Map.GetVersion() == 2 })
-	for former.Subscribers() > 0 { // the client has hung up; the hub notices in its own time
+	for former.SubscriberCount() > 0 { // the client has hung up; the hub notices in its own time
 		runtime.Gosched()
 	}
-	must.Eq(t, 1, control.hub.Subscribers())
+	must.Eq(t, 1, control.hub.SubscriberCount())
 }
 
 func TestLeaseIsValidOnceGranted(t *testing.T) {
--- a/internal/cluster/follow.go
+++ b/internal/cluster/follow.go
@@ -104,12 +104,12 @@
 
 // streamQuery tells the control process what this one does without and what it holds, and that changes may come as such.
 func (c *Client) streamQuery() string {
-	subscription := watch.Subscription{Deltas: true, Urgent: c.options.Role == RoleStore}
+	subscription := watch.Subscription{AcceptDeltas: true, Urgent: c.options.Role == RoleStore}
 	if !c.wantsWhole.Swap(false) {
-		subscription.Held = c.view.Load().heldVersions()
+		subscription.HeldVersions = c.view.Load().heldVersions()
 	}
 	if c.options.Role == RoleDispatcher {
-		subscription.Without = []int{rpc.StreamWorkers}
+		subscription.ExcludedParts = []int{rpc.StreamWorkers}
 	}
 	return subscription.Query()
 }
--- a/internal/cluster/world_test.go
+++ b/internal/cluster/world_test.go
@@ -45,7 +45,7 @@
 	mux.HandleFunc(watchPath, control.watch)
 	control.server = httptest.NewServer(mux)
 	t.Cleanup(func() {
-		control.hub.Disconnect()
+		control.hub.DisconnectAll()
 		control.server.CloseClientConnections()
 		control.server.Close()
 	})
--- a/internal/controlplane/corrupt_record.go
+++ b/internal/controlplane/corrupt_record.go
@@ -11,7 +11,7 @@
 // votes and acknowledgements of which it has lost the record. It doesn't bootstrap a new group in that case.
 func startNode(config failover.Config) (*failover.Node, error) {
 	node, err := failover.New(config)
-	var corrupt failover.CorruptRecord
+	var corrupt failover.CorruptRecordError
 	if !errors.As(err, &corrupt) {
 		return node, err
 	}
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -111,7 +111,7 @@
 		return
 	}
 	ended.cancel()
-	s.hub.Disconnect()
+	s.hub.DisconnectAll()
 }
 
 // runDiscovery streams the platform's list of workers until the term ends.
--- a/internal/controlplane/leases.go
+++ b/internal/controlplane/leases.go
@@ -18,7 +18,7 @@
 // newStoreLeases assumes that every recorded store may hold a lease of the recorded duration from an earlier leader.
 func newStoreLeases(state *rpc.ControlState, maxDuration time.Duration, now time.Time) *storeLeases {
 	recorded := recordedStoreLease(state)
-	table := lease.New(lease.Options{Length: min(maxDuration, recorded), Former: recorded, Margin: leaseMargin, Reusable: true})
+	table := lease.New(lease.Options{Duration: min(maxDuration, recorded), MaxEarlierDuration: recorded, Margin: leaseMargin, AllowRenewalAfterEnd: true})
 	for _, store := range state.Stores {
 		table.Restore(store.Node, store.Incarnation)
 	}
@@ -27,11 +27,11 @@
 
 // applyRecordedLimit limits the duration of further leases to the one recorded in a committed state.
 func (l *storeLeases) applyRecordedLimit(state *rpc.ControlState) {
-	l.table.SetLength(min(l.maxDuration, recordedStoreLease(state)))
+	l.table.SetDuration(min(l.maxDuration, recordedStoreLease(state)))
 }
 
 // duration returns the duration of newly granted leases.
-func (l *storeLeases) duration() time.Duration { return l.table.Length() }
+func (l *storeLeases) duration() time.Duration { return l.table.Duration() }
 
 // grant grants or extends the lease of a store. It returns false for an incarnation that is known to have ended.
 func (l *storeLeases) grant(node, incarnation string, now time.Time) bool {
@@ -51,7 +51,7 @@
 // nextChange returns the time until the next lease ends, or is certainly over, unless it is renewed, but at most limit.
 func (l *storeLeases) nextChange(now time.Time, limit time.Duration) time.Duration {
 	since := now.Sub(l.started)
-	next, ok := l.table.NextChange(since)
+	next, ok := l.table.NextStateChange(since)
 	if !ok {
 		return limit
 	}
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -17,19 +17,19 @@
 }
 
 // disklessNode is the node of a process without a disk: it has no vote and no copy of the state, and fails every
-// proposal and read with failover.NotLeader, so that callers are redirected to the leader.
+// proposal and read with failover.NotLeaderError, so that callers are redirected to the leader.
 type disklessNode struct{}
 
 func (disklessNode) Propose(context.Context, func([]byte) ([]byte, error)) error {
-	return failover.NotLeader{}
+	return failover.NotLeaderError{}
 }
 
 func (disklessNode) Read(context.Context) error {
-	return failover.NotLeader{}
+	return failover.NotLeaderError{}
 }
 
 func (disklessNode) ProposeMembers(context.Context, *failover.Member, string) error {
-	return failover.NotLeader{}
+	return failover.NotLeaderError{}
 }
 
 func (disklessNode) HandleVote(context.Context, failover.VoteRequest) (failover.VoteReply, error) {
--- a/internal/controlplane/responses.go
+++ b/internal/controlplane/responses.go
@@ -79,7 +79,7 @@
 // (see replicatedState.readLatest and change); the check of the lease is an additional safeguard.
 func (s *Server) respond(writer http.ResponseWriter, request *http.Request, err error, success any) {
 	var requestError *RequestError
-	var notLeader failover.NotLeader
+	var notLeader failover.NotLeaderError
 	switch {
 	case errors.As(err, &notLeader):
 		s.redirectToLeader(writer, request)
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -100,7 +100,7 @@
 		plannerWake:    make(chan struct{}, 1),
 	}
 	server.currentSettings.Store(initial)
-	server.hub.Pace(maxStreamLinkShare * bytesPerMegabit * initial.Limits.LinkMbps)
+	server.hub.LimitRate(maxStreamLinkShare * bytesPerMegabit * initial.Limits.LinkMbps)
 	if err := server.openNode(options.Timing); err != nil {
 		return nil, err
 	}
@@ -206,7 +206,7 @@
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnContext: func(ctx context.Context, connection net.Conn) context.Context {
-			watch.BoundUnacknowledged(connection, watch.MaxSilence)
+			watch.SetUserTimeout(connection, watch.DefaultSilenceTimeout)
 			return ctx
 		},
 	}
--- a/internal/controlplane/sim_network_test.go
+++ b/internal/controlplane/sim_network_test.go
@@ -515,7 +515,7 @@
 			return false
 		}
 	}
-	return !status.Exchanging && len(status.Members) == simVoters
+	return !status.MembershipChanging && len(status.Members) == simVoters
 }
 
 // allAddresses returns the addresses of the control processes, stores and dispatchers.
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -101,13 +101,13 @@
 		Voter:            known.Voter,
 		ConfigVersion:    state.ConfigVersion,
 		MapVersion:       state.MapVersion,
-		Streams:          s.hub.Subscribers(),
+		Streams:          s.hub.SubscriberCount(),
 		ControlAddresses: s.controlAddresses(),
 		Partitions:       make(map[string]int),
 		Retirements:      make(map[string]string),
 		FaultTolerance:   s.requiredCopies() - 1,
 		VotersWanted:     s.wantedVoters(),
-		VotersChanging:   known.Exchanging,
+		VotersChanging:   known.MembershipChanging,
 	}
 	for _, member := range known.Members {
 		status.Voters = append(status.Voters, member.Address)
--- a/internal/controlplane/transport.go
+++ b/internal/controlplane/transport.go
@@ -43,7 +43,7 @@
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := dialer.DialContext(ctx, network, address)
 		if err == nil {
-			watch.BoundUnacknowledged(connection, peerUserTimeout)
+			watch.SetUserTimeout(connection, peerUserTimeout)
 		}
 		return connection, err
 	}
@@ -113,7 +113,7 @@
 		Epoch:      request.Epoch,
 		StateEpoch: request.StateEpoch,
 		StateSeq:   request.StateSeq,
-		AskOnly:    request.AskOnly,
+		AskOnly:    request.PreVote,
 	}
 }
 
@@ -124,7 +124,7 @@
 		Epoch:      request.Epoch,
 		StateEpoch: request.StateEpoch,
 		StateSeq:   request.StateSeq,
-		AskOnly:    request.AskOnly,
+		PreVote:    request.AskOnly,
 	}
 }
 
--- a/internal/controlplane/view_test.go
+++ b/internal/controlplane/view_test.go
@@ -59,7 +59,7 @@
 	publishOne(from, nil)
 	var sizes []int
 	var last *rpc.View
-	err := (&watch.Client{}).Follow(context.Background(), server.URL+watch.Subscription{Deltas: true}.Query(), func(frame []byte) error {
+	err := (&watch.Client{}).Follow(context.Background(), server.URL+watch.Subscription{AcceptDeltas: true}.Query(), func(frame []byte) error {
 		view, err := rpc.DecodeView(frame)
 		must.NoError(t, err)
 		sizes, last = append(sizes, len(frame)), view
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -100,7 +100,7 @@
 		r.emit(Fenced{Until: r.Fence()})
 		clear(r.hints)
 		r.contested = 0
-		r.decider.Fleet(r.settings.Dispatchers)
+		r.decider.SetDispatchers(r.settings.Dispatchers)
 		return
 	case RemoveOrdered:
 		r.emit(Ordered{Order: ev.Order, Fault: OrderFault(r.fleet.Remove(r.now, ev.Name))})
@@ -141,7 +141,7 @@
 	// One that has met nobody yet knows no number, and the settings' stands.
 	if n := r.fleet.Acting(); n != r.acting && r.fleet.Self().State != membership.Joining {
 		r.acting = n
-		r.decider.Fleet(n)
+		r.decider.SetDispatchers(n)
 	}
 	r.fence()
 	r.bringUp()
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -123,4 +123,6 @@
 func (h host) Probe(worker string) {
 	h.Log("a probe of " + worker + " was asked for, which is not allowed")
 }
-func (h host) Tell(int, []byte) { h.Log("a message to peers was asked for, which is not allowed") }
+func (h host) SendToPeer(int, []byte) {
+	h.Log("a message to peers was asked for, which is not allowed")
+}
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -116,7 +116,7 @@
 
 // View counts the route set as of now.
 func (r *Reducer) View(now float64) View {
-	v := View{Known: len(r.workers), Excluded: r.decider.Barred(now)}
+	v := View{Known: len(r.workers), Excluded: r.decider.EjectedCount(now)}
 	for id := range r.banned {
 		if _, listed := r.workers[id]; listed {
 			v.Excluded++
--- a/internal/delivery/exchange.go
+++ b/internal/delivery/exchange.go
@@ -174,7 +174,7 @@
 	case faultGuard:
 		e.final(now, a, choice.Skipped, res, Outcome{Kind: NotRun, RetryAfter: unplacedPause})
 	case faultStale:
-		e.final(now, a, choice.Stale, res, Outcome{Kind: Unknown})
+		e.final(now, a, choice.StaleConnection, res, Outcome{Kind: Unknown})
 	case faultTimedOut:
 		e.final(now, a, choice.TimedOut, res, Outcome{Kind: Unknown})
 	default:
@@ -185,7 +185,7 @@
 // brokenCode tells the module of an answer that was cut short, garbled or another request's.
 func brokenCode(t *target) choice.Code {
 	if t.id == "" {
-		return choice.Stale
+		return choice.StaleConnection
 	}
 	return choice.Reset
 }
@@ -196,7 +196,7 @@
 	if t.id == "" {
 		return choice.Skipped
 	}
-	return choice.Cut
+	return choice.BrokenBeforeSend
 }
 
 // remaining returns the attempt's connection if it can carry another request.
@@ -235,18 +235,18 @@
 		e.final(now, a, choice.Done, res, Outcome{Kind: kind, Stamp: said.stamp})
 	case FailedAttempt:
 		l.served()
-		code := choice.Stale // says nothing of the worker
+		code := choice.StaleConnection // says nothing of the worker
 		if a.target.answered(true) && a.target.id != "" {
 			code = choice.Errored
 		}
 		e.final(now, a, code, res, Outcome{Kind: kind})
 	case Rejected:
 		l.served()
-		e.final(now, a, choice.Stale, res, Outcome{Kind: kind})
+		e.final(now, a, choice.StaleConnection, res, Outcome{Kind: kind})
 	case NotRun:
 		e.turnedAway(now, a, res)
 	default:
-		e.final(now, a, choice.Stale, res, Outcome{Kind: Unknown})
+		e.final(now, a, choice.StaleConnection, res, Outcome{Kind: Unknown})
 	}
 }
 
@@ -255,7 +255,7 @@
 	l := a.target.lane
 	switch status := res.answer.status; {
 	case status == 409:
-		e.final(now, a, choice.Stale, res, Outcome{Kind: NotRun, RetryAfter: conflictPause})
+		e.final(now, a, choice.StaleConnection, res, Outcome{Kind: NotRun, RetryAfter: conflictPause})
 	case status == 421 && a.target.id != "":
 		a.target.ready, a.target.misdirected = false, true
 		a.target.closeIdle(always)
--- a/internal/delivery/route.go
+++ b/internal/delivery/route.go
@@ -264,7 +264,7 @@
 func (r *route) CloseIdle(string) {}
 
 // Tell implements choice.Actions.
-func (r *route) Tell(int, []byte) {}
+func (r *route) SendToPeer(int, []byte) {}
 
 // Subscribe implements choice.Actions.
 func (r *route) Subscribe(bool) {}
--- a/internal/delivery/workers.go
+++ b/internal/delivery/workers.go
@@ -87,7 +87,7 @@
 		}
 		e.dispatchers = n
 		for _, r := range e.routes {
-			r.decider.Fleet(n)
+			r.decider.SetDispatchers(n)
 		}
 	})
 }
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -99,8 +99,8 @@
 			return message{}, fmt.Errorf("%w: hint %d is of no worker or source that can be", ErrNews, i)
 		}
 	}
-	if g := p.Given; g != nil && (len(g.Text) == 0 || len(g.Text) > core.MostShared || len(g.Member) > membership.MostName || len(g.Config.Source) > membership.MostSource) {
-		return message{}, fmt.Errorf("%w: a configuration of %d bytes, 1 to %d", ErrNews, len(g.Text), core.MostShared)
+	if g := p.Given; g != nil && (len(g.Text) == 0 || len(g.Text) > core.MaxSharedBytes || len(g.Member) > membership.MostName || len(g.Config.Source) > membership.MostSource) {
+		return message{}, fmt.Errorf("%w: a configuration of %d bytes, 1 to %d", ErrNews, len(g.Text), core.MaxSharedBytes)
 	}
 	if p.Version != protocolVersion {
 		return message{}, fmt.Errorf("%w: version %d, this program reads %d", ErrNews, p.Version, protocolVersion)
--- a/internal/ingest/world_test.go
+++ b/internal/ingest/world_test.go
@@ -55,7 +55,7 @@
 	mux.Handle("/internal/watch", control.hub)
 	control.server = httptest.NewServer(mux)
 	t.Cleanup(func() {
-		control.hub.Disconnect()
+		control.hub.DisconnectAll()
 		control.server.CloseClientConnections()
 		control.server.Close()
 	})
--- a/internal/message/budget_bench_test.go
+++ b/internal/message/budget_bench_test.go
@@ -54,8 +54,8 @@
 func budgetTable(keys int, due time.Duration) *Table {
 	table := NewTable()
 	for id := range uint32(budgetPartitions) {
-		table.Own(id, 1)
-		table.Ready(id, 0)
+		table.BeginOwnership(id, 1)
+		table.MarkReady(id, 0)
 	}
 	for number := range budgetMessages {
 		key := ""
@@ -72,7 +72,7 @@
 	for b.Loop() {
 		before := budgetHeap()
 		table := budgetTable(0, 0)
-		table.Each(func(e *Entry) { table.End(e, rpc.State_COMPLETED, "3e1b.07.5a2.600.0.c9f2a4d1", time.Second) })
+		table.Each(func(e *Entry) { table.MarkEnded(e, rpc.State_COMPLETED, "3e1b.07.5a2.600.0.c9f2a4d1", time.Second) })
 		b.ReportMetric(float64(budgetHeap()-before)/budgetMessages, "heap-B/message")
 		must.Eq(b, 0, table.Queued())
 		runtime.KeepAlive(table)
--- a/internal/message/entry.go
+++ b/internal/message/entry.go
@@ -81,26 +81,26 @@
 	return true
 }
 
-// IsKept reports whether this store's log holds what is owed for the message: its end alone once it is completed, else all of it.
-func (e *Entry) IsKept() bool {
+// HasLocalCopy reports whether this store's log holds what is owed for the message: its end alone once it is completed, else all of it.
+func (e *Entry) HasLocalCopy() bool {
 	return e.Stored && !e.Unreadable || e.State == rpc.State_COMPLETED
 }
 
-// KeepAt notes the record of this store's log that holds the message with its body.
-func (e *Entry) KeepAt(record applog.Position) {
+// SetRecord notes the record of this store's log that holds the message with its body.
+func (e *Entry) SetRecord(record applog.Position) {
 	e.Stored, e.Unreadable, e.Record = true, false, record
 }
 
 // Copies counts the failure domains in which there is a copy: this store's own, and those that domains gives for the disks that
 // count.
-func (e *Entry) Copies(domains map[string]string, own string) int {
+func (e *Entry) CountCopies(domains map[string]string, own string) int {
 	count := 0
-	if e.IsKept() {
+	if e.HasLocalCopy() {
 		count++
 	}
 	for i, disk := range e.Holders {
 		domain, counts := domains[disk]
-		if !counts || e.IsKept() && domain == own || e.heldIn(domain, domains, i) {
+		if !counts || e.HasLocalCopy() && domain == own || e.heldIn(domain, domains, i) {
 			continue
 		}
 		count++
@@ -118,8 +118,8 @@
 	return false
 }
 
-// FromMessage makes an entry of a message that was received now.
-func FromMessage(m *rpc.Message, now time.Duration) *Entry {
+// NewEntry makes an entry of a message that was received now.
+func NewEntry(m *rpc.Message, now time.Duration) *Entry {
 	e := &Entry{
 		Name: m.Name, Partition: m.Partition, Route: m.Route, Method: m.Method, Path: m.Path, Host: m.Host,
 		RequestID: m.RequestId, OrderKey: m.OrderKey, ContentType: m.ContentType, Epoch: m.Epoch, Seq: m.Seq,
@@ -151,7 +151,7 @@
 }
 
 // End returns what is still owed for a message that is completed, in the form that travels: its state and the stamp of its run.
-func (e *Entry) End(now time.Duration) *rpc.Message {
+func (e *Entry) CompletionMessage(now time.Duration) *rpc.Message {
 	return &rpc.Message{Name: e.Name, Partition: e.Partition, State: e.State, Stamp: e.Stamp, Epoch: e.Epoch, Seq: e.Seq,
 		EndedMsAgo: (now - e.EndedAt).Milliseconds()}
 }
--- a/internal/message/ownership.go
+++ b/internal/message/ownership.go
@@ -52,7 +52,7 @@
 }
 
 // Own begins the ownership of a partition, which stays idle until Ready.
-func (t *Table) Own(id uint32, epoch uint64) {
+func (t *Table) BeginOwnership(id uint32, epoch uint64) {
 	p := t.partition(id)
 	if epoch < p.fence {
 		panic("message: a partition is owned under an epoch that is fenced off")
@@ -62,7 +62,7 @@
 }
 
 // Disown ends the ownership of a partition. Attempts under way go on; their outcomes are still taken.
-func (t *Table) Disown(id uint32) {
+func (t *Table) EndOwnership(id uint32) {
 	p := t.partition(id)
 	p.epoch, p.ready, p.paused = 0, false, false
 	for _, e := range p.members {
@@ -81,7 +81,7 @@
 }
 
 // Ready begins to run the messages of an owned partition.
-func (t *Table) Ready(id uint32, now time.Duration) {
+func (t *Table) MarkReady(id uint32, now time.Duration) {
 	p := t.partition(id)
 	p.ready = true
 	for _, e := range p.members {
@@ -114,7 +114,7 @@
 }
 
 // Running returns how many attempts of the partition are under way.
-func (t *Table) Running(id uint32) int { return t.partition(id).running }
+func (t *Table) RunningCount(id uint32) int { return t.partition(id).running }
 
 // Partition calls visit with every message of the partition.
 func (t *Table) Partition(id uint32, visit func(*Entry)) {
--- a/internal/message/schedule.go
+++ b/internal/message/schedule.go
@@ -57,7 +57,7 @@
 }
 
 // Routes calls visit with every route that has messages waiting to run, and the number of its attempts under way.
-func (t *Table) Routes(visit func(route string, waiting, running int)) {
+func (t *Table) EachWaitingRoute(visit func(route string, waiting, running int)) {
 	for name, q := range t.routes {
 		if q.len() > 0 {
 			visit(name, q.len(), q.running)
@@ -67,7 +67,7 @@
 
 // Start takes the next message of the route that may run, and marks it running. A message that can still begin within
 // its aim goes before late ones, of which one in four goes first so that none starves. It returns nil where none may run.
-func (t *Table) Start(route string, aim, now time.Duration) *Entry {
+func (t *Table) StartNext(route string, aim, now time.Duration) *Entry {
 	q := t.route(route)
 	for {
 		e := q.pop(aim, now)
@@ -90,7 +90,7 @@
 }
 
 // Stop ends an attempt that left the message queued: it may run again from due on.
-func (t *Table) Stop(e *Entry, due, now time.Duration) {
+func (t *Table) Requeue(e *Entry, due, now time.Duration) {
 	t.stopRunning(e)
 	if e.Ended() {
 		t.releaseKey(e, now)
--- a/internal/message/table.go
+++ b/internal/message/table.go
@@ -36,7 +36,7 @@
 func (t *Table) LiveBytes() int { return t.liveBytes }
 
 // Number gives the entry the next place in an owned partition.
-func (t *Table) Number(e *Entry) {
+func (t *Table) AssignSeq(e *Entry) {
 	p := t.partition(e.Partition)
 	if p.epoch == 0 {
 		panic("message: numbered in a partition that is not owned")
@@ -73,7 +73,7 @@
 		known.Attempts = told.Attempts
 	}
 	if told.Ended() {
-		t.End(known, told.State, told.Stamp, now)
+		t.MarkEnded(known, told.State, told.Stamp, now)
 		return
 	}
 	if known.Seq == 0 && told.Seq > 0 && !known.Ended() {
@@ -87,15 +87,15 @@
 }
 
 // Finish ends an attempt and the message with it.
-func (t *Table) Finish(e *Entry, state rpc.State, stamp string, now time.Duration) {
+func (t *Table) FinishAttempt(e *Entry, state rpc.State, stamp string, now time.Duration) {
 	t.stopRunning(e)
-	t.End(e, state, stamp, now)
+	t.MarkEnded(e, state, stamp, now)
 	t.releaseKey(e, now)
 }
 
 // End marks the message ended. An end that is known stands, except that a success replaces a dead letter. It reports
 // whether anything changed.
-func (t *Table) End(e *Entry, state rpc.State, stamp string, now time.Duration) bool {
+func (t *Table) MarkEnded(e *Entry, state rpc.State, stamp string, now time.Duration) bool {
 	if state == rpc.State_QUEUED {
 		panic("message: ended without a state")
 	}
@@ -124,7 +124,7 @@
 }
 
 // Drop forgets a queued message that this store neither owns nor holds: others do. No attempt of it may be under way.
-func (t *Table) Drop(e *Entry) {
+func (t *Table) Remove(e *Entry) {
 	if e.Ended() || e.Running || e.Stored || t.OwnedEpoch(e.Partition) > 0 {
 		panic("message: dropped while it is needed")
 	}
@@ -137,7 +137,7 @@
 }
 
 // Forget drops messages that ended longer than keep ago. It returns how many.
-func (t *Table) Forget(keep, now time.Duration) int {
+func (t *Table) ExpireEnded(keep, now time.Duration) int {
 	count := 0
 	for len(t.ended) > 0 {
 		e := t.ended[0]
--- a/internal/message/table_test.go
+++ b/internal/message/table_test.go
@@ -20,8 +20,8 @@
 func ownedTable(partitions ...uint32) *Table {
 	t := NewTable()
 	for _, id := range partitions {
-		t.Own(id, 1)
-		t.Ready(id, 0)
+		t.BeginOwnership(id, 1)
+		t.MarkReady(id, 0)
 	}
 	return t
 }
@@ -30,51 +30,51 @@
 	table := ownedTable(0)
 	for i := range 3 {
 		e := queued(fmt.Sprint(i), "r", "key", 0, 0)
-		table.Number(e)
+		table.AssignSeq(e)
 		table.Add(e, 0)
 	}
-	first := table.Start("r", aim, 0)
+	first := table.StartNext("r", aim, 0)
 	must.Eq(t, "0", first.Name)
-	must.Nil(t, table.Start("r", aim, 0))
-	table.Stop(first, 50*time.Millisecond, 0) // its outcome is unknown: the others go on waiting
-	must.Nil(t, table.Start("r", aim, 10*time.Millisecond))
+	must.Nil(t, table.StartNext("r", aim, 0))
+	table.Requeue(first, 50*time.Millisecond, 0) // its outcome is unknown: the others go on waiting
+	must.Nil(t, table.StartNext("r", aim, 10*time.Millisecond))
 	table.Advance(50 * time.Millisecond)
-	must.Eq(t, first, table.Start("r", aim, 50*time.Millisecond))
-	table.Finish(first, rpc.State_COMPLETED, "s", 60*time.Millisecond)
-	must.Eq(t, "1", table.Start("r", aim, 60*time.Millisecond).Name)
+	must.Eq(t, first, table.StartNext("r", aim, 50*time.Millisecond))
+	table.FinishAttempt(first, rpc.State_COMPLETED, "s", 60*time.Millisecond)
+	must.Eq(t, "1", table.StartNext("r", aim, 60*time.Millisecond).Name)
 }
 
 func TestEndReportedWhileRunningReleasesTheKey(t *testing.T) {
 	table := ownedTable(0)
 	for i := range 2 {
 		e := queued(fmt.Sprint(i), "r", "key", 0, 0)
-		table.Number(e)
+		table.AssignSeq(e)
 		table.Add(e, 0)
 	}
-	first := table.Start("r", aim, 0)
-	must.True(t, table.End(first, rpc.State_COMPLETED, "s", 1))
-	must.Nil(t, table.Start("r", aim, 1)) // the attempt is still under way
-	table.Stop(first, 2, 2)
-	must.Eq(t, "1", table.Start("r", aim, 2).Name)
+	first := table.StartNext("r", aim, 0)
+	must.True(t, table.MarkEnded(first, rpc.State_COMPLETED, "s", 1))
+	must.Nil(t, table.StartNext("r", aim, 1)) // the attempt is still under way
+	table.Requeue(first, 2, 2)
+	must.Eq(t, "1", table.StartNext("r", aim, 2).Name)
 }
 
 func TestGatheredMessagesKeepTheOrderOfTheFormerOwner(t *testing.T) {
 	table := NewTable()
-	table.Own(0, 7)
+	table.BeginOwnership(0, 7)
 	for _, seq := range []uint64{3, 1, 2} {
 		e := queued(fmt.Sprint(seq), "r", "key", 0, 0)
 		e.Epoch, e.Seq = 6, seq
 		table.Add(e, 0)
 	}
-	must.Nil(t, table.Start("r", aim, 0)) // not ready
-	table.Ready(0, 0)
+	must.Nil(t, table.StartNext("r", aim, 0)) // not ready
+	table.MarkReady(0, 0)
 	later := queued("new", "r", "key", 0, 0)
-	table.Number(later)
+	table.AssignSeq(later)
 	table.Add(later, 0)
 	for _, name := range []string{"1", "2", "3", "new"} {
-		e := table.Start("r", aim, 0)
+		e := table.StartNext("r", aim, 0)
 		must.Eq(t, name, e.Name)
-		table.Finish(e, rpc.State_COMPLETED, "s", 0)
+		table.FinishAttempt(e, rpc.State_COMPLETED, "s", 0)
 	}
 }
 
@@ -82,32 +82,32 @@
 	table := ownedTable(0)
 	table.Add(queued("a", "r", "", 0, 0), 0)
 	table.Pause(0)
-	must.Nil(t, table.Start("r", aim, 0))
+	must.Nil(t, table.StartNext("r", aim, 0))
 	table.Resume(0, 0)
-	must.Eq(t, "a", table.Start("r", aim, 0).Name)
+	must.Eq(t, "a", table.StartNext("r", aim, 0).Name)
 }
 
 func TestRetriedMessageWaitsForItsPause(t *testing.T) {
 	table := ownedTable(0)
 	table.Add(queued("a", "r", "", 0, 0), 0)
-	e := table.Start("r", aim, 0)
+	e := table.StartNext("r", aim, 0)
 	table.Pause(0)
 	table.Resume(0, 0)
-	table.Stop(e, time.Second, 0)
-	must.Nil(t, table.Start("r", aim, 0))
+	table.Requeue(e, time.Second, 0)
+	must.Nil(t, table.StartNext("r", aim, 0))
 	due, ok := table.NextDue()
 	must.True(t, ok)
 	must.Eq(t, time.Second, due)
 	table.Advance(time.Second)
-	must.Eq(t, e, table.Start("r", aim, time.Second))
+	must.Eq(t, e, table.StartNext("r", aim, time.Second))
 }
 
 func TestSuccessReplacesADeadLetterButNothingReplacesASuccess(t *testing.T) {
 	table := ownedTable(0)
 	e := table.Add(queued("a", "r", "", 0, 0), 0)
-	must.True(t, table.End(e, rpc.State_DEAD, "", 1))
-	must.True(t, table.End(e, rpc.State_COMPLETED, "s", 2))
-	must.False(t, table.End(e, rpc.State_DEAD, "", 3))
+	must.True(t, table.MarkEnded(e, rpc.State_DEAD, "", 1))
+	must.True(t, table.MarkEnded(e, rpc.State_COMPLETED, "s", 2))
+	must.False(t, table.MarkEnded(e, rpc.State_DEAD, "", 3))
 	must.Eq(t, "s", e.Stamp)
 	must.Eq(t, 0, table.LiveBytes())
 }
@@ -115,9 +115,9 @@
 func TestForgetKeepsStatesForTheirTime(t *testing.T) {
 	table := ownedTable(0)
 	e := table.Add(queued("a", "r", "", 0, 0), 0)
-	table.End(e, rpc.State_COMPLETED, "s", time.Second)
-	must.Eq(t, 0, table.Forget(time.Minute, time.Minute))
-	must.Eq(t, 1, table.Forget(time.Minute, 2*time.Minute))
+	table.MarkEnded(e, rpc.State_COMPLETED, "s", time.Second)
+	must.Eq(t, 0, table.ExpireEnded(time.Minute, time.Minute))
+	must.Eq(t, 1, table.ExpireEnded(time.Minute, 2*time.Minute))
 	must.Nil(t, table.Get("a"))
 }
 
@@ -153,14 +153,14 @@
 	switch w.rng.IntN(10) {
 	case 0:
 		w.epoch++
-		w.table.Own(id, w.epoch)
+		w.table.BeginOwnership(id, w.epoch)
 	case 1:
 		if w.table.OwnedEpoch(id) > 0 {
-			w.table.Ready(id, w.now)
+			w.table.MarkReady(id, w.now)
 		}
 	case 2:
 		if w.rng.IntN(4) == 0 {
-			w.table.Disown(id)
+			w.table.EndOwnership(id)
 		}
 	case 3:
 		w.table.Pause(id)
@@ -187,7 +187,7 @@
 	}
 	e := queued(fmt.Sprint(w.added), fmt.Sprintf("r%d", w.rng.IntN(2)), key, id, due)
 	w.added++
-	w.table.Number(e)
+	w.table.AssignSeq(e)
 	w.table.Add(e, w.now)
 }
 
@@ -197,13 +197,13 @@
 		e := w.running[i]
 		w.running = append(w.running[:i], w.running[i+1:]...)
 		if w.rng.IntN(3) == 0 {
-			w.table.Stop(e, w.now+time.Duration(w.rng.IntN(30))*time.Millisecond, w.now)
+			w.table.Requeue(e, w.now+time.Duration(w.rng.IntN(30))*time.Millisecond, w.now)
 			return
 		}
 		w.finish(e)
 		return
 	}
-	if e := w.table.Start(fmt.Sprintf("r%d", w.rng.IntN(2)), aim, w.now); e != nil {
+	if e := w.table.StartNext(fmt.Sprintf("r%d", w.rng.IntN(2)), aim, w.now); e != nil {
 		w.started(e)
 	}
 }
@@ -222,7 +222,7 @@
 }
 
 func (w *walk) finish(e *Entry) {
-	w.table.Finish(e, rpc.State_COMPLETED, "s", w.now)
+	w.table.FinishAttempt(e, rpc.State_COMPLETED, "s", w.now)
 	w.ended++
 	if e.OrderKey != "" {
 		place := e.Epoch<<32 | e.Seq
@@ -239,15 +239,15 @@
 	w.running = nil
 	for id := range uint32(walkPartitions) {
 		w.epoch++
-		w.table.Own(id, w.epoch)
-		w.table.Ready(id, w.now)
+		w.table.BeginOwnership(id, w.epoch)
+		w.table.MarkReady(id, w.now)
 	}
 	w.now += time.Second
 	for w.table.Queued() > 0 {
 		w.table.Advance(w.now)
-		e := w.table.Start("r0", aim, w.now)
+		e := w.table.StartNext("r0", aim, w.now)
 		if e == nil {
-			e = w.table.Start("r1", aim, w.now)
+			e = w.table.StartNext("r1", aim, w.now)
 		}
 		must.NotNil(w.t, e, must.Sprintf("%d messages are stranded", w.table.Queued()))
 		w.finish(e)
@@ -262,47 +262,47 @@
 	second := queued("second", "r", "key", 0, 0)
 	second.Epoch, second.Seq = 1, 2
 	table.Add(second, 0)
-	must.Eq(t, second, table.Start("r", aim, 0))
+	must.Eq(t, second, table.StartNext("r", aim, 0))
 	first := queued("first", "r", "key", 0, 0)
 	first.Epoch, first.Seq = 1, 1
 	table.Add(first, 0)
-	must.Nil(t, table.Start("r", aim, 0))
-	table.Stop(second, 0, 0)
-	must.Eq(t, first, table.Start("r", aim, 0))
-	table.Finish(first, rpc.State_COMPLETED, "s", 0)
-	must.Eq(t, second, table.Start("r", aim, 0))
+	must.Nil(t, table.StartNext("r", aim, 0))
+	table.Requeue(second, 0, 0)
+	must.Eq(t, first, table.StartNext("r", aim, 0))
+	table.FinishAttempt(first, rpc.State_COMPLETED, "s", 0)
+	must.Eq(t, second, table.StartNext("r", aim, 0))
 }
 
 func TestDropForgetsAMessageThatOthersHold(t *testing.T) {
 	table := ownedTable(0)
 	first, second := queued("first", "r", "key", 0, 0), queued("second", "r", "key", 0, 0)
-	table.Number(first)
-	table.Number(second)
+	table.AssignSeq(first)
+	table.AssignSeq(second)
 	table.Add(first, 0)
 	table.Add(second, 0)
-	table.Disown(0)
-	table.Drop(first)
+	table.EndOwnership(0)
+	table.Remove(first)
 	must.Nil(t, table.Get("first"))
 	must.Eq(t, 1, table.Queued())
 	must.Eq(t, second.BodyBytes, table.LiveBytes())
-	table.Own(0, 2)
-	table.Ready(0, 0)
-	must.Eq(t, second, table.Start("r", aim, 0))
+	table.BeginOwnership(0, 2)
+	table.MarkReady(0, 0)
+	must.Eq(t, second, table.StartNext("r", aim, 0))
 }
 
 func TestNothingRunsBeforeItIsKnownWhatOthersHold(t *testing.T) {
 	table := NewTable()
-	table.Own(0, 2)
+	table.BeginOwnership(0, 2)
 	table.Add(queued("m", "r", "", 0, 0), 0)
-	must.Nil(t, table.Start("r", aim, time.Second))
-	table.Ready(0, time.Second)
-	must.Eq(t, "m", table.Start("r", aim, time.Second).Name)
+	must.Nil(t, table.StartNext("r", aim, time.Second))
+	table.MarkReady(0, time.Second)
+	must.Eq(t, "m", table.StartNext("r", aim, time.Second).Name)
 }
 
 func TestEndTravelsWithItsAge(t *testing.T) {
 	e := &Entry{Name: "m", Partition: 3, State: rpc.State_COMPLETED, Stamp: "s", Body: []byte("body"), BodyBytes: 4, EndedAt: 2 * time.Second,
 		Epoch: 5, Seq: 6}
-	told := FromMessage(e.End(9*time.Second), 30*time.Second)
+	told := NewEntry(e.CompletionMessage(9*time.Second), 30*time.Second)
 	must.EqOp(t, "m", told.Name)
 	must.EqOp(t, 3, told.Partition)
 	must.EqOp(t, rpc.State_COMPLETED, told.State)
--- a/internal/storenode/accept.go
+++ b/internal/storenode/accept.go
@@ -105,9 +105,9 @@
 		if n.table.Queued() >= mostMessages {
 			return rpc.PutStatus_FULL, nil, false
 		}
-		entry = message.FromMessage(m, n.now())
+		entry = message.NewEntry(m, n.now())
 		entry.ReadUnder = n.tableVersion()
-		n.table.Number(entry)
+		n.table.AssignSeq(entry)
 		m.Epoch, m.Seq = entry.Epoch, entry.Seq
 		if status := n.write(entry, m); status != rpc.PutStatus_STORED {
 			return status, nil, false
@@ -119,7 +119,7 @@
 		n.pumpDue = true
 	}
 	m = n.current(entry, m)
-	if !entry.IsKept() { // known from another store alone: the sync that is waited for must cover a copy here
+	if !entry.HasLocalCopy() { // known from another store alone: the sync that is waited for must cover a copy here
 		if status := n.write(entry, m); status != rpc.PutStatus_STORED {
 			return status, nil, false
 		}
@@ -133,7 +133,7 @@
 // current returns a message as it is to be copied now: with the place that it was given, and with its end where it has ended meanwhile.
 func (n *Node) current(entry *message.Entry, m *rpc.Message) *rpc.Message {
 	if entry.State == rpc.State_COMPLETED {
-		return entry.End(n.now())
+		return entry.CompletionMessage(n.now())
 	}
 	m.Epoch, m.Seq = entry.Epoch, entry.Seq
 	if entry.Ended() {
@@ -158,14 +158,14 @@
 		}
 		return rpc.PutStatus_FAILED
 	}
-	entry.KeepAt(at)
+	entry.SetRecord(at)
 	return rpc.PutStatus_STORED
 }
 
 // run syncs the message here and on other stores.
 func (a *acceptance) run(ctx context.Context) rpc.PutStatus {
 	defer a.node.post(func() { a.entry.Accepting = 0 })
-	a.node.file.Sync(func(err error) {
+	a.node.file.RequestSync(func(err error) {
 		a.node.noteDisk(err)
 		a.outcome("", a.node.ownDomain(), err == nil)
 	})
@@ -282,20 +282,20 @@
 		return n.holdEnd(m)
 	}
 	known := n.table.Get(m.Name)
-	if known != nil && known.IsKept() {
+	if known != nil && known.HasLocalCopy() {
 		n.learn(m)
 		return rpc.PutStatus_STORED
 	}
 	if known == nil && n.table.Queued() >= mostMessages {
 		return rpc.PutStatus_FULL
 	}
-	entry := message.FromMessage(m, n.now())
+	entry := message.NewEntry(m, n.now())
 	entry.ReadUnder = n.tableVersion()
 	if status := n.write(entry, m); status != rpc.PutStatus_STORED {
 		return status
 	}
 	if known != nil {
-		known.KeepAt(entry.Record)
+		known.SetRecord(entry.Record)
 	}
 	entry.Body = nil
 	entry.ScrubAt = n.now() + scrubFirst
--- a/internal/storenode/deliver.go
+++ b/internal/storenode/deliver.go
@@ -29,14 +29,14 @@
 	}
 	now := n.now()
 	n.table.Advance(now)
-	n.table.Routes(func(name string, waiting, running int) {
+	n.table.EachWaitingRoute(func(name string, waiting, running int) {
 		route := n.routeNamed(name)
 		limit, aim := 1, defaultAim
 		if route != nil {
 			limit, aim = n.limits[route.Name], time.Duration(route.ScheduleTargetMs)*time.Millisecond
 		}
 		for ; running < limit; running++ {
-			entry := n.table.Start(name, aim, now)
+			entry := n.table.StartNext(name, aim, now)
 			if entry == nil {
 				return
 			}
@@ -105,7 +105,7 @@
 			n.keepFetched(entry, fetched)
 		}
 		if !found {
-			n.table.Stop(entry, n.now()+bodyPause, n.now())
+			n.table.Requeue(entry, n.now()+bodyPause, n.now())
 			n.stopped(entry)
 			return
 		}
@@ -132,11 +132,11 @@
 
 // keepFetched writes a message that another store holds to this store's log.
 func (n *Node) keepFetched(entry *message.Entry, m *rpc.Message) {
-	if entry.IsKept() || n.table.Get(entry.Name) != entry {
+	if entry.HasLocalCopy() || n.table.Get(entry.Name) != entry {
 		return
 	}
 	if n.write(entry, withBody(entry.Message(n.now()), m.Body)) == rpc.PutStatus_STORED {
-		n.file.Sync(n.noteDisk)
+		n.file.RequestSync(n.noteDisk)
 	}
 }
 
@@ -200,14 +200,14 @@
 			n.finish(entry, rpc.State_DEAD, "")
 			return
 		}
-		n.table.Stop(entry, now+failedPause, now)
+		n.table.Requeue(entry, now+failedPause, now)
 		n.tell(entry)
 	case delivery.NotRun:
-		n.table.Stop(entry, now+max(notRunPause, outcome.RetryAfter), now)
+		n.table.Requeue(entry, now+max(notRunPause, outcome.RetryAfter), now)
 	default:
 		entry.Retries++
 		pause := min(unknownPause<<min(entry.Retries, 5), unknownMost)
-		n.table.Stop(entry, now+pause, now)
+		n.table.Requeue(entry, now+pause, now)
 	}
 	if entry.Due-now > cachedDelay || n.table.LiveBytes() > cachedBytes {
 		entry.Body = nil
@@ -234,7 +234,7 @@
 
 // finish ends a message after an attempt, and tells the stores that hold it.
 func (n *Node) finish(entry *message.Entry, state rpc.State, stamp string) {
-	n.table.Finish(entry, state, stamp, n.now())
+	n.table.FinishAttempt(entry, state, stamp, n.now())
 	n.tell(entry)
 	n.stopped(entry)
 }
--- a/internal/storenode/ends.go
+++ b/internal/storenode/ends.go
@@ -35,7 +35,7 @@
 // appendFate writes what became of a message, and has it synced together with what else is written.
 func (n *Node) appendFate(entry *message.Entry) {
 	if n.writeFate(entry) == nil {
-		n.file.Sync(n.noteDisk)
+		n.file.RequestSync(n.noteDisk)
 	}
 }
 
@@ -68,7 +68,7 @@
 	if known != nil {
 		before = known.State
 	}
-	entry := n.table.Add(message.FromMessage(m, now), now)
+	entry := n.table.Add(message.NewEntry(m, now), now)
 	if entry.State == before {
 		return entry
 	}
@@ -87,7 +87,7 @@
 	if known != nil && known.State == rpc.State_COMPLETED {
 		return rpc.PutStatus_STORED
 	}
-	entry := n.table.Add(message.FromMessage(m, n.now()), n.now())
+	entry := n.table.Add(message.NewEntry(m, n.now()), n.now())
 	if n.writeFate(entry) != nil {
 		return rpc.PutStatus_FAILED // the end is known here, but may not be kept
 	}
@@ -114,7 +114,7 @@
 	changed := fate.Attempts > entry.Attempts
 	entry.Attempts = max(entry.Attempts, fate.Attempts)
 	if fate.State != rpc.State_QUEUED {
-		changed = n.table.End(entry, fate.State, fate.Stamp, n.now()) || changed
+		changed = n.table.MarkEnded(entry, fate.State, fate.Stamp, n.now()) || changed
 	}
 	if changed {
 		n.appendFate(entry)
--- a/internal/storenode/figures.go
+++ b/internal/storenode/figures.go
@@ -40,7 +40,7 @@
 		{Name: "foldlb_store_copies_unreadable_total", Help: "copies here whose records could not be read", Value: n.counters.copiesUnreadable.Load()},
 		{Name: "foldlb_store_copies_lacking_total", Help: "copies on other stores that turned out to be missing or unreadable there", Value: n.counters.copiesLacking.Load()},
 		{Name: "foldlb_store_log_bytes", Help: "length of the log", Value: bytes},
-		{Name: "foldlb_store_sync_waiting_ms", Help: "for how long the oldest request for a sync of the log has waited", Value: uint64(n.file.Waiting().Milliseconds())},
+		{Name: "foldlb_store_sync_waiting_ms", Help: "for how long the oldest request for a sync of the log has waited", Value: uint64(n.file.OldestSyncWait().Milliseconds())},
 		{Name: "foldlb_store_copies_waiting", Help: "copies that wait to be sent to other stores", Value: uint64(n.peers.waiting())},
 	}
 }
@@ -55,7 +55,7 @@
 			return
 		}
 		owned++
-		if e.Copies(n.holders.domains, n.ownDomain()) < n.holders.wanted {
+		if e.CountCopies(n.holders.domains, n.ownDomain()) < n.holders.wanted {
 			scarce++
 		}
 	})
--- a/internal/storenode/gather.go
+++ b/internal/storenode/gather.go
@@ -57,7 +57,7 @@
 	for _, p := range partitions {
 		n.table.Partition(p.Partition, func(e *message.Entry) {
 			if e.State == rpc.State_COMPLETED {
-				messages = append(messages, e.End(now))
+				messages = append(messages, e.CompletionMessage(now))
 				return
 			}
 			if e.Stored {
@@ -165,7 +165,7 @@
 			entry.AddHolder(disk)
 		}
 	}
-	n.file.Sync(n.noteDisk)
+	n.file.RequestSync(n.noteDisk)
 	n.pumpDue = true
 }
 
@@ -246,7 +246,7 @@
 		if n.table.OwnedEpoch(p.Partition) != p.Epoch {
 			continue
 		}
-		n.table.Ready(p.Partition, now)
+		n.table.MarkReady(p.Partition, now)
 		n.owned[p.Partition].Store(p.Epoch)
 	}
 	n.log.Info("partitions taken over", "partitions", len(partitions), "queued", n.table.Queued(),
--- a/internal/storenode/handover.go
+++ b/internal/storenode/handover.go
@@ -43,7 +43,7 @@
 				free = false // its new owner has not gathered here yet
 				return
 			}
-			if n.table.OwnedEpoch(uint32(id)) > 0 || n.table.Running(uint32(id)) > 0 {
+			if n.table.OwnedEpoch(uint32(id)) > 0 || n.table.RunningCount(uint32(id)) > 0 {
 				free = false
 				return
 			}
--- a/internal/storenode/held.go
+++ b/internal/storenode/held.go
@@ -176,7 +176,7 @@
 		reply.Store = n.disk
 		for _, name := range request.Names {
 			entry := n.table.Get(name)
-			if entry == nil || !entry.IsKept() {
+			if entry == nil || !entry.HasLocalCopy() {
 				reply.Lacking = append(reply.Lacking, name)
 			} else if request.Read && entry.Stored {
 				kept = append(kept, verified{entry: entry, record: entry.Record})
--- a/internal/storenode/held_test.go
+++ b/internal/storenode/held_test.go
@@ -28,7 +28,7 @@
 		node := owner.running().node
 		node.do(func() {
 			entry := node.table.Get(ended)
-			node.table.End(entry, rpc.State_DEAD, "", node.now())
+			node.table.MarkEnded(entry, rpc.State_DEAD, "", node.now())
 			node.tell(entry)
 		})
 		time.Sleep(time.Second)
@@ -103,12 +103,12 @@
 		node := owner.running().node
 		node.do(func() {
 			entry := node.table.Get("m")
-			node.table.End(entry, rpc.State_COMPLETED, "stamp", node.now())
+			node.table.MarkEnded(entry, rpc.State_COMPLETED, "stamp", node.now())
 			node.tell(entry)
 		})
 		time.Sleep(2 * time.Second)
 		holder := w.holderOf("m", owner).running()
-		holder.node.do(func() { holder.node.table.Forget(0, holder.node.now()) })
+		holder.node.do(func() { holder.node.table.ExpireEnded(0, holder.node.now()) })
 		time.Sleep(oneTurn)
 		known := 0
 		for _, m := range w.machines {
@@ -140,7 +140,7 @@
 	counted := -1
 	node.do(func() {
 		if entry := node.table.Get(name); entry != nil {
-			counted = entry.Copies(node.holders.domains, node.ownDomain())
+			counted = entry.CountCopies(node.holders.domains, node.ownDomain())
 		}
 	})
 	return counted
--- a/internal/storenode/impaired.go
+++ b/internal/storenode/impaired.go
@@ -11,7 +11,7 @@
 // impaired reports whether the disk keeps this store from accepting messages, so that other stores should own its partitions.
 func (n *Node) impaired() bool {
 	refused := n.refusedAt.Load()
-	return n.file.Waiting() >= stalledAfter || n.file.Full() || refused > 0 && n.now()-time.Duration(refused) < refusalLasts
+	return n.file.OldestSyncWait() >= stalledAfter || n.file.Full() || refused > 0 && n.now()-time.Duration(refused) < refusalLasts
 }
 
 // hasRoom reports whether a message of so many bytes may be written. A part of the log is kept for what becomes of messages. A disk
@@ -21,5 +21,5 @@
 		n.refusedAt.Store(int64(n.now()))
 		return false
 	}
-	return n.file.Buffered() <= acceptBuffered
+	return n.file.BufferedBytes() <= acceptBuffered
 }
--- a/internal/storenode/node.go
+++ b/internal/storenode/node.go
@@ -141,7 +141,7 @@
 	case <-ctx.Done():
 	case <-n.diskFailed:
 		_ = server.Close()
-		return errors.Wrap(applog.ErrFailed, "storenode: end, so that a new start replays the log")
+		return errors.Wrap(applog.ErrWriteFailed, "storenode: end, so that a new start replays the log")
 	}
 	n.HandOver()
 	_ = server.Close()
@@ -175,7 +175,7 @@
 
 // noteDisk ends the process where the log has failed for good: what the disk holds since the last sync is unknown.
 func (n *Node) noteDisk(err error) {
-	if errors.Is(err, applog.ErrFailed) {
+	if errors.Is(err, applog.ErrWriteFailed) {
 		n.failOnce.Do(func() { close(n.diskFailed) })
 	}
 }
--- a/internal/storenode/replay.go
+++ b/internal/storenode/replay.go
@@ -91,13 +91,13 @@
 }
 
 func (n *Node) replayMessage(at applog.Position, m *rpc.Message, elapsed time.Duration) {
-	entry := message.FromMessage(m, n.now())
+	entry := message.NewEntry(m, n.now())
 	entry.Arrived -= elapsed
 	entry.Due -= elapsed
 	entry.EndedAt -= elapsed
 	entry.BodyBytes, entry.Body = len(m.Body), nil
 	entry = n.table.Add(entry, n.now())
-	entry.KeepAt(at)
+	entry.SetRecord(at)
 }
 
 func (n *Node) replayFate(f *rpc.Fate, elapsed time.Duration) {
@@ -112,7 +112,7 @@
 	}
 	entry.Attempts = max(entry.Attempts, f.Attempts)
 	if f.State != rpc.State_QUEUED {
-		n.table.End(entry, f.State, f.Stamp, n.now())
+		n.table.MarkEnded(entry, f.State, f.Stamp, n.now())
 		entry.EndedAt -= elapsed
 	}
 }
--- a/internal/storenode/scenario_test.go
+++ b/internal/storenode/scenario_test.go
@@ -277,9 +277,9 @@
 				e := p.node.table.Get(fmt.Sprint("m", i))
 				switch i % 4 {
 				case 0:
-					p.node.table.End(e, rpc.State_COMPLETED, "stamp", p.node.now())
+					p.node.table.MarkEnded(e, rpc.State_COMPLETED, "stamp", p.node.now())
 				case 1:
-					p.node.table.End(e, rpc.State_DEAD, "", p.node.now())
+					p.node.table.MarkEnded(e, rpc.State_DEAD, "", p.node.now())
 				case 2:
 					e.Attempts = 2
 				}
@@ -319,7 +319,7 @@
 			}
 			for i := range count {
 				e := p.node.table.Get(fmt.Sprint("m", i))
-				p.node.table.End(e, rpc.State_COMPLETED, "stamp", p.node.now())
+				p.node.table.MarkEnded(e, rpc.State_COMPLETED, "stamp", p.node.now())
 				p.node.appendFate(e)
 			}
 			fill(t, p)
@@ -407,7 +407,7 @@
 		must.True(t, p.node.do(func() {
 			for _, name := range accepted[:20] {
 				e := p.node.table.Get(name)
-				p.node.table.End(e, rpc.State_COMPLETED, "stamp", p.node.now())
+				p.node.table.MarkEnded(e, rpc.State_COMPLETED, "stamp", p.node.now())
 				p.node.appendFate(e)
 			}
 		}))
--- a/internal/storenode/scrub.go
+++ b/internal/storenode/scrub.go
@@ -140,10 +140,10 @@
 		return
 	}
 	now := n.now()
-	entry := message.FromMessage(m, now)
+	entry := message.NewEntry(m, now)
 	entry.ReadUnder = n.tableVersion()
 	if entry.OrderKey != "" && entry.Seq == 0 {
-		n.table.Number(entry)
+		n.table.AssignSeq(entry)
 	}
 	if n.write(entry, m) != rpc.PutStatus_STORED {
 		return
@@ -152,7 +152,7 @@
 	entry = n.table.Add(entry, now)
 	entry.AddHolder(holder)
 	if !entry.Ended() && n.expired(entry, now) { // the holder can't tell whether it was run, so it is never begun here
-		n.table.End(entry, rpc.State_DEAD, "", now)
+		n.table.MarkEnded(entry, rpc.State_DEAD, "", now)
 		n.tell(entry)
 	}
 	n.pumpDue = true
--- a/internal/storenode/sim_control_test.go
+++ b/internal/storenode/sim_control_test.go
@@ -57,7 +57,7 @@
 }
 
 func newControlPlane(w *world) *controlPlane {
-	c := &controlPlane{world: w, leases: lease.New(lease.Options{Length: simLease, Margin: simLeaseMargin, Reusable: true}),
+	c := &controlPlane{world: w, leases: lease.New(lease.Options{Duration: simLease, Margin: simLeaseMargin, AllowRenewalAfterEnd: true}),
 		statuses: map[string]*storeStatus{}, fences: map[string]uint64{}, joined: map[string]simMoment{},
 		partitions: make([]placement.Partition, w.scale.partitions), changed: make(chan struct{}), config: simConfig(1)}
 	c.publish()
@@ -452,7 +452,7 @@
 
 // ConfigConfirmed implements coordinator.
 func (f *fakeCluster) ConfigConfirmed(version uint64) bool {
-	return f.confirmations.Within(version, cluster.ConfirmBound(f.process.node.settings))
+	return f.confirmations.ConfirmedWithin(version, cluster.ConfirmationTTL(f.process.node.settings))
 }
 
 // Kick implements coordinator.
@@ -559,7 +559,7 @@
 		return c.renew(request)
 	})
 	if ok {
-		f.confirmations.Note(newest, sent)
+		f.confirmations.Record(newest, sent)
 	}
 	if !ok || !granted {
 		return
--- a/internal/storenode/sim_faults_test.go
+++ b/internal/storenode/sim_faults_test.go
@@ -91,7 +91,7 @@
 		}
 		p.node.do(func() {
 			p.node.table.Each(func(e *messageEntry) {
-				if e.IsKept() {
+				if e.HasLocalCopy() {
 					kept[e.Name]++
 				}
 			})
--- a/internal/storenode/takeover.go
+++ b/internal/storenode/takeover.go
@@ -48,7 +48,7 @@
 	if n.table.Fence(partition) > epoch {
 		return // a newer owner has been here; a newer map follows
 	}
-	n.table.Own(partition, epoch)
+	n.table.BeginOwnership(partition, epoch)
 	n.appendFence(partition, epoch)
 	n.owned[partition].Store(0)
 	delete(n.releases, partition)
@@ -57,7 +57,7 @@
 func (n *Node) disown(partition uint32) {
 	n.log.V(1).Info("partition given up", "partition", partition)
 	n.owned[partition].Store(0)
-	n.table.Disown(partition)
+	n.table.EndOwnership(partition)
 	delete(n.releases, partition)
 	soon := n.now() + scrubFirst
 	n.table.Partition(partition, func(e *message.Entry) { e.ScrubAt = soon })
@@ -90,7 +90,7 @@
 		if !ownership.Releasing || epoch == 0 || epoch != ownership.Epoch || n.releases[partition] == epoch {
 			continue
 		}
-		if n.table.Running(partition) > 0 || !n.table.IsReady(partition) {
+		if n.table.RunningCount(partition) > 0 || !n.table.IsReady(partition) {
 			continue
 		}
 		n.releases[partition] = epoch
--- a/internal/storenode/upkeep.go
+++ b/internal/storenode/upkeep.go
@@ -22,7 +22,7 @@
 	now := n.now()
 	n.backlog.Store(uint64(n.table.Queued()))
 	if keep, known := n.keepEnded(); known {
-		n.counters.endsForgotten.Add(uint64(n.table.Forget(keep, now)))
+		n.counters.endsForgotten.Add(uint64(n.table.ExpireEnded(keep, now)))
 	}
 	if n.view == nil || n.view.Map == nil {
 		return
@@ -84,18 +84,18 @@
 		if !n.table.IsReady(e.Partition) {
 			return
 		}
-		if e.Copies(alive, n.ownDomain()) < wanted {
+		if e.CountCopies(alive, n.ownDomain()) < wanted {
 			missing = append(missing, e)
 		} else if n.losses.restsOnUnread(e) {
 			unread = append(unread, e)
 		}
 	})
 	for _, e := range expired {
-		n.table.End(e, rpc.State_DEAD, "", now)
+		n.table.MarkEnded(e, rpc.State_DEAD, "", now)
 		n.tell(e)
 	}
 	for _, e := range unheld {
-		n.table.Drop(e)
+		n.table.Remove(e)
 	}
 	missing = append(missing, scarceEnds...)
 	ready, takenOver := n.ownedPartitions()
@@ -122,7 +122,7 @@
 	if e.EnoughAt == version || e.Accepting == version || !n.table.IsReady(e.Partition) {
 		return false
 	}
-	if e.Copies(alive, n.ownDomain()) < wanted {
+	if e.CountCopies(alive, n.ownDomain()) < wanted {
 		return true
 	}
 	e.EnoughAt = version
@@ -189,7 +189,7 @@
 // repair restores one copy of a message that has too few.
 func (n *Node) repair(e *message.Entry) {
 	alive := n.holders.domains
-	if !e.IsKept() {
+	if !e.HasLocalCopy() {
 		name, holders := e.Name, append([]string(nil), e.Holders...)
 		go func() {
 			if m := n.fetch(name, holders); m != nil {
@@ -210,7 +210,7 @@
 	}
 	epoch := n.table.OwnedEpoch(e.Partition)
 	if e.State == rpc.State_COMPLETED {
-		n.sendCopy(one, epoch, e.End(n.now()), func() { e.AddHolder(one.disk) })
+		n.sendCopy(one, epoch, e.CompletionMessage(n.now()), func() { e.AddHolder(one.disk) })
 		return
 	}
 	at := e.Record
--- a/internal/virtual/dispatcher.go
+++ b/internal/virtual/dispatcher.go
@@ -105,10 +105,10 @@
 	})
 }
 
-func (d *dispatcher) tell(set func(choice.Note) choice.Note, a *attempt) {
+func (d *dispatcher) tell(set func(choice.AttemptUpdate) choice.AttemptUpdate, a *attempt) {
 	d.later(wayThere, func() {
 		if !a.over {
-			d.dec.Note(d.w.now, set(choice.Note{Request: a.q.id, Worker: a.x.id, Attempt: a.no}))
+			d.dec.AttemptUpdate(d.w.now, set(choice.AttemptUpdate{Request: a.q.id, Worker: a.x.id, Attempt: a.no}))
 		}
 	})
 }
@@ -262,6 +262,6 @@
 
 func (d *dispatcher) Probe(string)            {}
 func (d *dispatcher) CloseIdle(worker string) { d.w.byID[worker].closeIdle(d) }
-func (d *dispatcher) Tell(int, []byte)        {}
+func (d *dispatcher) SendToPeer(int, []byte)  {}
 func (d *dispatcher) ListAll()                {}
 func (d *dispatcher) Log(string)              {}
--- a/internal/virtual/model.go
+++ b/internal/virtual/model.go
@@ -294,7 +294,7 @@
 		w.after(viewAfter, func() {
 			for _, d := range w.dispatchers {
 				if d.alive {
-					d.dec.Fleet(len(w.dispatchers) - w.Behind)
+					d.dec.SetDispatchers(len(w.dispatchers) - w.Behind)
 				}
 			}
 		})
--- a/internal/virtual/worker.go
+++ b/internal/virtual/worker.go
@@ -139,7 +139,7 @@
 	}
 	x.queued = append(x.queued, a)
 	x.release(a, false)
-	a.q.d.tell(func(d choice.Note) choice.Note { d.Taken = true; return d }, a)
+	a.q.d.tell(func(d choice.AttemptUpdate) choice.AttemptUpdate { d.Taken = true; return d }, a)
 	x.next()
 }
 
@@ -178,7 +178,7 @@
 		x.queued = slices.Delete(x.queued, at, at+1)
 		x.running = append(x.running, a)
 		if a.q.d.plain.TellsStart {
-			a.q.d.tell(func(n choice.Note) choice.Note { n.Started = true; return n }, a)
+			a.q.d.tell(func(n choice.AttemptUpdate) choice.AttemptUpdate { n.Started = true; return n }, a)
 		}
 		x.w.after(a.q.work/x.speed/x.capacity(), func() {
 			if !a.over {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -352,12 +352,12 @@
 		event = func() { d.Probed(h.now, p) }
 	case "note":
 		what := m.mustWhole(4)
-		n := choice.Note{Request: m.mustText(1), Worker: m.mustText(2), Attempt: int(m.mustWhole(3)),
+		n := choice.AttemptUpdate{Request: m.mustText(1), Worker: m.mustText(2), Attempt: int(m.mustWhole(3)),
 			Started: what == 1}
 		if amount := m.num(5, 0); what == 2 {
 			n.Share = amount
 		}
-		event = func() { d.Note(h.now, n) }
+		event = func() { d.AttemptUpdate(h.now, n) }
 	case "bell":
 		token := m.mustWhole(1)
 		event = func() { d.Timer(h.now, uint64(token)) }
@@ -377,7 +377,7 @@
 			}
 		}
 		from := int(m.mustWhole(1))
-		event = func() { d.Heard(h.now, from, data) }
+		event = func() { d.PeerMessage(h.now, from, data) }
 	}
 	if m.err == nil {
 		event()
@@ -488,7 +488,7 @@
 	a.end()
 }
 
-func (a *actions) Tell(peer int, data []byte) {
+func (a *actions) SendToPeer(peer int, data []byte) {
 	a.begin("say")
 	if peer < 0 {
 		a.text("*")
