--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	patience = 20 * time.Second
-	pollGap  = 10 * time.Millisecond
+	eventuallyTimeout = 20 * time.Second
+	pollInterval      = 10 * time.Millisecond
 )
 
-// cluster is a control plane of several processes on loopback.
+// cluster is a group of control processes on the loopback interface.
 type cluster struct {
 	t       *testing.T
 	servers []*testServer
@@ -40,7 +40,7 @@
 	ended    chan error
 }
 
-// newCluster starts so many processes, of which the first three are the seeds.
+// newCluster starts size processes, of which the first three are the seeds. change may modify the settings of each.
 func newCluster(t *testing.T, size int, change func(*settings.Settings)) *cluster {
 	t.Helper()
 	c := &cluster{t: t, caller: &http.Client{Timeout: 5 * time.Second}}
@@ -55,7 +55,7 @@
 		}
 	}
 	for index, listener := range listeners {
-		wanted := &settings.Settings{
+		configured := &settings.Settings{
 			Node:           fmt.Sprintf("front-%d", index),
 			Zone:           fmt.Sprintf("zone-%d", index),
 			Listen:         settings.Listen{Control: listener.Addr().String()},
@@ -65,17 +65,17 @@
 			FaultTolerance: settings.FaultTolerance{Machines: 1},
 		}
 		if change != nil {
-			change(wanted)
+			change(configured)
 		}
-		c.servers = append(c.servers, startServer(t, wanted, listener))
+		c.servers = append(c.servers, startServer(t, configured, listener))
 	}
 	t.Cleanup(c.close)
 	return c
 }
 
-func startServer(t *testing.T, wanted *settings.Settings, listener net.Listener) *testServer {
+func startServer(t *testing.T, configured *settings.Settings, listener net.Listener) *testServer {
 	t.Helper()
-	options := Options{Settings: wanted, Log: logr.Discard()}
+	options := Options{Settings: configured, Log: logr.Discard()}
 	server, err := New(options)
 	must.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -84,7 +84,7 @@
 	return started
 }
 
-// end stops a process and waits for its end.
+// end stops a process and waits until it has ended.
 func (s *testServer) end() {
 	s.stop()
 	<-s.ended
@@ -98,13 +98,13 @@
 	c.caller.CloseIdleConnections()
 }
 
-// eventually waits until a condition holds.
+// eventually waits until holds returns nil.
 func eventually(t *testing.T, holds func() error) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.ErrorFunc(holds), wait.Timeout(patience), wait.Gap(pollGap)))
+	must.Wait(t, wait.InitialSuccess(wait.ErrorFunc(holds), wait.Timeout(eventuallyTimeout), wait.Gap(pollInterval)))
 }
 
-// leader waits for a process that leads, other than those excepted.
+// leader waits until a process leads that is not excluded, and returns it.
 func (c *cluster) leader(except ...*testServer) *testServer {
 	c.t.Helper()
 	var found *testServer
@@ -129,14 +129,14 @@
 	return false
 }
 
-// answerOf is the outcome of a call of the operator's.
-type answerOf struct {
+// apiResponse is the outcome of a call to the operator's API; status is 0 if there was no response.
+type apiResponse struct {
 	status int
 	body   string
 }
 
-// call makes a call of the operator's at a process; redirects are followed.
-func (c *cluster) call(server *testServer, method, path, ifVersion, body string) answerOf {
+// call calls the operator's API of a process, and follows redirects.
+func (c *cluster) call(server *testServer, method, path, ifVersion, body string) apiResponse {
 	request, err := http.NewRequest(method, "http://"+server.address+path, strings.NewReader(body))
 	must.NoError(c.t, err)
 	if ifVersion != "" {
@@ -144,17 +144,17 @@
 	}
 	response, err := c.caller.Do(request)
 	if err != nil {
-		return answerOf{body: err.Error()}
+		return apiResponse{body: err.Error()}
 	}
 	defer response.Body.Close()
 	content, _ := io.ReadAll(response.Body)
-	return answerOf{status: response.StatusCode, body: string(content)}
+	return apiResponse{status: response.StatusCode, body: string(content)}
 }
 
-// callUntilClear repeats an order until it has a clear answer, as the operator does.
-func (c *cluster) callUntilClear(server *testServer, method, path, ifVersion, body string) answerOf {
+// callUntilDefinite repeats a request until the outcome is definite, as an operator does.
+func (c *cluster) callUntilDefinite(server *testServer, method, path, ifVersion, body string) apiResponse {
 	c.t.Helper()
-	var answer answerOf
+	var answer apiResponse
 	eventually(c.t, func() error {
 		answer = c.call(server, method, path, ifVersion, body)
 		if answer.status == 0 || answer.status >= http.StatusInternalServerError {
--- a/internal/controlplane/lostrecord_test.go
+++ b/internal/controlplane/corrupt_record_test.go
@@ -18,7 +18,7 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// logLines collects what is logged.
+// logLines collects log lines.
 type logLines struct {
 	mutex sync.Mutex
 	lines []string
@@ -38,11 +38,11 @@
 	return strings.Join(l.lines, "\n")
 }
 
-// breakRecord damages both files of the record.
+// breakRecord corrupts both files of the record.
 func breakRecord(t *testing.T, folder string) {
 	t.Helper()
 	for _, suffix := range []string{".0", ".1"} {
-		path := filepath.Join(folder, recordName+suffix)
+		path := filepath.Join(folder, recordFileName+suffix)
 		must.NoError(t, os.WriteFile(path, []byte("not a record of any kind"), 0o600))
 	}
 }
@@ -51,13 +51,13 @@
 	folder := t.TempDir()
 	breakRecord(t, folder)
 	var logged logLines
-	wanted := &settings.Settings{
+	configured := &settings.Settings{
 		Listen:    settings.Listen{Control: "127.0.0.1:1"},
 		Seeds:     []string{"127.0.0.1:1"},
 		Bootstrap: true,
 		DataDir:   folder,
 	}
-	server, err := New(Options{Settings: wanted, Log: logged.logger()})
+	server, err := New(Options{Settings: configured, Log: logged.logger()})
 	must.NoError(t, err)
 	t.Cleanup(server.close)
 	status := server.node.Status()
@@ -73,7 +73,7 @@
 	must.ErrorContains(t, err, "disk trouble")
 }
 
-// failingStorage fails otherwise than by a broken record.
+// failingStorage fails with an error other than a corrupt record.
 type failingStorage struct {
 	failover.Storage
 }
@@ -83,7 +83,7 @@
 func TestBrokenRecordOfAVoterIsReplaced(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	leader := c.leader()
-	must.Eq(t, http.StatusOK, c.callUntilClear(leader, http.MethodPost, replacePath, "0", configWith(5, "a")).status)
+	must.Eq(t, http.StatusOK, c.callUntilDefinite(leader, http.MethodPost, replacePath, "0", configWith(5, "a")).status)
 	position := 0
 	if c.servers[position] == leader {
 		position++
--- a/internal/controlplane/leadership.go
+++ b/internal/controlplane/leadership.go
@@ -12,13 +12,13 @@
 	"foldlb.example/foldlb/internal/workerlist"
 )
 
-// Most time between two looks at the leader's lease. Its end comes without an event, its beginning with one.
+// Intervals at which the leader's lease is checked. Its start also triggers a check, its end does not.
 const (
-	leadPeriod   = 200 * time.Millisecond
-	followPeriod = 2 * time.Second
+	leaderCheckInterval   = 200 * time.Millisecond
+	followerCheckInterval = 2 * time.Second
 )
 
-// wakeLeadership has the state looked at now.
+// wakeLeadership triggers a check of the leadership and of the committed state.
 func (s *Server) wakeLeadership() {
 	select {
 	case s.leadershipWake <- struct{}{}:
@@ -26,16 +26,16 @@
 	}
 }
 
-// runLeadership begins and ends terms and publishes what is committed, until the context ends.
+// runLeadership begins and ends terms and publishes the committed state until the context ends.
 func (s *Server) runLeadership(ctx context.Context) {
-	timer := time.NewTimer(followPeriod)
+	timer := time.NewTimer(followerCheckInterval)
 	defer timer.Stop()
 	for {
 		s.checkLeadership()
 		if s.currentTerm() == nil {
-			timer.Reset(followPeriod)
+			timer.Reset(followerCheckInterval)
 		} else {
-			timer.Reset(leadPeriod)
+			timer.Reset(leaderCheckInterval)
 		}
 		select {
 		case <-timer.C:
@@ -67,44 +67,44 @@
 	return s.term.Load()
 }
 
-// beginTerm publishes the committed state under the new epoch before anyone can subscribe. The part of the
-// workers is left out until they were read: subscribers keep the list that they have.
+// beginTerm publishes the committed state under the new epoch before anyone can subscribe. The list of workers
+// is published only once it was read from the platform; until then subscribers keep the list that they have.
 func (s *Server) beginTerm(epoch uint64) *term {
-	begun := newTerm(epoch, s.state.committed(), s.storeLease, time.Now())
+	started := newTerm(epoch, s.state.committed(), s.storeLease, time.Now())
 	s.published = publishedVersions{}
 	s.hub.Publish(headerPart(epoch), watch.Part{Index: partWorkers})
 	s.publishState()
-	s.term.Store(begun)
-	s.startTermWork(begun)
-	return begun
+	s.term.Store(started)
+	s.startTermWork(started)
+	return started
 }
 
-// startTermWork starts what runs only at the leader. All of it ends with the term.
-func (s *Server) startTermWork(begun *term) {
-	s.working.Add(3)
+// startTermWork starts the goroutines that run only at the leader. They end with the term.
+func (s *Server) startTermWork(started *term) {
+	s.background.Add(3)
 	go func() {
-		defer s.working.Done()
-		s.runPlanner(begun)
+		defer s.background.Done()
+		s.runPlanner(started)
 	}()
 	go func() {
-		defer s.working.Done()
-		s.runContacts(begun)
+		defer s.background.Done()
+		s.runContacts(started)
 	}()
 	go func() {
-		defer s.working.Done()
-		s.runMembership(begun)
+		defer s.background.Done()
+		s.runMembership(started)
 	}()
 	if s.settings().Cloud.Address == "" {
 		return
 	}
-	s.working.Add(1)
+	s.background.Add(1)
 	go func() {
-		defer s.working.Done()
-		s.runDiscovery(begun)
+		defer s.background.Done()
+		s.runDiscovery(started)
 	}()
 }
 
-// endTerm ends all streams and what runs at the leader.
+// endTerm stops the goroutines of the term and closes all streams.
 func (s *Server) endTerm() {
 	ended := s.term.Swap(nil)
 	if ended == nil {
@@ -132,25 +132,25 @@
 	})
 }
 
-// publishedVersions tells what was streamed last. It belongs to the goroutine of runLeadership.
+// publishedVersions describes what was streamed last. Only the goroutine of runLeadership accesses it.
 type publishedVersions struct {
-	any       bool
-	config    uint64
-	catalog   *catalog.Config // the configuration of that version; nil for none that can be read
-	table     uint64
-	addresses []string
+	any           bool // whether anything was published in this term
+	configVersion uint64
+	catalog       *catalog.Config // the configuration of that version; nil if it can't be parsed
+	mapVersion    uint64
+	addresses     []string
 }
 
-// publishState streams the parts of the committed state that have changed.
+// publishState publishes the parts of the committed state that have changed.
 func (s *Server) publishState() {
 	state := s.state.committed()
 	last := &s.published
-	if !last.any || last.config != state.ConfigVersion {
+	if !last.any || last.configVersion != state.ConfigVersion {
 		s.publishConfig(state)
 	}
-	if !last.any || last.table != state.MapVersion {
-		s.hub.Publish(mapPart(state, s.copies()))
-		last.table = state.MapVersion
+	if !last.any || last.mapVersion != state.MapVersion {
+		s.hub.Publish(mapPart(state, s.requiredCopies()))
+		last.mapVersion = state.MapVersion
 	}
 	addresses := s.controlAddresses()
 	if !last.any || !slices.Equal(last.addresses, addresses) {
@@ -160,25 +160,25 @@
 	last.any = true
 }
 
-// publishConfig streams the configuration, and what is new in it to those that hold the one before.
+// publishConfig publishes the configuration, with a delta for subscribers that hold the previous one.
 func (s *Server) publishConfig(state *rpc.ControlState) {
 	part := configPart(state)
 	config, err := catalog.Parse(state.Config)
 	if err != nil {
-		config = nil // before the first one; later ones were checked when they were taken
+		config = nil // there is none yet; every accepted configuration was validated
 	}
 	if last := s.published.catalog; last != nil && config != nil {
 		part.Delta = configDelta(last, config)
 	}
 	s.hub.Publish(part)
-	s.published.config = state.ConfigVersion
+	s.published.configVersion = state.ConfigVersion
 	s.published.catalog = config
 }
 
-// handleWatch streams the View to dispatchers and stores.
+// handleWatch streams the View to dispatchers and stores; a process that does not lead redirects them.
 func (s *Server) handleWatch(writer http.ResponseWriter, request *http.Request) {
 	if s.currentTerm() == nil || !s.state.leading() {
-		s.sendToLeader(writer, request)
+		s.redirectToLeader(writer, request)
 		return
 	}
 	s.hub.ServeHTTP(writer, request)
--- a/internal/controlplane/model_test.go
+++ b/internal/controlplane/model_test.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	modelStep   = 50 * time.Millisecond
-	modelCopies = 2
-	renewEvery  = 8 // steps
-	commitMost  = 6 // steps that a commit may take
-	eventKinds  = 8
-	streamMost  = 12 // one in so many steps carries the newest table to a store
+	modelStep       = 50 * time.Millisecond
+	modelCopies     = 2
+	renewalSteps    = 8
+	maxCommitSteps  = 6 // maximum steps that a commit takes
+	eventKinds      = 8
+	streamOneStepIn = 12 // in a step, the latest map reaches a store with probability 1/streamOneStepIn
 )
 
-// modelStore is a store process on a virtual clock. It acts for a partition while its lease is valid and the
-// table that it knows names its incarnation.
+// modelStore is a store process on a virtual clock. It acts for a partition while its lease is valid and the map that
+// it knows names its incarnation as the owner.
 type modelStore struct {
-	node     string
-	run      int // counts the starts
-	running  bool
-	cut      bool // nothing reaches it
-	leaving  bool
-	impaired bool
-	known    *rpc.ControlState
-	leaseEnd time.Time
-	released map[uint32]uint64 // epochs under which it stopped to act
-	renewIn  int               // steps
-	lost     *rpc.RenewRequest // of an earlier run, held up on its way
-	streamIn int               // steps until the newest table reaches it; 0 where it has it
+	node           string
+	run            int // number of starts
+	running        bool
+	cut            bool // nothing reaches it or comes from it
+	leaving        bool
+	impaired       bool
+	knownState     *rpc.ControlState
+	leaseEnd       time.Time
+	released       map[uint32]uint64 // by partition: epochs under which it has released it
+	renewIn        int               // steps until the next renewal
+	delayedRenewal *rpc.RenewRequest // a renewal of an earlier run that is still in transit
+	streamIn       int               // steps until the latest map reaches it; 0 if it has it
 }
 
 func (s *modelStore) incarnation() string {
@@ -45,10 +45,10 @@
 
 // acts reports whether the store would act for a partition now.
 func (s *modelStore) acts(partition int, now time.Time) bool {
-	if !s.running || !now.Before(s.leaseEnd) || partition >= len(s.known.Partitions) {
+	if !s.running || !now.Before(s.leaseEnd) || partition >= len(s.knownState.Partitions) {
 		return false
 	}
-	ownership := s.known.Partitions[partition]
+	ownership := s.knownState.Partitions[partition]
 	mine := ownership.Node == s.node && ownership.Incarnation == s.incarnation()
 	return mine && s.released[uint32(partition)] != ownership.Epoch
 }
@@ -56,49 +56,49 @@
 func (s *modelStore) request() *rpc.RenewRequest {
 	return &rpc.RenewRequest{
 		Node: s.node, Incarnation: s.incarnation(), Zone: s.node, Role: roleStore,
-		Disk: "disk-" + s.node, Address: s.node, Leaving: s.leaving, Impaired: s.impaired, MapVersion: s.known.MapVersion,
+		Disk: "disk-" + s.node, Address: s.node, Leaving: s.leaving, Impaired: s.impaired, MapVersion: s.knownState.MapVersion,
 	}
 }
 
-// modelWorld is one leader after the other, their committed state, and stores.
+// modelWorld is a sequence of leaders, their committed state, and the stores.
 type modelWorld struct {
 	now       time.Time
 	epoch     uint64
 	term      *term
 	committed *rpc.ControlState
 	stores    []*modelStore
-	proposed  *table // a plan on its way to a majority; nil for none
-	base      uint64 // map version that it was made on
+	proposed  *table // a plan that is being committed; nil for none
+	base      uint64 // map version on which it was made
 	releases  []*release
-	commitIn  int // steps
-	settling  bool
+	commitIn  int // steps until the plan is committed
+	faultFree bool
 
-	own      time.Duration   // longest lease that the leader grants
-	versions []time.Duration // those that leaders may grant; nil for one
-	unkept   bool            // no leader tells or counts any length but its own
+	ownLease        time.Duration   // longest lease that the leader grants
+	leaseDurations  []time.Duration // from which the longest lease of each leader is drawn; nil for the default
+	ignoresRecorded bool            // leaders ignore the recorded duration and assume their own
 }
 
-// ownLength draws the version of the next leader.
-func (w *modelWorld) ownLength(draw func(below int) int) time.Duration {
-	if w.versions == nil {
+// drawLease draws the longest lease that the next leader grants.
+func (w *modelWorld) drawLease(draw func(below int) int) time.Duration {
+	if w.leaseDurations == nil {
 		return defaultStoreLease
 	}
-	return w.versions[draw(len(w.versions))]
+	return w.leaseDurations[draw(len(w.leaseDurations))]
 }
 
-// keepLength records the length of leases, given that some of the versions were heard, the leader's among them.
-func (w *modelWorld) keepLength(draw func(below int) int) {
-	heard := []peer{{id: "leader", disk: true, storeLease: w.own}}
-	for _, length := range w.versions {
+// recordLease records the lease duration, given joins of the leader and of processes with some of leaseDurations.
+func (w *modelWorld) recordLease(draw func(below int) int) {
+	recent := []peer{{id: "leader", disk: true, storeLease: w.ownLease}}
+	for _, length := range w.leaseDurations {
 		if draw(2) == 0 {
-			heard = append(heard, peer{id: length.String(), disk: true, storeLease: length})
+			recent = append(recent, peer{id: length.String(), disk: true, storeLease: length})
 		}
 	}
 	recorded := recordedStoreLease(w.committed)
-	wanted := wantedStoreLease(recorded, w.own, []failover.Member{{ID: "leader"}}, heard)
-	if !w.unkept && w.term.mayRecord(recorded, wanted, w.now) {
+	required := requiredStoreLease(recorded, w.ownLease, []failover.Member{{ID: "leader"}}, recent)
+	if !w.ignoresRecorded && w.term.mayRecordStoreLease(recorded, required, w.now) {
 		w.committed = proto.CloneOf(w.committed)
-		w.committed.StoreLeaseMs = wanted.Milliseconds()
+		w.committed.StoreLeaseMs = required.Milliseconds()
 	}
 }
 
@@ -107,23 +107,23 @@
 	for index := range size {
 		w.stores = append(w.stores, &modelStore{
 			node: fmt.Sprintf("s%d", index), run: 1, running: true,
-			known: &rpc.ControlState{}, released: make(map[uint32]uint64),
+			knownState: &rpc.ControlState{}, released: make(map[uint32]uint64),
 		})
 	}
 	w.changeLeader(func(int) int { return 0 })
 	return w
 }
 
-// changeLeader begins a new term. What its predecessor had proposed may have been committed or not.
+// changeLeader starts a new term. The proposal in progress is dropped.
 func (w *modelWorld) changeLeader(draw func(below int) int) {
 	w.epoch++
 	w.proposed = nil
-	w.own = w.ownLength(draw)
-	if w.unkept {
+	w.ownLease = w.drawLease(draw)
+	if w.ignoresRecorded {
 		w.committed = proto.CloneOf(w.committed)
-		w.committed.StoreLeaseMs = w.own.Milliseconds()
+		w.committed.StoreLeaseMs = w.ownLease.Milliseconds()
 	}
-	w.term = newTerm(w.epoch, w.committed, w.own, w.now)
+	w.term = newTerm(w.epoch, w.committed, w.ownLease, w.now)
 }
 
 func (w *modelWorld) step(t *rapid.T, draw func(below int) int) {
@@ -133,7 +133,7 @@
 	}
 }
 
-// advance lets one step of time pass.
+// advance simulates one step.
 func (w *modelWorld) advance(draw func(below int) int) {
 	w.now = w.now.Add(modelStep)
 	w.plan(draw)
@@ -155,7 +155,7 @@
 		panic(err)
 	}
 	w.proposed, w.base, w.releases = next, w.committed.MapVersion, released
-	w.commitIn = draw(commitMost)
+	w.commitIn = draw(maxCommitSteps)
 	if next.equals(w.committed) {
 		w.proposed = nil
 	}
@@ -164,7 +164,7 @@
 func (w *modelWorld) commit() {
 	if w.committed.MapVersion == w.base {
 		next := proto.CloneOf(w.committed)
-		w.proposed.put(next)
+		w.proposed.writeTo(next)
 		w.committed = next
 		for _, store := range w.stores {
 			store.streamIn = max(store.streamIn, 1)
@@ -174,16 +174,16 @@
 }
 
 func (w *modelWorld) stepStore(store *modelStore, draw func(int) int) {
-	if store.lost != nil && draw(streamMost) == 0 {
-		w.term.renewStore(w.committed, store.lost, w.now)
+	if store.delayedRenewal != nil && draw(streamOneStepIn) == 0 {
+		w.term.renewStore(w.committed, store.delayedRenewal, w.now)
 	}
 	if !store.running || store.cut {
 		return
 	}
 	if store.streamIn > 0 {
-		store.streamIn = draw(streamMost)
+		store.streamIn = draw(streamOneStepIn)
 		if store.streamIn == 0 {
-			store.known = w.committed
+			store.knownState = w.committed
 			store.renewIn = 0
 		}
 	}
@@ -192,17 +192,17 @@
 	if store.renewIn > 0 {
 		return
 	}
-	store.renewIn = renewEvery
+	store.renewIn = renewalSteps
 	outcome := w.term.renewStore(w.committed, store.request(), w.now)
-	isAnswerLost := !w.settling && draw(5) == 0
+	isAnswerLost := !w.faultFree && draw(5) == 0
 	if outcome.granted && !isAnswerLost {
-		store.leaseEnd = w.now.Add(outcome.length)
+		store.leaseEnd = w.now.Add(outcome.duration)
 	}
 }
 
-// release gives up what the store is asked for.
+// release releases the partitions that the known map asks the store for.
 func (w *modelWorld) release(store *modelStore) {
-	for partition, ownership := range store.known.Partitions {
+	for partition, ownership := range store.knownState.Partitions {
 		mine := ownership.Node == store.node && ownership.Incarnation == store.incarnation()
 		if !mine || !ownership.Releasing {
 			continue
@@ -215,7 +215,8 @@
 	}
 }
 
-// doubleOwner is the invariant: no two processes act for a partition at a time. It is empty where that holds.
+// doubleOwner checks the invariant that no two processes act for a partition at the same time. It returns a description
+// of a violation, or "".
 func (w *modelWorld) doubleOwner() string {
 	for partition := range partitionCount {
 		acting := ""
@@ -232,8 +233,8 @@
 	return ""
 }
 
-// disturb changes the fortune of one store, or of the leader. Only the first kinds of events happen.
-func (w *modelWorld) disturb(draw func(int) int, kinds int) {
+// injectFault changes the condition of a store, or the leader. It draws from the first kinds of events.
+func (w *modelWorld) injectFault(draw func(int) int, kinds int) {
 	store := w.stores[draw(len(w.stores))]
 	switch draw(kinds) {
 	case 0:
@@ -260,10 +261,10 @@
 		return
 	}
 	s.running = true
-	s.lost = s.request()
+	s.delayedRenewal = s.request()
 	s.run++
 	s.leaving = false
-	s.known = &rpc.ControlState{}
+	s.knownState = &rpc.ControlState{}
 	s.leaseEnd = time.Time{}
 	s.released = make(map[uint32]uint64)
 	s.streamIn = 1
@@ -282,9 +283,9 @@
 	}
 }
 
-// settle ends all trouble and waits for balance.
+// settle ends all faults and waits until the partitions are balanced.
 func (w *modelWorld) settle(t *rapid.T, draw func(int) int) {
-	w.settling = true
+	w.faultFree = true
 	for _, store := range w.stores {
 		store.start()
 		store.cut = false
@@ -326,7 +327,7 @@
 	}
 }
 
-// spreadOf is the difference between the stores with the most and the fewest partitions.
+// spreadOf returns the difference between the largest and the smallest number of partitions of a store.
 func spreadOf(state *rpc.ControlState, owned map[string]int) int {
 	fewest, most := partitionCount, 0
 	for _, store := range activeStores(state) {
@@ -338,10 +339,10 @@
 	return most - fewest
 }
 
-// modelVersions are lengths of leases of versions that lead in turn.
+// modelVersions are the lease durations of versions that lead in turn.
 var modelVersions = []time.Duration{time.Second, defaultStoreLease, 2 * time.Second, 3 * time.Second}
 
-// TestNoTwoStoresActUnderLeadersOfDifferentVersions has each leader grant leases of another length.
+// TestNoTwoStoresActUnderLeadersOfDifferentVersions lets successive leaders grant leases of different durations.
 func TestNoTwoStoresActUnderLeadersOfDifferentVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		double, lengths := playVersions(rapid.Uint64Range(0, 1<<20).Draw(t, "seed"), false)
@@ -350,7 +351,7 @@
 	})
 }
 
-// TestModelNoticesLeadersThatCountTheirOwnLeaseAlone shows that the model tells of it.
+// TestModelNoticesLeadersThatCountTheirOwnLeaseAlone checks that the model detects leaders that ignore the recorded lease duration.
 func TestModelNoticesLeadersThatCountTheirOwnLeaseAlone(t *testing.T) {
 	const maxSeeds = 300
 	for seed := range uint64(maxSeeds) {
@@ -362,21 +363,21 @@
 	t.Fatalf("not noticed under %d seeds", maxSeeds)
 }
 
-// playVersions returns what was seen of two stores that act for a partition, and how many lengths of leases were recorded.
-func playVersions(seed uint64, unkept bool) (double string, lengths int) {
+// playVersions returns a description of two stores that act for the same partition, if any, and the number of recorded lease durations.
+func playVersions(seed uint64, ignoresRecorded bool) (double string, lengths int) {
 	const steps, calm = 1000, 25
-	draw := drawsOf(seed)
+	draw := seededDraws(seed)
 	w := newModelWorld(4)
-	w.versions, w.unkept = modelVersions, unkept
+	w.leaseDurations, w.ignoresRecorded = modelVersions, ignoresRecorded
 	recorded := map[int64]bool{}
 	for range steps {
 		switch draw(calm) {
 		case 0:
-			w.disturb(draw, eventKinds)
+			w.injectFault(draw, eventKinds)
 		case 1:
 			w.changeLeader(draw)
 		default:
-			w.keepLength(draw)
+			w.recordLease(draw)
 		}
 		recorded[w.committed.StoreLeaseMs] = true
 		w.advance(draw)
@@ -390,13 +391,13 @@
 func TestNoTwoStoresActForAPartition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64Range(0, 1<<20).Draw(t, "seed")
-		draw := drawsOf(seed)
+		draw := seededDraws(seed)
 		calm := rapid.IntRange(5, 200).Draw(t, "steps between events")
 		kinds := rapid.IntRange(4, eventKinds).Draw(t, "kinds of events")
 		w := newModelWorld(rapid.IntRange(2, 5).Draw(t, "stores"))
 		for range rapid.IntRange(0, 1200).Draw(t, "steps") {
 			if draw(calm) == 0 {
-				w.disturb(draw, kinds)
+				w.injectFault(draw, kinds)
 			}
 			w.step(t, draw)
 		}
@@ -404,7 +405,7 @@
 	})
 }
 
-// run plays a model without events.
+// run runs a model without faults.
 func run(t *testing.T, w *modelWorld, steps int, draw func(int) int) {
 	t.Helper()
 	for range steps {
@@ -415,7 +416,7 @@
 
 func TestStoreThatStaysAwayIsGivenUpUntilItComesBack(t *testing.T) {
 	for seed := range uint64(10) {
-		loseAndRegainStore(t, drawsOf(seed))
+		loseAndRegainStore(t, seededDraws(seed))
 	}
 }
 
@@ -431,7 +432,7 @@
 	must.False(t, findStore(w.committed.Stores, lost.node).Leaving)
 	run(t, w, 8*second, draw)
 	must.Len(t, 3, activeStores(w.committed))
-	must.True(t, isGone(findStore(w.committed.Stores, lost.node)))
+	must.True(t, isRemoved(findStore(w.committed.Stores, lost.node)))
 
 	w.changeLeader(nil)
 	run(t, w, 5*second, draw)
@@ -444,7 +445,7 @@
 }
 
 func TestStoreIsNotGivenUpWhereTooFewWouldBeLeft(t *testing.T) {
-	draw := drawsOf(1)
+	draw := seededDraws(1)
 	w := newModelWorld(2)
 	run(t, w, 200, draw)
 	w.stores[0].cut = true
@@ -453,7 +454,7 @@
 	must.False(t, findStore(w.committed.Stores, w.stores[0].node).Leaving)
 }
 
-// owned counts the partitions that each store owns by the committed table.
+// owned counts the partitions of each store in the committed map.
 func (w *modelWorld) owned() map[string]int {
 	owned := make(map[string]int)
 	for _, ownership := range w.committed.Partitions {
@@ -464,7 +465,7 @@
 
 func TestImpairedStoreHandsItsPartitionsOverUntilItIsWell(t *testing.T) {
 	const second = int(time.Second / modelStep)
-	draw := drawsOf(1)
+	draw := seededDraws(1)
 	w := newModelWorld(4)
 	run(t, w, 10*second, draw)
 	ill := w.stores[0]
@@ -472,14 +473,14 @@
 	ill.impaired = true
 	run(t, w, 6*second, draw)
 	must.Eq(t, 0, w.owned()[ill.node])
-	must.Len(t, 4, activeStores(w.committed)) // its copies count as before
+	must.Len(t, 4, activeStores(w.committed)) // its copies still count
 	ill.impaired = false
 	run(t, w, 12*second, draw)
 	must.Eq(t, partitionCount/4, w.owned()[ill.node])
 }
 
 func TestPartitionsStayWhereMoreStoresAreImpairedThanMayBeLost(t *testing.T) {
-	draw := drawsOf(1)
+	draw := seededDraws(1)
 	w := newModelWorld(4)
 	run(t, w, 200, draw)
 	before := w.owned()
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -6,7 +6,7 @@
 	"foldlb.example/foldlb/coord/failover"
 )
 
-// node is what this package uses of failover.Node.
+// node is the part of failover.Node that this package uses.
 type node interface {
 	replica
 	HandleVote(ctx context.Context, request failover.VoteRequest) (failover.VoteReply, error)
@@ -16,34 +16,34 @@
 	Close()
 }
 
-// outsider is the node of a process without a disk: it has no vote and no copy of the state, and sends
-// callers to the leader.
-type outsider struct{}
+// disklessNode is the node of a process without a disk: it has no vote and no copy of the state, and fails every
+// proposal and read with failover.NotLeaderError, so that callers are redirected to the leader.
+type disklessNode struct{}
 
-func (outsider) Propose(context.Context, func([]byte) ([]byte, error)) error {
+func (disklessNode) Propose(context.Context, func([]byte) ([]byte, error)) error {
 	return failover.NotLeaderError{}
 }
 
-func (outsider) Read(context.Context) error {
+func (disklessNode) Read(context.Context) error {
 	return failover.NotLeaderError{}
 }
 
-func (outsider) ProposeMembers(context.Context, *failover.Member, string) error {
+func (disklessNode) ProposeMembers(context.Context, *failover.Member, string) error {
 	return failover.NotLeaderError{}
 }
 
-func (outsider) HandleVote(context.Context, failover.VoteRequest) (failover.VoteReply, error) {
+func (disklessNode) HandleVote(context.Context, failover.VoteRequest) (failover.VoteReply, error) {
 	return failover.VoteReply{NotMember: true}, nil
 }
 
-func (outsider) HandleReplicate(context.Context, failover.ReplicateRequest) (failover.ReplicateReply, error) {
+func (disklessNode) HandleReplicate(context.Context, failover.ReplicateRequest) (failover.ReplicateReply, error) {
 	return failover.ReplicateReply{NotMember: true}, nil
 }
 
-func (outsider) Status() failover.Status { return failover.Status{} }
+func (disklessNode) Status() failover.Status { return failover.Status{} }
 
-func (outsider) LeaseValid() bool { return false }
+func (disklessNode) LeaseValid() bool { return false }
 
-func (outsider) Resign() {}
+func (disklessNode) Resign() {}
 
-func (outsider) Close() {}
+func (disklessNode) Close() {}
--- a/internal/controlplane/planner_test.go
+++ b/internal/controlplane/planner_test.go
@@ -8,27 +8,27 @@
 	"github.com/shoenig/test/must"
 )
 
-// The planner looks at the moment when a lease is certainly over, since its partitions have no other way to an owner that runs.
-func TestPlannerLooksWhenALeaseIsOver(t *testing.T) {
-	w := newSettleWorld(t)
+// The planner must run when a lease is certainly over, since nothing else moves its partitions to a running owner.
+func TestPlannerRunsWhenALeaseIsOver(t *testing.T) {
+	w := newTermFixture(t)
 	for _, request := range w.requests {
 		must.True(t, w.term.renewStore(w.state, request, w.now).granted)
 	}
-	const before = planPeriod / 5
-	must.Eq(t, planPeriod, w.term.untilNextPlan(w.now))
-	must.Eq(t, before, w.term.untilNextPlan(w.now.Add(defaultStoreLease-before)))
+	const before = maxPlanInterval / 5
+	must.Eq(t, maxPlanInterval, w.term.nextPlanDelay(w.now))
+	must.Eq(t, before, w.term.nextPlanDelay(w.now.Add(defaultStoreLease-before)))
 	over := w.now.Add(defaultStoreLease + leaseMargin)
-	must.Eq(t, before, w.term.untilNextPlan(over.Add(-before)))
+	must.Eq(t, before, w.term.nextPlanDelay(over.Add(-before)))
 	must.True(t, w.term.renewStore(w.state, w.requests[1], over.Add(-before)).granted)
 	next, _, err := w.term.plan(w.state, modelCopies, over)
 	must.NoError(t, err)
 	for _, ownership := range next.partitions {
 		must.Eq(t, "store-1", ownership.Node)
 	}
-	must.Eq(t, planPeriod, w.term.untilNextPlan(over))
+	must.Eq(t, maxPlanInterval, w.term.nextPlanDelay(over))
 }
 
-// renewedAt is when a store renewed its lease last.
+// renewedAt returns when a store last renewed its lease.
 func (n *simNetwork) renewedAt(store string) time.Time {
 	term := n.leader().running().server.currentTerm()
 	term.mutex.Lock()
@@ -36,11 +36,11 @@
 	return term.stores[store].renewedAt
 }
 
-// A store that is gone owns partitions no longer than its lease may last, and what a plan and its commit take.
+// A lost store owns partitions for at most its lease, the margin, and the time that a plan and its commit take.
 func TestPartitionsOfALostStoreMoveOnceItsLeaseIsOver(t *testing.T) {
 	directory := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		const planned = 2 * planPause
+		const planned = 2 * minPlanInterval
 		network := newSearchNetwork(t, 1, directory)
 		defer network.end()
 		for range 3 {
@@ -50,12 +50,12 @@
 				}
 				member.kill()
 				killed := time.Now()
-				for copyTable(network.newestTable()).ownsAny(member.name) {
+				for copyTable(network.latestState()).ownsAny(member.name) {
 					time.Sleep(time.Millisecond)
 				}
 				must.Less(t, defaultStoreLease+leaseMargin+planned, time.Since(killed))
 				member.start()
-				time.Sleep(settleTime)
+				time.Sleep(startupTime)
 			}
 		}
 	})
--- a/internal/controlplane/random_test.go
+++ b/internal/controlplane/random_test.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// drawsOf returns draws below a bound that depend on the seed alone.
-func drawsOf(seed uint64) func(below int) int {
+// seededDraws returns a function that draws random numbers below a bound. They depend only on the seed.
+func seededDraws(seed uint64) func(below int) int {
 	source := rand.New(rand.NewPCG(seed, seed))
 	return source.IntN
 }
--- a/internal/controlplane/settle_test.go
+++ b/internal/controlplane/repair_test.go
@@ -9,8 +9,8 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// settleWorld is a term with three stores that hold leases, of which the last is being emptied and owns nothing.
-type settleWorld struct {
+// termFixture is a term with three stores that hold leases, of which the last is retiring and owns no partition.
+type termFixture struct {
 	t        *testing.T
 	now      time.Time
 	state    *rpc.ControlState
@@ -18,8 +18,8 @@
 	requests []*rpc.RenewRequest
 }
 
-func newSettleWorld(t *testing.T) *settleWorld {
-	w := &settleWorld{t: t, now: time.Now(), state: &rpc.ControlState{MapVersion: 5}}
+func newTermFixture(t *testing.T) *termFixture {
+	w := &termFixture{t: t, now: time.Now(), state: &rpc.ControlState{MapVersion: 5}}
 	for _, node := range []string{"store-0", "store-1", "store-2"} {
 		w.state.Stores = append(w.state.Stores, &rpc.StoreMember{
 			Node: node, Disk: "disk-" + node, Incarnation: "1-" + node, Address: node, Zone: node, Whole: true,
@@ -38,8 +38,8 @@
 	return w
 }
 
-// run renews all stores and plans for a time, and reports whether the retirement has completed.
-func (w *settleWorld) run(length time.Duration) bool {
+// run renews all stores and plans for a time, and reports whether the retirement completed.
+func (w *termFixture) run(length time.Duration) bool {
 	const step = 100 * time.Millisecond
 	for end := w.now.Add(length); w.now.Before(end); w.now = w.now.Add(step) {
 		for _, request := range w.requests {
@@ -55,25 +55,25 @@
 }
 
 func TestRetirementCompletes(t *testing.T) {
-	w := newSettleWorld(t)
-	must.False(t, w.run(retireSettle))
+	w := newTermFixture(t)
+	must.False(t, w.run(retireConfirmTime))
 	must.True(t, w.run(time.Second))
 }
 
-// A store that does not know yet that it is being emptied may still take copies that count.
+// A store that does not know yet that it is retiring may still accept copies that count.
 func TestRetirementWaitsUntilTheStoreKnowsOfIt(t *testing.T) {
-	w := newSettleWorld(t)
+	w := newTermFixture(t)
 	w.requests[2].MapVersion = 4
 	must.False(t, w.run(5*time.Second))
 	w.requests[2].MapVersion = 5
-	must.False(t, w.run(retireSettle))
+	must.False(t, w.run(retireConfirmTime))
 	must.True(t, w.run(time.Second))
 }
 
-// A holder tells of copies that their owner may not know; so does the store that is being emptied.
+// A store reports copies that their owner may not know of; the retiring store may do so too.
 func TestRetirementWaitsForCopiesThatTheOwnerMayNotKnow(t *testing.T) {
 	for _, holder := range []int{1, 2} {
-		w := newSettleWorld(t)
+		w := newTermFixture(t)
 		for _, ownership := range w.state.Partitions {
 			ownership.Node, ownership.Incarnation = "store-0", "1-store-0"
 		}
@@ -84,10 +84,10 @@
 	}
 }
 
-// It waits for those alone that were begun to be placed before the store was known to leave, or nobody knows when.
+// Retirement waits only for copies whose placement began before the map marked the store as leaving, or at an unknown time.
 func TestRetirementWaitsForUnconfirmedCopiesByTheirTable(t *testing.T) {
 	for _, holder := range []int{1, 2} {
-		w := newSettleWorld(t)
+		w := newTermFixture(t)
 		for _, ownership := range w.state.Partitions {
 			ownership.Node, ownership.Incarnation = "store-0", "1-store-0"
 		}
@@ -101,17 +101,17 @@
 	}
 }
 
-// Copies that were begun to be placed once the store was known to leave have no copy there, also where they come all the time.
+// A message whose placement began after the map marked the store as leaving has no copy there, so retirement doesn't wait for it.
 func TestRetirementDoesNotWaitForLaterCopies(t *testing.T) {
-	w := newSettleWorld(t)
+	w := newTermFixture(t)
 	w.requests[1].UnderCopied, w.requests[1].Unconfirmed, w.requests[1].UnconfirmedUnder = 3, 3, 5
-	must.False(t, w.run(retireSettle))
+	must.False(t, w.run(retireConfirmTime))
 	must.True(t, w.run(time.Second))
 }
 
-// newWholeWorld is a settleWorld whose last store has lost its disk; the first one owns all partitions.
-func newWholeWorld(t *testing.T) *settleWorld {
-	w := newSettleWorld(t)
+// newLostDiskFixture is a termFixture whose last store has lost its disk; the first one owns all partitions.
+func newLostDiskFixture(t *testing.T) *termFixture {
+	w := newTermFixture(t)
 	w.state.Retirements, w.state.Stores[2].Leaving = nil, false
 	w.state.Stores[2].Whole = false
 	for _, ownership := range w.state.Partitions {
@@ -120,15 +120,15 @@
 	return w
 }
 
-// isWhole renews all stores for a time, and reports whether the lost disk counts as made up for.
-func (w *settleWorld) isWhole(length time.Duration) bool {
+// isWhole renews all stores for a time, and reports whether the store with the lost disk counts as whole.
+func (w *termFixture) isWhole(length time.Duration) bool {
 	const step = 100 * time.Millisecond
 	for end := w.now.Add(length); w.now.Before(end); w.now = w.now.Add(step) {
 		for _, request := range w.requests {
 			w.term.renewStore(w.state, request, w.now)
 		}
 		next := copyTable(w.state)
-		w.term.restoreWhole(w.state, next, w.now)
+		w.term.markRestoredStores(w.state, next, w.now)
 		if findStore(next.stores, "store-2").Whole {
 			return true
 		}
@@ -136,18 +136,18 @@
 	return false
 }
 
-// A disk that replaces a lost one is not whole while a holder tells of copies that their owner may not know.
+// A disk that replaces a lost one is not whole while a store reports copies that their owner may not know of.
 func TestDiskIsNotWholeWhileAHolderTellsOfUnknownCopies(t *testing.T) {
-	w := newWholeWorld(t)
+	w := newLostDiskFixture(t)
 	w.requests[1].UnderCopied = 2
 	must.False(t, w.isWhole(3*time.Second))
 	w.requests[1].UnderCopied = 0
 	must.True(t, w.isWhole(2*time.Second))
 }
 
-// Those that were begun to be placed under a table with the new disk have no copy on the lost one.
+// Messages whose placement began under a map with the new disk have no copy on the lost one.
 func TestDiskIsNotWholeWhileCopiesOfBeforeItsTableAreUnconfirmed(t *testing.T) {
-	w := newWholeWorld(t)
+	w := newLostDiskFixture(t)
 	w.requests[1].UnderCopied, w.requests[1].Unconfirmed = 2, 2
 	for _, earlier := range []uint64{4, 0} {
 		w.requests[1].UnconfirmedUnder = earlier
@@ -157,34 +157,34 @@
 	must.True(t, w.isWhole(2*time.Second))
 }
 
-// A store that is away for long is given up once owners know the copies that were begun to be placed before it was known to be leaving.
+// A silent store is removed once the owners know of the copies whose placement began before the map marked it as leaving.
 func TestSilentStoreIsGivenUpBesideLaterCopies(t *testing.T) {
 	for _, placedUnder := range []uint64{4, 5} {
-		w := newSettleWorld(t)
+		w := newTermFixture(t)
 		w.state.Retirements = nil
-		w.state.Stores[2].Leaving = true // as an earlier look has left it
+		w.state.Stores[2].Leaving = true // as an earlier plan has left it
 		w.requests[0].MapVersion, w.requests[1].MapVersion = 5, 5
 		w.requests[1].UnderCopied, w.requests[1].Unconfirmed, w.requests[1].UnconfirmedUnder = 1, 1, placedUnder
 		w.requests = w.requests[:2]
 		w.now = w.now.Add(time.Minute) // the lease of the silent store has ended
-		given := false
+		removed := false
 		for range 50 {
 			w.now = w.now.Add(100 * time.Millisecond)
 			for _, request := range w.requests {
 				w.term.renewStore(w.state, request, w.now)
 			}
 			next := copyTable(w.state)
-			w.term.giveUpSilent(w.state, next, modelCopies, w.now)
-			given = given || findStore(next.stores, "store-2").Address == ""
+			w.term.removeSilentStores(w.state, next, modelCopies, w.now)
+			removed = removed || findStore(next.stores, "store-2").Address == ""
 		}
-		must.EqOp(t, placedUnder == 5, given)
+		must.EqOp(t, placedUnder == 5, removed)
 	}
 }
 
-// What a disk may have lost was begun under tables before the first one that names its successor.
-func TestTableThatNamesADisk(t *testing.T) {
+// The copies that a lost disk may have held were placed under maps before the first one that contains its successor.
+func TestFirstMapWithDisk(t *testing.T) {
 	state := &rpc.ControlState{MapVersion: 5, Stores: []*rpc.StoreMember{{Node: "store-0", Disk: "disk-0"}}}
-	must.EqOp(t, 5, tableWithDisk(state, &rpc.StoreMember{Node: "store-0", Disk: "disk-0"}))
-	must.EqOp(t, 6, tableWithDisk(state, &rpc.StoreMember{Node: "store-0", Disk: "disk-1"}))
-	must.EqOp(t, 6, tableWithDisk(state, &rpc.StoreMember{Node: "store-1", Disk: "disk-2"}))
+	must.EqOp(t, 5, firstMapWithDisk(state, &rpc.StoreMember{Node: "store-0", Disk: "disk-0"}))
+	must.EqOp(t, 6, firstMapWithDisk(state, &rpc.StoreMember{Node: "store-0", Disk: "disk-1"}))
+	must.EqOp(t, 6, firstMapWithDisk(state, &rpc.StoreMember{Node: "store-1", Disk: "disk-2"}))
 }
--- a/internal/controlplane/slope_bench_test.go
+++ b/internal/controlplane/scaling_bench_test.go
@@ -11,19 +11,19 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// slopeMachines are sizes of a fleet, of which one machine in darkStoreShare is a store.
-var slopeMachines = []int{30, 300, 3000}
+// scalingMachines are fleet sizes. One machine in membersPerStore is a store.
+var scalingMachines = []int{30, 300, 3000}
 
 const (
-	slopeCopies  = 3
-	slopeWorkers = 2 // listed for each machine
+	scalingCopies  = 3
+	scalingWorkers = 2 // for each machine
 )
 
-// slopeState is the replicated state of a fleet whose stores own the partitions in turn.
-func slopeState(machines int) *rpc.ControlState {
+// scalingState returns the replicated state of a fleet whose stores own the partitions in turn.
+func scalingState(machines int) *rpc.ControlState {
 	state := &rpc.ControlState{MapVersion: 1}
-	stores := machines / darkStoreShare
-	random := rand.New(rand.NewPCG(1, 1)) // what compresses no better than in service
+	stores := machines / membersPerStore
+	random := rand.New(rand.NewPCG(1, 1)) // random names compress as badly as real ones
 	for number := range stores {
 		renewal := budgetRenewal(number, roleStore)
 		renewal.Incarnation, renewal.Disk = fmt.Sprintf("%016x", random.Uint64()), fmt.Sprintf("%016x", random.Uint64())
@@ -37,11 +37,11 @@
 	return state
 }
 
-// slopeList is a platform's list of workers, of which the last one has another capacity where changed.
-func slopeList(machines int, changed bool) *rpc.WorkerList {
+// scalingList returns a list of workers. If changed, the last one has another capacity.
+func scalingList(machines int, changed bool) *rpc.WorkerList {
 	list := &rpc.WorkerList{Epoch: 1, Version: 1}
 	random := rand.New(rand.NewPCG(1, 2))
-	for number := range slopeWorkers * machines {
+	for number := range scalingWorkers * machines {
 		list.Workers = append(list.Workers, &rpc.Worker{Id: fmt.Sprintf("i-%08x", random.Uint32()), Service: "service",
 			Address: fmt.Sprintf("10.0.%d.%d:8080", number>>8, number&0xff), Capacity: 8})
 	}
@@ -52,17 +52,17 @@
 	return list
 }
 
-// BenchmarkFleetSlopes is what grows with the machines of a fleet: the bytes of what one newcomer needs and of a change, the time to encode
-// a table, and the time in which the leader takes the renewals of all.
+// BenchmarkFleetSlopes measures what grows with the size of a fleet: the bytes that a new member needs, the bytes of a change, the time to
+// encode a map, and the time in which the leader handles the renewals of all members.
 func BenchmarkFleetSlopes(b *testing.B) {
-	for _, machines := range slopeMachines {
-		state, list := slopeState(machines), slopeList(machines, false)
-		change := workersPart(list, slopeList(machines, true)).Delta
+	for _, machines := range scalingMachines {
+		state, list := scalingState(machines), scalingList(machines, false)
+		change := workersPart(list, scalingList(machines, true)).Delta
 		b.Run(fmt.Sprintf("table/%d", machines), func(b *testing.B) {
 			for b.Loop() {
-				mapPart(state, slopeCopies)
+				mapPart(state, scalingCopies)
 			}
-			b.ReportMetric(float64(len(mapPart(state, slopeCopies).Data)), "table-B")
+			b.ReportMetric(float64(len(mapPart(state, scalingCopies).Data)), "table-B")
 			b.ReportMetric(float64(len(workersPart(nil, list).Data)), "list-B")
 			b.ReportMetric(float64(len(change)), "list-change-B")
 		})
--- a/internal/controlplane/service.go
+++ b/internal/controlplane/service.go
@@ -9,16 +9,16 @@
 	"foldlb.example/foldlb/internal/rpc"
 )
 
-// Roles of members, as renewals name them.
+// Roles of members in RenewRequest.Role.
 const (
 	roleStore      = "store"
 	roleDispatcher = "dispatcher"
 )
 
-// releaseTimeout bounds the wait of a caller for the new table.
+// releaseTimeout bounds the wait of a Release call for the new map to be committed.
 const releaseTimeout = time.Second
 
-// service is the Control service of this process.
+// service implements rpc.Control on a Server.
 type service struct {
 	server *Server
 }
@@ -55,13 +55,13 @@
 // Join implements rpc.Control.
 func (s *service) Join(_ context.Context, request *rpc.JoinRequest) (*rpc.JoinReply, error) {
 	server := s.server
-	server.calls.joins.Add(1)
+	server.callCounts.joins.Add(1)
 	leading := server.state.leading()
 	switch {
 	case leading:
-		server.peers.note(request, time.Now())
+		server.peers.record(request, time.Now())
 	case request.Leads:
-		server.learnLeader(request.Address)
+		server.setLeaderHint(request.Address)
 	}
 	return &rpc.JoinReply{
 		Leader:        leading,
@@ -73,14 +73,14 @@
 // Renew implements rpc.Control.
 func (s *service) Renew(_ context.Context, request *rpc.RenewRequest) (*rpc.RenewReply, error) {
 	server := s.server
-	server.calls.renewals.Add(1)
+	server.callCounts.renewals.Add(1)
 	term := server.currentTerm()
 	outcome := renewal{}
 	if term != nil && server.state.leading() {
 		outcome = server.renew(term, request)
 	}
-	// The lease is looked at again after the grant was counted and the version read: a later leader begins after it has ended, so until
-	// now nobody else has acknowledged a configuration.
+	// The leader's lease is checked again after the grant was recorded and the version was read: a later leader starts
+	// only after this lease has ended, so no other process has acknowledged a configuration until now.
 	newest := server.state.committed().ConfigVersion
 	leading := server.state.leading()
 	reply := &rpc.RenewReply{
@@ -96,7 +96,7 @@
 		reply.ConfigVersion = newest
 	}
 	if reply.Granted {
-		reply.LeaseMs = outcome.length.Milliseconds()
+		reply.LeaseMs = outcome.duration.Milliseconds()
 	}
 	return reply, nil
 }
@@ -106,19 +106,19 @@
 	switch request.Role {
 	case roleStore:
 		outcome := t.renewStore(s.state.committed(), request, now)
-		if outcome.wake {
+		if outcome.notifyPlanner {
 			s.wakePlanner()
 		}
 		return outcome
 	case roleDispatcher:
 		t.renewDispatcher(request, now)
-		return renewal{granted: true, length: s.storeLease}
+		return renewal{granted: true, duration: s.storeLease}
 	default:
 		return renewal{}
 	}
 }
 
-// Release implements rpc.Control. It answers once the new table is committed.
+// Release implements rpc.Control. It replies once the new map is committed, or with Ok unset after releaseTimeout.
 func (s *service) Release(ctx context.Context, request *rpc.ReleaseRequest) (*rpc.ReleaseReply, error) {
 	term := s.server.currentTerm()
 	if term == nil || !s.server.state.leading() {
--- a/internal/controlplane/sim_links_test.go
+++ b/internal/controlplane/sim_links_test.go
@@ -7,60 +7,60 @@
 )
 
 const (
-	linkWindow    = 64 << 10 // bytes of one connection that wait on a link at a time
-	callOverhead  = 400      // bytes of the heads of a call or an answer
-	replicatePath = "/Replicate"
+	linkWindowBytes   = 64 << 10 // bytes of one connection that may be queued on a link
+	callOverheadBytes = 400      // bytes of the headers of a request or response
+	replicatePath     = "/Replicate"
 )
 
-// simLinks are the links of machines: all that a machine sends leaves one after the other, at one rate.
+// simLinks are the outgoing links of machines. Everything that a machine sends is queued on its link and sent at one rate.
 type simLinks struct {
-	rate float64 // bytes a second
+	rate float64 // bytes per second
 
 	mutex         sync.Mutex
-	free          map[string]time.Time // when a link has sent all that it was given, by address
+	idleFrom      map[string]time.Time // by address: when the link has sent everything that is queued
 	streamed      int                  // bytes of all streams
-	heartbeatWait time.Duration        // the longest that a heartbeat or its answer waited for what was before it
+	heartbeatWait time.Duration        // longest time that a heartbeat or its response was queued
 }
 
 func newSimLinks(rate float64) *simLinks {
-	return &simLinks{rate: rate, free: map[string]time.Time{}}
+	return &simLinks{rate: rate, idleFrom: map[string]time.Time{}}
 }
 
-// send returns once bytes have left a machine.
+// send returns once the given number of bytes has been sent.
 func (l *simLinks) send(from, path string, length int) {
 	if l == nil {
 		return
 	}
-	for length += callOverhead; length > 0; length -= linkWindow {
-		time.Sleep(l.put(from, path, min(length, linkWindow)))
+	for length += callOverheadBytes; length > 0; length -= linkWindowBytes {
+		time.Sleep(l.enqueue(from, path, min(length, linkWindowBytes)))
 	}
 }
 
-// put puts bytes on a link and returns when they will have left.
-func (l *simLinks) put(from, path string, length int) time.Duration {
+// enqueue queues bytes on a link and returns the time until they are sent.
+func (l *simLinks) enqueue(from, path string, length int) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := time.Now()
-	waits := max(l.free[from].Sub(now), 0)
+	waits := max(l.idleFrom[from].Sub(now), 0)
 	if strings.HasSuffix(path, replicatePath) {
 		l.heartbeatWait = max(l.heartbeatWait, waits)
 	}
 	left := waits + time.Duration(float64(length)/l.rate*float64(time.Second))
-	l.free[from] = now.Add(left)
+	l.idleFrom[from] = now.Add(left)
 	if path == streamPath {
 		l.streamed += length
 	}
 	return left
 }
 
-// streamedBytes returns what all streams have sent.
+// streamedBytes returns the number of bytes sent on all streams.
 func (l *simLinks) streamedBytes() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.streamed
 }
 
-// longestHeartbeatWait returns the longest wait since it was asked last.
+// longestHeartbeatWait returns the longest queueing time of a heartbeat since the previous call.
 func (l *simLinks) longestHeartbeatWait() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/controlplane/sim_operator_test.go
+++ b/internal/controlplane/sim_operator_test.go
@@ -15,40 +15,40 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// simCall is one call of an operator, repeated until it has a clear answer.
+// simCall is one call of an operator, repeated until it has a definite outcome.
 type simCall struct {
 	read      bool
-	order     int // number of the order, from 1
+	request   int // number of the change request, from 1
 	ifVersion uint64
-	version   uint64 // that the order gives
+	version   uint64 // version that the request sets
 }
 
-// simOutcome is what the operator learnt.
+// simOutcome is the outcome as the operator knows it.
 type simOutcome struct {
-	status  int    // 0 where no clear answer came
-	version uint64 // read
-	order   int    // whose configuration was read
+	status  int    // 0 if there was no definite outcome
+	version uint64 // version that was read
+	request int    // number of the request whose configuration was read
 }
 
-// simState is the configuration as the model of the history has it.
+// simState is the configuration in the model of the history.
 type simState struct {
 	version uint64
-	order   int
-	taken   string // orders, each between commas
+	request int
+	applied string // numbers of the applied requests, each enclosed in commas
 }
 
-func (s simState) hasTaken(order int) bool {
-	return strings.Contains(s.taken, fmt.Sprintf(",%d,", order))
+func (s simState) hasApplied(request int) bool {
+	return strings.Contains(s.applied, fmt.Sprintf(",%d,", request))
 }
 
-func (s simState) take(call simCall) simState {
-	if s.taken == "" {
-		s.taken = ","
+func (s simState) apply(call simCall) simState {
+	if s.applied == "" {
+		s.applied = ","
 	}
-	return simState{version: call.version, order: call.order, taken: s.taken + strconv.Itoa(call.order) + ","}
+	return simState{version: call.version, request: call.request, applied: s.applied + strconv.Itoa(call.request) + ","}
 }
 
-// configModel is a register with compare-and-set that knows orders again.
+// configModel is a register with compare-and-set that recognizes repeated requests.
 var configModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{simState{}} },
 	Step: func(state, input, output any) []any {
@@ -56,27 +56,27 @@
 	},
 }).ToModel()
 
-// stepConfig returns the states that may follow a call with its outcome; none where it contradicts the state.
+// stepConfig returns the possible states after a call with a given outcome; none if the outcome contradicts the state.
 func stepConfig(state simState, call simCall, outcome simOutcome) []any {
 	if call.read {
-		isSame := outcome.status == http.StatusOK && outcome.version == state.version && outcome.order == state.order
+		isSame := outcome.status == http.StatusOK && outcome.version == state.version && outcome.request == state.request
 		isNone := outcome.status == http.StatusNotFound && state.version == 0
 		if isSame || isNone || outcome.status == 0 {
 			return []any{state}
 		}
 		return nil
 	}
-	mayTake := !state.hasTaken(call.order) && state.version == call.ifVersion && call.version > state.version
+	mayApply := !state.hasApplied(call.request) && state.version == call.ifVersion && call.version > state.version
 	switch {
-	case outcome.status == 0 && mayTake:
-		return []any{state, state.take(call)}
+	case outcome.status == 0 && mayApply:
+		return []any{state, state.apply(call)}
 	case outcome.status == 0:
 		return []any{state}
-	case outcome.status == http.StatusOK && state.hasTaken(call.order):
+	case outcome.status == http.StatusOK && state.hasApplied(call.request):
 		return []any{state}
-	case outcome.status == http.StatusOK && mayTake:
-		return []any{state.take(call)}
-	case outcome.status == http.StatusPreconditionFailed && !state.hasTaken(call.order) && state.version != call.ifVersion:
+	case outcome.status == http.StatusOK && mayApply:
+		return []any{state.apply(call)}
+	case outcome.status == http.StatusPreconditionFailed && !state.hasApplied(call.request) && state.version != call.ifVersion:
 		return []any{state}
 	}
 	return nil
@@ -86,24 +86,24 @@
 type simHistory struct {
 	mutex      sync.Mutex
 	operations []porcupine.Operation
-	orders     int
+	requests   int
 	confirmed  int
 	refused    int
 	reads      int
 	repeats    int
 	newest     uint64        // highest version that was confirmed or read
-	confirms   int           // renewals that a leader answered
+	confirms   int           // renewals that a leader replied to
 	retired    time.Duration // when a retirement was first confirmed; 0 for never
 	violation  string
 }
 
-// record adds a call that began at a moment and has its outcome now.
+// record adds a call with its start, end and outcome.
 func (h *simHistory) record(client int, call simCall, outcome simOutcome, began, ended time.Duration) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	returned := ended.Nanoseconds()
 	if outcome.status == 0 {
-		returned = math.MaxInt64 // it may take effect at any time after its begin, or never
+		returned = math.MaxInt64 // it may take effect at any time after its start, or never
 		if call.read {
 			return
 		}
@@ -132,17 +132,17 @@
 	}
 }
 
-// simOperator sends orders and reads.
+// simOperator sends change requests and reads.
 type simOperator struct {
 	network *simNetwork
 	history *simHistory
 	number  int
-	known   uint64 // version
-	sent    []sentOrder
+	known   uint64 // latest version that it knows
+	sent    []sentRequest
 }
 
-// sentOrder is an order that was confirmed and may be sent again.
-type sentOrder struct {
+// sentRequest is a change request that was confirmed and may be sent again.
+type sentRequest struct {
 	call simCall
 	body string
 }
@@ -152,7 +152,7 @@
 	simTries       = 30
 )
 
-// run works until the simulation ends.
+// run sends random calls until the simulation ends.
 func (o *simOperator) run() {
 	for !o.isOver() {
 		switch o.network.intN(8) {
@@ -163,7 +163,7 @@
 		case 4:
 			o.retire()
 		default:
-			o.order()
+			o.request()
 		}
 		time.Sleep(o.network.between(10*time.Millisecond, 700*time.Millisecond))
 	}
@@ -180,18 +180,19 @@
 
 func (o *simOperator) now() time.Duration { return time.Since(o.network.started) }
 
-// order builds on the version that this operator knows. Another one may give the same number to another configuration.
-func (o *simOperator) order() {
+// request sends a change based on the version that this operator knows. Another operator may use the same version for
+// another configuration.
+func (o *simOperator) request() {
 	o.history.mutex.Lock()
-	o.history.orders++
-	number := o.history.orders
+	o.history.requests++
+	number := o.history.requests
 	o.history.mutex.Unlock()
-	call := simCall{order: number, ifVersion: o.known, version: o.known + 1 + uint64(o.network.intN(2))}
+	call := simCall{request: number, ifVersion: o.known, version: o.known + 1 + uint64(o.network.intN(2))}
 	body := configWith(int(call.version), fmt.Sprintf("order-%d", number))
 	o.send(call, body)
 }
 
-// repeat sends an order again that was confirmed before, after whatever came since.
+// repeat sends a confirmed change request again, regardless of later changes.
 func (o *simOperator) repeat() {
 	if len(o.sent) == 0 {
 		return
@@ -205,36 +206,36 @@
 
 func (o *simOperator) send(call simCall, body string) {
 	began := o.now()
-	answer := o.untilClear(http.MethodPost, replacePath, strconv.FormatUint(call.ifVersion, 10), body)
+	answer := o.callUntilDefinite(http.MethodPost, replacePath, strconv.FormatUint(call.ifVersion, 10), body)
 	outcome := simOutcome{status: answer.status}
 	o.history.record(o.number, call, outcome, began, o.now())
 	switch answer.status {
 	case http.StatusOK:
 		o.known = max(o.known, call.version)
-		o.sent = append(o.sent, sentOrder{call: call, body: body})
+		o.sent = append(o.sent, sentRequest{call: call, body: body})
 	case http.StatusPreconditionFailed:
 		o.read()
 	case 0:
 	default:
-		o.history.violate("order %d got %d: %s", call.order, answer.status, answer.body)
+		o.history.violate("request %d got %d: %s", call.request, answer.status, answer.body)
 	}
 }
 
-// read reads the configuration, and reports whether a clear answer came.
+// read reads the configuration, and reports whether there was a definite outcome.
 func (o *simOperator) read() bool {
 	began := o.now()
-	answer := o.untilClear(http.MethodGet, readPath, "", "")
+	answer := o.callUntilDefinite(http.MethodGet, readPath, "", "")
 	outcome := simOutcome{status: answer.status}
 	if answer.status == http.StatusOK {
-		outcome.version, outcome.order = readBack(answer.body)
+		outcome.version, outcome.request = readBack(answer.body)
 		o.known = outcome.version
 	}
 	o.history.record(o.number, simCall{read: true}, outcome, began, o.now())
 	return answer.status != 0
 }
 
-// readBack returns the version of a configuration, and the order that its only route names.
-func readBack(body string) (version uint64, order int) {
+// readBack returns the version of a configuration, and the number of the request that its only route names.
+func readBack(body string) (version uint64, request int) {
 	var config struct {
 		Version uint64
 		Routes  []struct{ Name string }
@@ -245,18 +246,18 @@
 	if len(config.Routes) != 1 {
 		return config.Version, -1
 	}
-	order, err := strconv.Atoi(strings.TrimPrefix(config.Routes[0].Name, "order-"))
+	request, err := strconv.Atoi(strings.TrimPrefix(config.Routes[0].Name, "order-"))
 	if err != nil {
 		return config.Version, -1
 	}
-	return config.Version, order
+	return config.Version, request
 }
 
-// retire orders a retirement, or reads it: once it was confirmed, nobody is told that there is none.
+// retire starts a retirement or reads it: after a start was confirmed, no read may return that there is none.
 func (o *simOperator) retire() {
 	began := o.now()
 	if o.network.chance(0.3) {
-		answer := o.untilClear(http.MethodPost, "/api/retire/store-0/start", "", `{"deadlineS":10}`)
+		answer := o.callUntilDefinite(http.MethodPost, "/api/retire/store-0/start", "", `{"deadlineS":10}`)
 		o.history.mutex.Lock()
 		if answer.status == http.StatusOK && o.history.retired == 0 {
 			o.history.retired = o.now()
@@ -264,7 +265,7 @@
 		o.history.mutex.Unlock()
 		return
 	}
-	answer := o.untilClear(http.MethodGet, "/api/retire/store-0/read", "", "")
+	answer := o.callUntilDefinite(http.MethodGet, "/api/retire/store-0/read", "", "")
 	o.history.mutex.Lock()
 	retired := o.history.retired
 	o.history.mutex.Unlock()
@@ -273,11 +274,11 @@
 	}
 }
 
-// untilClear calls one process after the other until one answers clearly. Redirects are followed twice.
-func (o *simOperator) untilClear(method, path, ifVersion, body string) answerOf {
+// callUntilDefinite calls random processes until one returns a definite outcome. It follows up to two redirects.
+func (o *simOperator) callUntilDefinite(method, path, ifVersion, body string) apiResponse {
 	pause := 50 * time.Millisecond
 	for range simTries {
-		servers := o.network.list()
+		servers := o.network.allServers()
 		address := servers[o.network.intN(len(servers))].address
 		answer := o.call(address, method, path, ifVersion, body, 2)
 		if answer.status != 0 && answer.status < http.StatusInternalServerError {
@@ -289,10 +290,10 @@
 		time.Sleep(pause)
 		pause = min(2*pause, time.Second)
 	}
-	return answerOf{}
+	return apiResponse{}
 }
 
-func (o *simOperator) call(address, method, path, ifVersion, body string, redirects int) answerOf {
+func (o *simOperator) call(address, method, path, ifVersion, body string, redirects int) apiResponse {
 	ctx, cancel := context.WithTimeout(context.Background(), simCallTimeout+2*o.network.transferTime(len(body)))
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, strings.NewReader(body))
@@ -304,15 +305,15 @@
 	}
 	response, err := o.network.carry("operator", nil, request)
 	if err != nil {
-		return answerOf{}
+		return apiResponse{}
 	}
 	content, _ := io.ReadAll(response.Body)
 	if response.StatusCode == http.StatusTemporaryRedirect {
 		if redirects == 0 {
-			return answerOf{}
+			return apiResponse{}
 		}
 		next := strings.TrimPrefix(response.Header.Get(headerLocation), "http://")
 		return o.call(strings.SplitN(next, "/", 2)[0], method, path, ifVersion, body, redirects-1)
 	}
-	return answerOf{status: response.StatusCode, body: string(content)}
+	return apiResponse{status: response.StatusCode, body: string(content)}
 }
--- a/internal/controlplane/unconfirmed_test.go
+++ b/internal/controlplane/unconfirmed_test.go
@@ -17,13 +17,13 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// cutOffNode is a leader that a majority no longer answers. Its state may be older than the newest.
+// cutOffNode is the node of a leader that no longer reaches a majority. Its state may be outdated.
 type cutOffNode struct {
 	node
 	state      *rpc.ControlState
-	reads      error // of a read, and of a proposal that makes no new version; nil once a majority answers
-	leaseEnded bool  // by the time of the answer
-	asked      int   // reads, and proposals without a new version
+	readErr    error // of reads, and of proposals that change nothing; nil if a majority responds
+	leaseEnded bool  // the lease is valid only until the first call
+	calls      int   // number of reads and proposals
 }
 
 func (n *cutOffNode) Status() failover.Status {
@@ -34,20 +34,20 @@
 	return failover.Status{Leader: true, LeaderAddress: "10.0.0.1:1", StateEpoch: 1, StateSeq: 1, State: encoded}
 }
 
-// LeaseValid holds until something was asked, so that a handler begins.
-func (n *cutOffNode) LeaseValid() bool { return !n.leaseEnded || n.asked == 0 }
+// LeaseValid returns true until the first read or proposal, so that the handler starts.
+func (n *cutOffNode) LeaseValid() bool { return !n.leaseEnded || n.calls == 0 }
 
 func (n *cutOffNode) Read(context.Context) error {
-	n.asked++
-	return n.reads
+	n.calls++
+	return n.readErr
 }
 
 func (n *cutOffNode) Propose(_ context.Context, change func([]byte) ([]byte, error)) error {
-	n.asked++
+	n.calls++
 	before := n.Status().State
 	after, err := change(before)
-	if n.reads != nil {
-		return n.reads
+	if n.readErr != nil {
+		return n.readErr
 	}
 	if err == nil && string(after) != string(before) {
 		return failover.OutcomeUnknownError{Reason: "no majority"}
@@ -55,8 +55,8 @@
 	return err
 }
 
-// clearAnswers are calls that a leader in touch answers clearly on the state that serverOn gives it.
-var clearAnswers = []struct {
+// definiteResponses are calls to which a leader with a majority gives a definite response on the state that serverOn sets.
+var definiteResponses = []struct {
 	name, method, path, ifVersion, body string
 	status                              int
 }{
@@ -71,16 +71,16 @@
 	{"retirement never ordered", http.MethodGet, "/api/retire/store-1/read", "", "", http.StatusNotFound},
 }
 
-// serverOn returns a server on a stand-in for its node, which holds a configuration and a retirement.
+// serverOn returns a server with the given node, whose state contains a configuration and a retirement.
 func serverOn(t *testing.T, n *cutOffNode) *Server {
-	taken := newConfigOrder(orderReplace, 0, []byte(configWith(5, "a")))
+	taken := newConfigRequest(requestReplace, 0, []byte(configWith(5, "a")))
 	n.state = &rpc.ControlState{
 		ConfigVersion: 5,
 		Config:        taken.body,
 		Stores:        []*rpc.StoreMember{{Node: "store-0", Leaving: true, Whole: true, Address: "a"}, {Node: "store-1", Whole: true, Address: "b"}},
 		Retirements:   []*rpc.Retirement{{Node: "store-0"}},
 	}
-	recordTaken(n.state, taken.digest)
+	recordApplied(n.state, taken.digest)
 	server, err := New(Options{Log: logr.Discard(), Settings: &settings.Settings{
 		Listen: settings.Listen{Control: "10.0.0.1:1"}, FaultTolerance: settings.FaultTolerance{Machines: 1},
 	}})
@@ -90,54 +90,54 @@
 	return server
 }
 
-func TestLeaderInTouchAnswersClearly(t *testing.T) {
-	for _, called := range clearAnswers {
+func TestLeaderWithMajorityRespondsDefinitely(t *testing.T) {
+	for _, called := range definiteResponses {
 		server := serverOn(t, &cutOffNode{})
 		must.EqOp(t, called.status, statusOf(server, called.method, called.path, called.ifVersion, called.body), must.Sprint(called.name))
 	}
 }
 
-// TestNothingIsAnsweredThatNoMajorityConfirmed has the lease hold, while nobody answers the round of heartbeats.
+// TestNothingIsAnsweredThatNoMajorityConfirmed keeps the lease valid while no majority confirms the leadership.
 func TestNothingIsAnsweredThatNoMajorityConfirmed(t *testing.T) {
-	for _, reads := range []error{context.DeadlineExceeded, errors.New("overloaded")} {
-		for _, called := range clearAnswers {
-			server := serverOn(t, &cutOffNode{reads: reads})
+	for _, readErr := range []error{context.DeadlineExceeded, errors.New("overloaded")} {
+		for _, called := range definiteResponses {
+			server := serverOn(t, &cutOffNode{readErr: readErr})
 			status := statusOf(server, called.method, called.path, called.ifVersion, called.body)
 			must.GreaterEq(t, http.StatusInternalServerError, status, must.Sprint(called.name))
 		}
 	}
 }
 
-// TestNothingIsAnsweredOnceTheLeaseHasEnded has a majority confirm, and the lease end before the answer.
+// TestNothingIsAnsweredOnceTheLeaseHasEnded has a majority confirm, but the lease end before the response.
 func TestNothingIsAnsweredOnceTheLeaseHasEnded(t *testing.T) {
-	for _, called := range clearAnswers {
+	for _, called := range definiteResponses {
 		server := serverOn(t, &cutOffNode{leaseEnded: true})
 		status := statusOf(server, called.method, called.path, called.ifVersion, called.body)
 		must.GreaterEq(t, http.StatusInternalServerError, status, must.Sprint(called.name))
 	}
 }
 
-// TestOldOrderThatMayBeForgottenIsNotRefused has so many orders taken after one that its digest is dropped.
-func TestOldOrderThatMayBeForgottenIsNotRefused(t *testing.T) {
+// TestRequestWithDroppedDigestIsNotRejected applies so many requests after one that its digest is dropped.
+func TestRequestWithDroppedDigestIsNotRejected(t *testing.T) {
 	n := &cutOffNode{}
 	server := serverOn(t, n)
-	first := newConfigOrder(orderReplace, 0, []byte(configWith(5, "a")))
-	for version := range uint64(maxTaken) {
+	first := newConfigRequest(requestReplace, 0, []byte(configWith(5, "a")))
+	for version := range uint64(maxAppliedDigests) {
 		n.state.ConfigVersion = 6 + version
-		recordTaken(n.state, newConfigOrder(orderReplace, 5+version, []byte("{}")).digest)
+		recordApplied(n.state, newConfigRequest(requestReplace, 5+version, []byte("{}")).digest)
 	}
-	must.False(t, wasTaken(n.state, first.digest))
+	must.False(t, wasApplied(n.state, first.digest))
 	must.GreaterEq(t, http.StatusInternalServerError, statusOf(server, http.MethodPost, replacePath, "0", string(first.body)))
 	recent := n.state.ConfigVersion - 1
 	must.EqOp(t, http.StatusPreconditionFailed,
 		statusOf(server, http.MethodPost, replacePath, "2000", configWith(int(recent)+9, "z")))
 }
 
-// TestDigestsOfOlderStatesAreKnown reads a state whose digests are whole.
+// TestDigestsOfOlderStatesAreKnown uses a state with untruncated digests, as earlier versions stored them.
 func TestDigestsOfOlderStatesAreKnown(t *testing.T) {
-	order := newConfigOrder(orderReplace, 0, []byte("{}"))
+	order := newConfigRequest(requestReplace, 0, []byte("{}"))
 	state := &rpc.ControlState{Taken: []*rpc.Taken{{Digest: append(append([]byte{}, order.digest...), 1, 2, 3)}}}
-	must.True(t, wasTaken(state, order.digest))
+	must.True(t, wasApplied(state, order.digest))
 }
 
 func statusOf(server *Server, method, path, ifVersion, body string) int {
