--- a/cmd/foldlb/auditcmd.go
+++ b/cmd/foldlb/auditcmd.go
@@ -83,7 +83,7 @@
 func lags(all []membership.Member, now float64) []lag {
 	out := make([]lag, len(all))
 	for i, m := range all {
-		if m.Over() {
+		if m.Departed() {
 			continue
 		}
 		l := &out[i]
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -246,7 +246,7 @@
 		return
 	}
 	// Danger: gossip goes on only for as long as this process does, so some are told directly.
-	text, err := pack(p.Told())
+	text, err := pack(p.SyncRecords())
 	told := 0
 	for _, m := range list.Members() {
 		if process, ok := processOf(m.Name); err == nil && ok && process != n.process && told < leaveTo {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -57,11 +57,11 @@
 	case core.FleetTold:
 		b.view.Merge(seconds(), ev.Records)
 	case core.FleetLooked:
-		b.view.Look(seconds(), ev.Sight)
+		b.view.UpdateReachability(seconds(), ev.Sight)
 	case core.FleetRefused:
-		b.view.Refused(seconds(), ev.Process)
+		b.view.ConnectionRefused(seconds(), ev.Process)
 	case core.FleetFloored:
-		b.view.TakeFloors(seconds(), ev.Floors)
+		b.view.MergeFloors(seconds(), ev.Floors)
 	case core.FleetContacted:
 		b.view.Contact(seconds(), ev.Contact)
 	case core.FleetHinted:
@@ -69,21 +69,21 @@
 			b.onHints(ev.Hints)
 		}
 	case core.FleetEntered:
-		b.view.Enter(seconds(), ev.State)
+		b.view.AdvanceState(seconds(), ev.State)
 	}
 	_, looked := ev.(core.FleetLooked)
 	b.tell(looked)
 }
 
 func (b *body) tell(looked bool) {
-	if floors := b.view.FloorNews(); len(floors) > 0 {
+	if floors := b.view.FloorUpdates(); len(floors) > 0 {
 		b.Perform(core.FloorsNews{Floors: floors})
 	}
-	if news := b.view.News(); len(news) > 0 {
+	if news := b.view.RecordUpdates(); len(news) > 0 {
 		b.Perform(core.FleetNews{Records: news})
 	}
-	if moved := b.view.Moved(); looked || moved {
-		b.Perform(core.FleetPictured{Picture: b.view.Picture(), Fresh: b.view.Fresh(), Hints: b.hints})
+	if moved := b.view.ChangedSincePicture(); looked || moved {
+		b.Perform(core.FleetPictured{Picture: b.view.Picture(), Fresh: b.view.NewChanges(), Hints: b.hints})
 	}
 }
 
@@ -357,11 +357,11 @@
 		if _, err := membership.Import(v.Export()); err != nil {
 			t.Fatalf("what was taken in can't be written down: %v", err)
 		}
-		told, err := pack(v.Told())
+		told, err := pack(v.SyncRecords())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if again, err := unpack(told); err != nil || len(again.Records) != len(v.Told()) {
+		if again, err := unpack(told); err != nil || len(again.Records) != len(v.SyncRecords()) {
 			t.Fatalf("what is told can't be read: %v", err)
 		}
 	})
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -36,7 +36,7 @@
 }
 
 var reader = func() cbor.DecMode {
-	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: membership.MostMembers, MaxMapPairs: 64,
+	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: membership.MaxMembers, MaxMapPairs: 64,
 		MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -95,11 +95,11 @@
 		return message{}, fmt.Errorf("%w: %w", ErrNews, err)
 	}
 	for i, h := range p.Hints {
-		if h.Worker == "" || len(h.Worker) > mostWorkerID || len(h.Source) > membership.MostSource {
+		if h.Worker == "" || len(h.Worker) > mostWorkerID || len(h.Source) > membership.MaxSourceBytes {
 			return message{}, fmt.Errorf("%w: hint %d is of no worker or source that can be", ErrNews, i)
 		}
 	}
-	if g := p.Given; g != nil && (len(g.Text) == 0 || len(g.Text) > core.MostShared || len(g.Member) > membership.MostName || len(g.Config.Source) > membership.MostSource) {
+	if g := p.Given; g != nil && (len(g.Text) == 0 || len(g.Text) > core.MostShared || len(g.Member) > membership.MaxNameBytes || len(g.Config.Source) > membership.MaxSourceBytes) {
 		return message{}, fmt.Errorf("%w: a configuration of %d bytes, 1 to %d", ErrNews, len(g.Text), core.MostShared)
 	}
 	if p.Version != protocolVersion {
--- a/internal/membership/floor.go
+++ b/internal/membership/floor.go
@@ -11,162 +11,164 @@
 	"slices"
 )
 
-// Kind is what a floor is of.
+// Kind says which of a member's versions a floor applies to.
 type Kind uint8
 
-// The kinds of versions that a floor may bound. Programs have no order of their own, so one is named.
+// The kinds of versions that a floor can bound. Programs have no order, so a program floor names the only program that is allowed.
 const (
-	OfConfig Kind = iota
-	OfRoutes
-	OfProgram
-	kinds
+	KindConfig Kind = iota
+	KindRoutes
+	KindProgram
+	numKinds
 )
 
-var kindNames = [kinds]string{"configuration", "route set", "program"}
+var kindNames = [numKinds]string{"configuration", "route set", "program"}
 
-func (k Kind) String() string { return name(kindNames[:], int(k)) }
+func (k Kind) String() string { return enumName(kindNames[:], int(k)) }
 
-// Floor says that nothing older than a version of a kind may be acted on any more. A higher one takes a lower one's place; to
-// lower it, it is withdrawn first.
+// Floor is a minimum version: members must not act on an older version of the kind. A higher floor can be announced at any time; to
+// lower a floor, withdraw it first.
 type Floor struct {
 	Kind      Kind    `cbor:"1,keyasint"`
 	No        int64   `cbor:"2,keyasint"`
-	Source    string  `cbor:"3,keyasint"` // of the number; of a program, what it is called
-	Turn      uint64  `cbor:"4,keyasint"` // counts floors of this kind
-	By        string  `cbor:"5,keyasint"` // the member that told it first
+	Source    string  `cbor:"3,keyasint"` // that assigned No; for a program, its name
+	Round     uint64  `cbor:"4,keyasint"` // increases with each floor of this kind
+	By        string  `cbor:"5,keyasint"` // name of the member that announced it
 	Why       string  `cbor:"6,keyasint,omitempty"`
-	Within    float64 `cbor:"7,keyasint"` // seconds from its telling until it is in force
-	Age       float64 `cbor:"8,keyasint"` // seconds since then, as far as whoever passes it on knows
+	Within    float64 `cbor:"7,keyasint"` // seconds from the announcement until the floor is in force
+	Age       float64 `cbor:"8,keyasint"` // seconds since the announcement, as known to the sender
 	Withdrawn bool    `cbor:"9,keyasint,omitempty"`
 }
 
-// MostWithin bounds a floor's time, in seconds.
-const MostWithin = 3600
+// MaxWithinS bounds Floor.Within, in seconds.
+const MaxWithinS = 3600
 
-// ErrFloor says that a floor can't be. Errors of Floor.Check wrap it.
+// ErrFloor reports an invalid floor. Errors of Floor.Check wrap it.
 var ErrFloor = errors.New("membership: floor refused")
 
-// Check tells whether a floor may be taken in.
+// Check returns an error that wraps ErrFloor if a field is out of its bounds.
 func (f Floor) Check() error {
 	switch {
-	case f.Kind >= kinds:
+	case f.Kind >= numKinds:
 		return fmt.Errorf("%w: kind %d", ErrFloor, f.Kind)
-	case len(f.Source) > MostSource || len(f.By) > MostName || len(f.Why) > MostWhy:
-		return fmt.Errorf("%w: words too long", ErrFloor)
-	case f.Turn == 0 || f.Turn > mostCounter || f.No < 0:
-		return fmt.Errorf("%w: turn %d, number %d", ErrFloor, f.Turn, f.No)
-	case !(f.Within >= 0 && f.Within <= MostWithin) || !(f.Age >= 0) || math.IsInf(f.Age, 0):
+	case len(f.Source) > MaxSourceBytes || len(f.By) > MaxNameBytes || len(f.Why) > MaxWhyBytes:
+		return fmt.Errorf("%w: source, member or reason too long", ErrFloor)
+	case f.Round == 0 || f.Round > maxCounter || f.No < 0:
+		return fmt.Errorf("%w: round %d, number %d", ErrFloor, f.Round, f.No)
+	case !(f.Within >= 0 && f.Within <= MaxWithinS) || !(f.Age >= 0) || math.IsInf(f.Age, 0):
 		return fmt.Errorf("%w: within %v s, %v s old", ErrFloor, f.Within, f.Age)
 	}
 	return nil
 }
 
-// Same tells whether two floors are one.
+// Same reports whether two values are the same announced floor, whatever their ages.
 func (f Floor) Same(o Floor) bool {
-	return f.Kind == o.Kind && f.Turn == o.Turn && f.By == o.By && f.No == o.No && f.Source == o.Source
+	return f.Kind == o.Kind && f.Round == o.Round && f.By == o.By && f.No == o.No && f.Source == o.Source
 }
 
-// below tells whether a version is below the floor. Versions of another source can't be compared, and are below: what is not known to be
-// new enough may not be acted on.
+// below reports whether the member's version is below the floor. Versions of different sources have no order and count as below, since
+// they are not known to be new enough.
 func (f Floor) below(r Record) bool {
-	if f.Kind == OfProgram {
+	if f.Kind == KindProgram {
 		return r.Program.Source != f.Source
 	}
 	v := r.version(f.Kind)
 	return v.Source != f.Source || v.No < f.No
 }
 
-// floor is one that is held.
+// floor is a floor with its local times, in seconds of this process's clock.
 type floor struct {
 	Floor
-	at   float64 // when it was told, on this process's clock
-	took float64 // when it came here
+	at         float64 // when it was announced
+	receivedAt float64 // when this process received it
 }
 
-// floors are those of one kind: the last withdrawal, and all floors told after it. So whatever the order in which they come, all members hold
-// the same in the end; where two cross, both count. Danger: a higher floor does not make a lower one needless, since the lower one may be
-// in force before the higher one is.
+// floors holds the floors of one kind: the last withdrawal and all floors announced after it. Members thus converge whatever the order in
+// which floors arrive; of two announced concurrently, both apply. A higher floor doesn't replace a lower one, since the lower one may be in
+// force earlier.
 type floors struct {
-	withdrawn floor // its Turn is 0 for none
-	front     []floor
+	withdrawn floor // Seq is 0 for none
+	active    []floor
 }
 
-// mostFront bounds the floors of one kind. One more is refused until they are withdrawn; of those that cross the lowest goes.
-const mostFront = 8
+// maxActiveFloors bounds the floors of one kind. Further announcements are refused until the floors are withdrawn; if concurrent
+// announcements exceed the bound, the lowest floor is dropped.
+const maxActiveFloors = 8
 
 func (s *floors) all() []floor {
-	if s.withdrawn.Turn == 0 {
-		return s.front
+	if s.withdrawn.Round == 0 {
+		return s.active
 	}
-	return append([]floor{s.withdrawn}, s.front...)
+	return append([]floor{s.withdrawn}, s.active...)
 }
 
-// take takes a floor in, and tells whether it is news.
-func (s *floors) take(f floor) bool {
-	if f.Turn <= s.withdrawn.Turn {
+// merge adds a floor and reports whether that changed the floors held.
+func (s *floors) merge(f floor) bool {
+	if f.Round <= s.withdrawn.Round {
 		return false
 	}
 	if f.Withdrawn {
 		s.withdrawn = f
-		s.front = slices.DeleteFunc(s.front, func(x floor) bool { return x.Turn <= f.Turn })
+		s.active = slices.DeleteFunc(s.active, func(x floor) bool { return x.Round <= f.Round })
 		return true
 	}
-	if slices.ContainsFunc(s.front, func(x floor) bool { return x.Same(f.Floor) }) {
+	if slices.ContainsFunc(s.active, func(x floor) bool { return x.Same(f.Floor) }) {
 		return false
 	}
-	s.front = append(s.front, f)
-	slices.SortFunc(s.front, func(a, b floor) int {
-		return cmp.Or(cmp.Compare(b.No, a.No), cmp.Compare(a.Source, b.Source), cmp.Compare(b.Turn, a.Turn), cmp.Compare(a.By, b.By))
+	s.active = append(s.active, f)
+	slices.SortFunc(s.active, func(a, b floor) int {
+		return cmp.Or(cmp.Compare(b.No, a.No), cmp.Compare(a.Source, b.Source), cmp.Compare(b.Round, a.Round), cmp.Compare(a.By, b.By))
 	})
-	if len(s.front) > mostFront {
-		lowest := s.front[mostFront]
-		s.front = s.front[:mostFront]
+	if len(s.active) > maxActiveFloors {
+		lowest := s.active[maxActiveFloors]
+		s.active = s.active[:maxActiveFloors]
 		return !lowest.Same(f.Floor)
 	}
 	return true
 }
 
-// TakeFloors takes in floors that others tell.
-func (v *View) TakeFloors(now float64, told []Floor) {
-	v.begin(now)
-	for _, f := range told {
+// MergeFloors merges floors received from other members. Invalid ones are dropped and counted.
+func (v *View) MergeFloors(now float64, received []Floor) {
+	v.beginStep(now)
+	for _, f := range received {
 		if f.Check() != nil {
 			v.dropped++
 			continue
 		}
-		v.takeFloor(f)
+		v.mergeFloor(f)
 	}
-	v.end()
+	v.finishStep()
 }
 
-func (v *View) takeFloor(f Floor) {
+func (v *View) mergeFloor(f Floor) {
 	s := v.floors[f.Kind]
 	if s == nil {
 		s = &floors{}
 		v.floors[f.Kind] = s
 	}
-	if !s.take(floor{Floor: f, at: v.now - f.Age, took: v.now}) {
+	if !s.merge(floor{Floor: f, at: v.now - f.Age, receivedAt: v.now}) {
 		return
 	}
-	v.floorNews = true // contacts stay: who answered held what was held here then, and floors only ever grow, but for withdrawals
+	v.floorsChanged = true // recorded contacts remain valid: the peers held the floors held here at that time, and only a withdrawal removes floors
 	what := fmt.Sprintf("floor: %v %d of %s within %v s", f.Kind, f.No, f.Source, f.Within)
 	if f.Withdrawn {
 		what = fmt.Sprintf("floor of the %v withdrawn", f.Kind)
 	}
-	v.note(v.self, what, fmt.Sprintf("by %s: %s", f.By, f.Why))
+	v.addHistory(v.self, what, fmt.Sprintf("by %s: %s", f.By, f.Why))
 }
 
-// TellFloor tells a floor first. It returns it as it is held, and the members that it would shut out now; where those are over half of the live members of any
-// zone, or of all, nothing is told unless it is forced.
-func (v *View) TellFloor(now float64, f Floor, force bool) (told Floor, hit []string, fault string) {
-	v.begin(now)
-	f.Turn, f.By, f.Age = 1, v.self.Name, 0
+// AnnounceFloor announces a new floor. It returns the floor as held, the names of the live members that are below it now, and the reason
+// for a refusal, empty if the floor was announced. Unless force is set, it refuses a floor that would fence over half of the live members
+// of a zone or of the fleet.
+func (v *View) AnnounceFloor(now float64, f Floor, force bool) (announced Floor, fenced []string, refusal string) {
+	v.beginStep(now)
+	f.Round, f.By, f.Age = 1, v.self.Name, 0
 	if s := v.floors[f.Kind]; s != nil {
-		if len(s.front) >= mostFront && !f.Withdrawn {
-			return f, nil, fmt.Sprintf("%d floors are held; withdraw them first", len(s.front))
+		if len(s.active) >= maxActiveFloors && !f.Withdrawn {
+			return f, nil, fmt.Sprintf("%d floors are held; withdraw them first", len(s.active))
 		}
 		for _, x := range s.all() {
-			f.Turn = max(f.Turn, x.Turn+1)
+			f.Round = max(f.Round, x.Round+1)
 			if !x.Withdrawn && !f.Withdrawn && x.Source == f.Source && x.No >= f.No {
 				return f, nil, fmt.Sprintf("a floor as high is in force: %d, by %s; withdraw it first", x.No, x.By)
 			}
@@ -176,39 +178,39 @@
 		return f, nil, err.Error()
 	}
 	if !f.Withdrawn {
-		all, out := map[string]int{}, map[string]int{}
-		for _, k := range v.keys() {
-			e := v.table[k]
+		live, out := map[string]int{}, map[string]int{}
+		for _, k := range v.memberKeys() {
+			e := v.members[k]
 			if !e.Live() {
 				continue
 			}
 			zones := []string{"zone " + e.Zone, "the fleet"}
 			below := f.below(e.Record)
 			if below {
-				hit = append(hit, e.Name)
+				fenced = append(fenced, e.Name)
 			}
 			for _, z := range zones {
-				all[z]++
+				live[z]++
 				if below {
 					out[z]++
 				}
 			}
 		}
-		for _, z := range slices.Sorted(maps.Keys(all)) {
-			if !force && 2*out[z] > all[z] {
-				return f, hit, fmt.Sprintf("it would shut out %d of %d members of %s, over half", out[z], all[z], z)
+		for _, z := range slices.Sorted(maps.Keys(live)) {
+			if !force && 2*out[z] > live[z] {
+				return f, fenced, fmt.Sprintf("it would shut out %d of %d members of %s, over half", out[z], live[z], z)
 			}
 		}
 	}
-	v.takeFloor(f)
-	v.end()
-	return f, hit, ""
+	v.mergeFloor(f)
+	v.finishStep()
+	return f, fenced, ""
 }
 
-// Floors are those held, with their ages now. Danger: an age that is of an earlier moment would put a floor in force later elsewhere.
+// Floors returns the floors held, with their ages as of now. An age computed earlier would delay the floor at the receiver.
 func (v *View) Floors(now float64) (all []Floor) {
-	v.begin(now)
-	for k := range kinds {
+	v.beginStep(now)
+	for k := range numKinds {
 		if s := v.floors[k]; s != nil {
 			for _, f := range s.all() {
 				f.Age = max(0, v.now-f.at)
@@ -220,7 +222,7 @@
 }
 
 func (v *View) heldFloors() (all []floor) {
-	for k := range kinds {
+	for k := range numKinds {
 		if s := v.floors[k]; s != nil {
 			all = append(all, s.all()...)
 		}
@@ -228,26 +230,26 @@
 	return all
 }
 
-// FloorNews returns the floors where they changed since it was last called.
-func (v *View) FloorNews() []Floor {
-	if !v.floorNews {
+// FloorUpdates returns the floors if they have changed since the last call, otherwise nil.
+func (v *View) FloorUpdates() []Floor {
+	if !v.floorsChanged {
 		return nil
 	}
-	v.floorNews = false
+	v.floorsChanged = false
 	return v.Floors(v.now)
 }
 
-// FloorDigest sums the floors up. Two members with one digest hold the same.
+// FloorDigest returns a digest of the floors held. Members with equal digests hold the same floors.
 func (v *View) FloorDigest() uint64 {
 	h := fnv.New64a()
-	for k := range kinds {
+	for k := range numKinds {
 		s := v.floors[k]
 		if s == nil {
 			continue
 		}
 		for _, f := range s.all() {
 			b := binary.AppendVarint([]byte{byte(k)}, f.No)
-			b = binary.AppendUvarint(b, f.Turn)
+			b = binary.AppendUvarint(b, f.Round)
 			if f.Withdrawn {
 				b = append(b, 1)
 			}
@@ -258,39 +260,39 @@
 	return h.Sum64()
 }
 
-// Contact is a member's answer to a question.
+// Contact is a member's reply to a lease query. Times are in seconds.
 type Contact struct {
-	Process     uint64  `cbor:"1,keyasint"` // that answered
-	Sent        float64 `cbor:"2,keyasint"` // when the question was sent, on the asker's clock
-	Floors      uint64  `cbor:"3,keyasint"` // digest of the floors that it held
-	Established bool    `cbor:"4,keyasint"` // it has learned of the fleet's floors since its start
-	Asker       uint64  `cbor:"5,keyasint"` // process that asked: its successor at the same address has forgotten what it knew
+	Process     uint64  `cbor:"1,keyasint"` // of the member that replied
+	Sent        float64 `cbor:"2,keyasint"` // when the query was sent, on the querying member's clock
+	Floors      uint64  `cbor:"3,keyasint"` // digest of the floors held by the replying member
+	Established bool    `cbor:"4,keyasint"` // the replying member has learned the fleet's floors since its start
+	Asker       uint64  `cbor:"5,keyasint"` // process that sent the query: a later process at the same address doesn't hold what this one held
 }
 
-// Contact takes in an answer. Only of one that held the same floors it counts: see Fence.
+// Contact records a reply to a lease query. A reply counts only if the peer held the same floors as this member: see Fence.
 func (v *View) Contact(now float64, c Contact) {
-	v.begin(now)
+	v.beginStep(now)
 	if c.Floors != v.FloorDigest() || c.Asker != v.Self().Process {
 		return
 	}
-	for _, e := range v.table {
+	for _, e := range v.members {
 		if e.Process == c.Process && e.Key != v.self {
 			e.answered = true
 			if c.Established {
-				e.contact = max(e.contact, min(c.Sent, v.now))
+				e.contactAt = max(e.contactAt, min(c.Sent, v.now))
 			}
 		}
 	}
 }
 
-// establish tells whether this process has learned of the fleet's floors since its start. Danger: a process that has just started has
-// forgotten which floors its predecessor held, and must not vouch for others, nor for itself: so it needs over half of the members besides
-// itself, or all of them.
-func (v *View) establish(planned int) bool {
+// updateEstablished reports whether this process has learned the fleet's floors since its start. A process that was just started doesn't
+// know which floors its predecessor held and must not confirm leases, its own included. It needs replies from over half of the members
+// without counting itself, or from all others.
+func (v *View) updateEstablished(configuredMembers int) bool {
 	if !v.established {
-		n, others := max(planned, v.Acting()), 0
-		for _, e := range v.table {
-			if e.Key != v.self && !e.Over() && e.answered {
+		n, others := max(configuredMembers, v.Acting()), 0
+		for _, e := range v.members {
+			if e.Key != v.self && !e.Departed() && e.answered {
 				others++
 			}
 		}
@@ -299,23 +301,25 @@
 	return v.established
 }
 
-// Established tells whether this process may vouch for others.
+// Established reports whether this process has learned the fleet's floors since its start, so that its replies may confirm leases.
 func (v *View) Established() bool { return v.established }
 
-// Fence tells until when this process may act, and why no longer; a time that is past says that it may not. planned is how many members the
-// settings name, and lease for how many seconds a member may act without touch with the fleet; 0 for any time.
+// Fence returns the time until which this process may act, in seconds, and the reason why not longer; a time in the past means that it
+// may not act now. configuredMembers is the fleet size in the settings, and leaseS how many seconds a member may act without contact with a
+// majority; 0 for no limit.
 //
-// Why a lease holds. A floor is told when over half of the members hold it (FloorsTold). A member may act at t only if over half of the members, itself
-// counted, answered questions that it sent at t − lease or later, and held just the floors that it holds itself when they answered. Two such
-// halves share a member. Where t is later than telling + lease, that one was asked, and answered, after it held the floor; so the asker holds
-// the floor too, and minds it. Danger: this rests on both counting the same members or more (the greater of the settings' number and of those
-// that may be acting), on clocks that run alike within one process, and on nobody stopping between this check and the write.
-func (v *View) Fence(planned int, lease float64) (until float64, why string) {
+// Why the lease is safe: a floor counts as established once a majority of the members hold it (FloorsHeldByMajority). A member may act at
+// time t only if a majority, itself included, replied to queries that it sent at t − leaseS or later and held exactly its own floors when
+// they replied. Two majorities share a member. If t is later than the establishment + leaseS, the shared member was queried and replied
+// after it held the floor, so the querying member holds the floor too and obeys it. This requires that both count the same members or more
+// (the greater of the configured number and of those that may be acting), that the clock of one process advances steadily, and that the
+// process isn't stopped between this check and the write that follows.
+func (v *View) Fence(configuredMembers int, leaseS float64) (until float64, why string) {
 	until, why = math.Inf(1), ""
-	if known := v.establish(planned); lease > 0 && !known {
+	if established := v.updateEstablished(configuredMembers); leaseS > 0 && !established {
 		until, why = math.Inf(-1), "has not learned of the fleet's floors since its start"
-	} else if lease > 0 {
-		until, why = v.half(planned)+lease, "out of touch with the fleet for longer than the lease"
+	} else if leaseS > 0 {
+		until, why = v.majorityContactAt(configuredMembers)+leaseS, "out of touch with the fleet for longer than the lease"
 	}
 	self := v.Self()
 	for _, f := range v.heldFloors() {
@@ -326,33 +330,34 @@
 	return until, why
 }
 
-// half is the time of the oldest contact among the newest that make over half of the members, this one counted.
-func (v *View) half(planned int) float64 {
+// majorityContactAt returns the time at or after which a majority of the members, this one included, were last contacted; -Inf if there is
+// no such majority.
+func (v *View) majorityContactAt(configuredMembers int) float64 {
 	times := []float64{v.now}
-	for _, e := range v.table {
-		if e.Key != v.self && !e.Over() && e.contact > 0 {
-			times = append(times, e.contact)
+	for _, e := range v.members {
+		if e.Key != v.self && !e.Departed() && e.contactAt > 0 {
+			times = append(times, e.contactAt)
 		}
 	}
 	slices.SortFunc(times, func(a, b float64) int { return cmp.Compare(b, a) })
-	need := max(planned, v.Acting())/2 + 1
+	need := max(configuredMembers, v.Acting())/2 + 1
 	if len(times) < need {
 		return math.Inf(-1)
 	}
 	return times[need-1]
 }
 
-// FloorsTold tells whether over half of the members were seen to hold the floors held here since the newest of them came.
-func (v *View) FloorsTold(planned int) bool {
+// FloorsHeldByMajority reports whether a majority of the members, this one included, are known to hold all floors held here.
+func (v *View) FloorsHeldByMajority(configuredMembers int) bool {
 	newest := math.Inf(-1)
 	for _, f := range v.heldFloors() {
-		newest = max(newest, f.took)
+		newest = max(newest, f.receivedAt)
 	}
-	hold := 1
-	for _, e := range v.table {
-		if e.Key != v.self && !e.Over() && e.contact > newest { // danger: at the same moment it may have been before
-			hold++
+	holders := 1
+	for _, e := range v.members {
+		if e.Key != v.self && !e.Departed() && e.contactAt > newest { // a contact at the same time may precede the floor
+			holders++
 		}
 	}
-	return hold >= max(planned, v.Acting())/2+1
+	return holders >= max(configuredMembers, v.Acting())/2+1
 }
--- a/internal/membership/floor_test.go
+++ b/internal/membership/floor_test.go
@@ -8,22 +8,22 @@
 	"pgregory.net/rapid"
 )
 
-// leased is a fleet in virtual time with floors and leases: who asks whom, what is on its way, and who runs.
-type leased struct {
-	n       int
-	views   []*View // nil where nothing runs
-	process []uint64
-	config  []int64 // that each acts on
-	now     float64
-	flying  []answer
-	cut     map[[2]int]bool
-	told    map[int64]float64 // when each number was told as a floor, in force and held by over half
-	telling map[int64]float64 // and when it was told first
-	fault   string
+// leaseFleet simulates a fleet with floors and leases in virtual time: the views, the partitions and the replies in flight.
+type leaseFleet struct {
+	n            int
+	views        []*View // nil if the member doesn't run
+	process      []uint64
+	config       []int64 // number of the configuration that each member applies
+	now          float64
+	inFlight     []reply
+	cut          map[[2]int]bool
+	replicatedAt map[int64]float64 // by configuration number: when its floor was in force and held by a majority
+	announcedAt  map[int64]float64 // by configuration number: when its floor was announced
+	fault        string
 }
 
-// answer is a member's word on its way back to one that asked.
-type answer struct {
+// reply is a reply to a lease query, in flight to member to.
+type reply struct {
 	to int
 	Contact
 }
@@ -33,20 +33,20 @@
 	testWithin = 2.0
 )
 
-// failer is a test, or a drawn play of one.
-type failer interface{ Fatal(...any) }
+// fataler is a *testing.T or a *rapid.T.
+type fataler interface{ Fatal(...any) }
 
-func newLeased(t failer, n int, fault string) *leased {
-	l := &leased{n: n, cut: map[[2]int]bool{}, told: map[int64]float64{}, telling: map[int64]float64{}, now: 1, fault: fault,
+func newLeased(t fataler, n int, fault string) *leaseFleet {
+	l := &leaseFleet{n: n, cut: map[[2]int]bool{}, replicatedAt: map[int64]float64{}, announcedAt: map[int64]float64{}, now: 1, fault: fault,
 		views: make([]*View, n), process: make([]uint64, n), config: make([]int64, n)}
 	for i := range n {
 		l.process[i] = uint64(i + 1)
 		l.config[i] = 1
 		l.start(t, i)
 	}
-	for i := range n { // all have met, and are in touch
+	for i := range n { // all members know and have contacted each other
 		for j := range n {
-			l.views[i].Merge(l.now, l.views[j].Told())
+			l.views[i].Merge(l.now, l.views[j].SyncRecords())
 		}
 	}
 	for range 2 {
@@ -62,7 +62,7 @@
 	return l
 }
 
-func (l *leased) start(t failer, i int) {
+func (l *leaseFleet) start(t fataler, i int) {
 	v, err := New(l.now, Record{Key: Key{Name: fmt.Sprint("m", i), Addr: fmt.Sprintf("10.0.0.%d:1", i+1)}, Process: l.process[i], Incarnation: uint64(l.now * 1000),
 		Generation: 1, Config: Version{No: l.config[i], Source: "f"}})
 	if err != nil {
@@ -71,38 +71,38 @@
 	l.views[i] = v
 }
 
-func (l *leased) meets(i, j int) bool {
+func (l *leaseFleet) connected(i, j int) bool {
 	return i != j && l.views[i] != nil && l.views[j] != nil && !l.cut[[2]int{i, j}] && !l.cut[[2]int{j, i}]
 }
 
-// step lets one thing happen.
-func (l *leased) step(t *rapid.T) {
+// step performs one drawn action.
+func (l *leaseFleet) step(t *rapid.T) {
 	i, j := rapid.IntRange(0, l.n-1).Draw(t, "i"), rapid.IntRange(0, l.n-1).Draw(t, "j")
 	switch rapid.IntRange(0, 11).Draw(t, "what") {
 	case 0, 1:
 		l.now += rapid.Float64Range(0.1, 2).Draw(t, "passes")
 	case 2, 3, 4:
-		if l.meets(i, j) {
-			l.asks(i, j)
+		if l.connected(i, j) {
+			l.queries(i, j)
 		}
-	case 5, 6: // an answer comes, in any order, or is lost
-		if len(l.flying) > 0 {
-			k := rapid.IntRange(0, len(l.flying)-1).Draw(t, "k")
-			l.comes(k, rapid.IntRange(0, 9).Draw(t, "lost") == 0)
+	case 5, 6: // a reply arrives, in any order, or is lost
+		if len(l.inFlight) > 0 {
+			k := rapid.IntRange(0, len(l.inFlight)-1).Draw(t, "k")
+			l.deliver(k, rapid.IntRange(0, 9).Draw(t, "lost") == 0)
 		}
 	case 7:
-		if l.meets(i, j) {
+		if l.connected(i, j) {
 			l.exchange(i, j)
 		}
 	case 8:
 		l.cut[[2]int{i, j}] = !l.cut[[2]int{i, j}]
 	case 9:
-		if l.views[i] != nil && len(l.telling) < 3 {
-			l.tells(t, i)
+		if l.views[i] != nil && len(l.announcedAt) < 3 {
+			l.announce(t, i)
 		}
-	case 10: // one is brought up
+	case 10: // a member applies a newer configuration
 		if l.views[i] != nil && rapid.IntRange(0, 3).Draw(t, "up") == 0 {
-			l.act(i, l.config[i]+1)
+			l.setConfig(i, l.config[i]+1)
 		}
 	case 11:
 		if l.mayRestart(i) {
@@ -111,17 +111,17 @@
 	}
 }
 
-// asks sends a question, whose answer is on its way as it was when it was asked.
-func (l *leased) asks(i, j int) {
+// ask sends a lease query; the reply in flight has the contents as of the query.
+func (l *leaseFleet) queries(i, j int) {
 	l.views[j].Fence(l.n, testLease)
-	l.flying = append(l.flying, answer{to: i, Contact: Contact{Process: l.process[j], Asker: l.process[i], Sent: l.now, Floors: l.views[j].FloorDigest(),
+	l.inFlight = append(l.inFlight, reply{to: i, Contact: Contact{Process: l.process[j], Asker: l.process[i], Sent: l.now, Floors: l.views[j].FloorDigest(),
 		Established: l.views[j].Established() || l.fault == "one that has forgotten vouches"}})
 }
 
-// comes lets an answer come, or get lost.
-func (l *leased) comes(k int, lost bool) {
-	a := l.flying[k]
-	l.flying = append(l.flying[:k:k], l.flying[k+1:]...)
+// deliver delivers or loses a reply in flight.
+func (l *leaseFleet) deliver(k int, lost bool) {
+	a := l.inFlight[k]
+	l.inFlight = append(l.inFlight[:k:k], l.inFlight[k+1:]...)
 	if l.views[a.to] == nil || lost {
 		return
 	}
@@ -134,26 +134,26 @@
 	l.views[a.to].Contact(l.now, a.Contact)
 }
 
-// exchange has two members tell each other everything.
-func (l *leased) exchange(i, j int) {
-	l.views[i].TakeFloors(l.now, l.views[j].Floors(l.now))
-	l.views[j].TakeFloors(l.now, l.views[i].Floors(l.now))
-	l.views[i].Merge(l.now, l.views[j].Told())
-	l.views[j].Merge(l.now, l.views[i].Told())
+// exchange performs a full-state exchange between two members.
+func (l *leaseFleet) exchange(i, j int) {
+	l.views[i].MergeFloors(l.now, l.views[j].Floors(l.now))
+	l.views[j].MergeFloors(l.now, l.views[i].Floors(l.now))
+	l.views[i].Merge(l.now, l.views[j].SyncRecords())
+	l.views[j].Merge(l.now, l.views[i].SyncRecords())
 }
 
-// tells has a member that is up to it tell the next floor.
-func (l *leased) tells(t failer, i int) {
-	no := int64(len(l.telling) + 2)
-	l.act(i, no)
-	if _, _, fault := l.views[i].TellFloor(l.now, Floor{Kind: OfConfig, No: no, Source: "f", Within: testWithin, Why: "test"}, true); fault != "" {
-		t.Fatal(fault) // numbers rise, so none as high is known
+// announce lets a member apply the next configuration and announce it as a floor.
+func (l *leaseFleet) announce(t fataler, i int) {
+	no := int64(len(l.announcedAt) + 2)
+	l.setConfig(i, no)
+	if _, _, fault := l.views[i].AnnounceFloor(l.now, Floor{Kind: KindConfig, No: no, Source: "f", Within: testWithin, Why: "test"}, true); fault != "" {
+		t.Fatal(fault) // unexpected, since the numbers increase
 	}
-	l.telling[no] = l.now
+	l.announcedAt[no] = l.now
 }
 
-// mayRestart tells whether one may start anew: one at a time, as the lease assumes.
-func (l *leased) mayRestart(i int) bool {
+// mayRestart reports whether a member may restart: the lease assumes that members restart one at a time.
+func (l *leaseFleet) mayRestart(i int) bool {
 	for k, v := range l.views {
 		if k != i && v != nil && !v.Established() {
 			return false
@@ -162,53 +162,53 @@
 	return true
 }
 
-// restart has a member start anew. It has forgotten everything but its configuration; the others run.
-func (l *leased) restart(t failer, i int) {
+// restart replaces a member by a new process, which keeps only its configuration.
+func (l *leaseFleet) restart(t fataler, i int) {
 	l.process[i] += 100
 	l.start(t, i)
 }
 
-// holdsFloor tells whether a configuration's floor is held, or a higher one.
+// holdsFloor reports whether the view holds a configuration floor of at least this number.
 func (v *View) holdsFloor(no int64) bool {
 	for _, f := range v.Floors(v.now) {
-		if f.Kind == OfConfig && f.No >= no {
+		if f.Kind == KindConfig && f.No >= no {
 			return true
 		}
 	}
 	return false
 }
 
-func (l *leased) act(i int, config int64) {
+func (l *leaseFleet) setConfig(i int, config int64) {
 	l.config[i] = max(l.config[i], config)
-	l.views[i].Say(l.now, Says{Generation: 1, Config: Version{No: l.config[i], Source: "f"}}, false)
+	l.views[i].UpdateSelf(l.now, SelfInfo{Generation: 1, Config: Version{No: l.config[i], Source: "f"}}, false)
 }
 
-// check holds the promise: who may act now, acts on nothing below a floor that was told a lease ago.
-func (l *leased) check() error {
+// check returns an error if a member may act below a floor that a majority has held for longer than the lease.
+func (l *leaseFleet) check() error {
 	for i, v := range l.views {
 		if v == nil {
 			continue
 		}
-		for no, at := range l.telling {
-			_, known := l.told[no]
-			if !known && v.holdsFloor(no) && v.FloorsTold(l.n) {
-				l.told[no] = math.Max(l.now, at+testWithin)
+		for no, at := range l.announcedAt {
+			_, known := l.replicatedAt[no]
+			if !known && v.holdsFloor(no) && v.FloorsHeldByMajority(l.n) {
+				l.replicatedAt[no] = math.Max(l.now, at+testWithin)
 			}
 		}
 		until, _ := v.Fence(l.n, testLease)
 		if l.now >= until {
 			continue
 		}
-		for no, at := range l.told {
+		for no, at := range l.replicatedAt {
 			if l.now > at+testLease && l.config[i] < no {
-				return fmt.Errorf("at %.1f member %d acts on %d; the floor %d was told by %.1f", l.now, i, l.config[i], no, at)
+				return fmt.Errorf("at %.1f member %d acts on configuration %d; the floor %d was in force on a majority at %.1f", l.now, i, l.config[i], no, at)
 			}
 		}
 	}
 	return nil
 }
 
-type played struct{ err error }
+type playResult struct{ err error }
 
 func play(t *rapid.T, fault string) error {
 	l := newLeased(t, rapid.SampledFrom([]int{3, 3, 4, 5}).Draw(t, "members"), fault)
@@ -221,7 +221,8 @@
 	return nil
 }
 
-// TestNobodyActsBelowAFloor a lease after it was told, whatever is cut, late, lost, forgotten or out of order.
+// TestNobodyActsBelowAFloor checks that no member acts below a floor once a majority has held it for the lease, under partitions, restarts
+// and replies that are late, lost or out of order.
 func TestNobodyActsBelowAFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if err := play(t, ""); err != nil {
@@ -230,23 +231,23 @@
 	})
 }
 
-// TestLeasePlaysFindFaults: each rule of the lease is there for a reason that the plays find.
+// TestLeasePlaysFindFaults checks that the random test above fails if one of the lease's rules is left out.
 func TestLeasePlaysFindFaults(t *testing.T) {
 	for _, fault := range []string{"one that has forgotten vouches", "answers count from their coming", "floors need not be the same"} {
 		var hit error
 		for seed := 0; seed < 20000 && hit == nil; seed++ {
-			hit = rapid.Custom(func(t *rapid.T) played { return played{play(t, fault)} }).Example(seed).err
+			hit = rapid.Custom(func(t *rapid.T) playResult { return playResult{play(t, fault)} }).Example(seed).err
 		}
 		t.Logf("%s: %v", fault, hit)
 		if hit == nil {
-			t.Errorf("%s: not found", fault)
+			t.Errorf("%s: fault not found", fault)
 		}
 	}
 }
 
-// TestFloors: which of two that cross wins, safety, withdrawal, and who is below.
+// TestFloors checks concurrent floors, the refusal to fence over half of the members, withdrawal, validation and export.
 func TestFloors(t *testing.T) {
-	b := watcher(t, "b")
+	b := newTestView(t, "b")
 	a, err := New(1, Record{Key: Key{Name: "a", Addr: "10.0.0.1:1"}, Incarnation: 1, Process: 1, Generation: 1, Zone: "z", Config: Version{No: 3, Source: "f"}})
 	if err != nil {
 		t.Fatal(err)
@@ -255,40 +256,40 @@
 	far := peer
 	far.Key, far.Process = Key{Name: "d", Addr: "10.0.0.4:1"}, 4
 	a.Merge(1, []Record{peer, far})
-	_, hit, fault := a.TellFloor(2, Floor{Kind: OfConfig, No: 3, Source: "f", Within: 10, Why: "w"}, false)
+	_, hit, fault := a.AnnounceFloor(2, Floor{Kind: KindConfig, No: 3, Source: "f", Within: 10, Why: "w"}, false)
 	if fault == "" || len(hit) != 2 || len(a.floors) != 0 {
-		t.Errorf("two of three shut out, unforced: %v, %q", hit, fault)
+		t.Errorf("floor below which two of three members are, without force: %v, %q", hit, fault)
 	}
-	if _, _, fault = a.TellFloor(2, Floor{Kind: OfConfig, No: 3, Source: "f", Within: 10, Why: "w"}, true); fault != "" {
+	if _, _, fault = a.AnnounceFloor(2, Floor{Kind: KindConfig, No: 3, Source: "f", Within: 10, Why: "w"}, true); fault != "" {
 		t.Errorf("forced: %q", fault)
 	}
-	if _, _, fault = b.TellFloor(2, Floor{Kind: OfConfig, No: 9, Source: "f", Within: 10, Why: "w"}, true); fault != "" {
+	if _, _, fault = b.AnnounceFloor(2, Floor{Kind: KindConfig, No: 9, Source: "f", Within: 10, Why: "w"}, true); fault != "" {
 		t.Errorf("forced: %q", fault)
 	}
 	now := 3.0
 	x, y := a.Floors(now), b.Floors(now)
-	a.TakeFloors(3, y)
-	b.TakeFloors(3, x)
+	a.MergeFloors(3, y)
+	b.MergeFloors(3, x)
 	if a.FloorDigest() != b.FloorDigest() || a.Floors(now)[0].By != "b" {
-		t.Errorf("floors that cross: %v and %v", a.Floors(now), b.Floors(now))
+		t.Errorf("concurrent floors: %v and %v", a.Floors(now), b.Floors(now))
 	}
 	if until, why := a.Fence(1, 0); until != 13 && until != 12 || why == "" {
 		t.Errorf("below the floor: until %v, %q", until, why)
 	}
-	if _, _, fault = a.TellFloor(4, Floor{Kind: OfConfig, Withdrawn: true}, false); fault != "" {
+	if _, _, fault = a.AnnounceFloor(4, Floor{Kind: KindConfig, Withdrawn: true}, false); fault != "" {
 		t.Error(fault)
 	}
 	if until, _ := a.Fence(1, 0); !math.IsInf(until, 1) {
 		t.Errorf("withdrawn: until %v", until)
 	}
-	for name, f := range map[string]Floor{"kind": {Kind: 9, Turn: 1}, "turn": {}, "within": {Turn: 1, Within: math.NaN()}, "age": {Turn: 1, Age: -1}, "long": {Turn: 1, Within: MostWithin + 1}} {
+	for name, f := range map[string]Floor{"kind": {Kind: 9, Round: 1}, "turn": {}, "within": {Round: 1, Within: math.NaN()}, "age": {Round: 1, Age: -1}, "long": {Round: 1, Within: MaxWithinS + 1}} {
 		if f.Check() == nil {
-			t.Errorf("%s is taken", name)
+			t.Errorf("invalid %s accepted", name)
 		}
 	}
 	st := b.Export()
 	twin, err := Import(st)
 	if err != nil || twin.FloorDigest() != b.FloorDigest() || twin.Digest() != b.Digest() {
-		t.Errorf("passed on: %v", err)
+		t.Errorf("exported and imported: %v", err)
 	}
 }
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -1,9 +1,9 @@
-// Package membership is the view that a fleet's dispatchers keep of themselves, as a value: which members there are, what
-// each says of itself, and what the others hold of it. It has no I/O and no clock of its own.
+// Package membership maintains a dispatcher's view of its fleet as a value: the members, the state that each reports of itself,
+// the verdict of the others on it, and the version floors. It has no I/O and no clock of its own.
 //
-// A member is known by its name and the address that it advertises. What is known of it is one Record, and of any two
-// records of one member the same one wins everywhere, whatever the order in which they come: so merging views is
-// commutative, associative and idempotent, and members that have heard the same hold the same.
+// A member is identified by its name and advertised address and described by one Record. Records of a member are totally
+// ordered and the greater one always wins, so merging is commutative, associative and idempotent: members that have received
+// the same records hold the same view.
 package membership
 
 import (
@@ -15,118 +15,118 @@
 	"net/netip"
 )
 
-// Key names a member: two processes under one name at two addresses are two members, and a conflict.
+// Key identifies a member. Two processes with one name at two addresses are two members, whose names conflict.
 type Key struct {
 	Name string `cbor:"1,keyasint"`
-	Addr string `cbor:"2,keyasint"` // host:port that it advertises
+	Addr string `cbor:"2,keyasint"` // advertised host:port
 }
 
 func (k Key) String() string { return k.Name + " at " + k.Addr }
 
-// compare puts keys in order.
+// compare orders keys by name, then by address.
 func (k Key) compare(o Key) int {
 	return cmp.Or(cmp.Compare(k.Name, o.Name), cmp.Compare(k.Addr, o.Addr))
 }
 
-// State is what a member says of itself.
+// State is the state that a member reports of itself.
 type State uint8
 
-// The states that a member says of itself, in the order in which they may follow; SentAway and Serving may alternate.
+// The states in the order in which a member enters them; only Serving and SentAway may alternate.
 const (
-	Joining  State = iota // started, has met nobody yet
-	Serving               // takes callers
-	SentAway              // staff send its callers away
-	Stopping              // SIGTERM has come: what it took is answered, nothing more
-	Left                  // has ended in order, and sends nothing any more
+	Joining  State = iota // started, has not reached a member yet
+	Serving               // accepts callers
+	SentAway              // an operator has its callers turned away
+	Stopping              // received SIGTERM: finishes open requests and accepts no more
+	Left                  // shut down in order, sends nothing more
 )
 
 var stateNames = [...]string{"joining", "serving", "sent away", "stopping", "left"}
 
-func (s State) String() string { return name(stateNames[:], int(s)) }
+func (s State) String() string { return enumName(stateNames[:], int(s)) }
 
-// Verdict is what other members hold of one. It belongs to the record's Seq: a member that hears a verdict on itself
-// raises its Seq, and the verdict is over.
+// Verdict is the other members' judgement of a member. It applies to the record's Seq only: a member that receives a verdict
+// on itself refutes it by raising its Seq.
 type Verdict uint8
 
-// The verdicts, each of which beats those before it.
+// The verdicts; at the same Seq a later one overrides an earlier one.
 const (
 	Fine   Verdict = iota
-	Failed         // not reached for as long as a suspicion lasts; it may run on behind a partition
-	Gone           // surely acts no more: its machine said that nobody listens there, or staff removed it
+	Failed         // unreachable for the whole suspicion time-out; it may still run behind a partition
+	Gone           // has ended for certain: its machine refused a connection, or an operator removed it
 )
 
 var verdictNames = [...]string{"fine", "failed", "gone"}
 
-func (v Verdict) String() string { return name(verdictNames[:], int(v)) }
+func (v Verdict) String() string { return enumName(verdictNames[:], int(v)) }
 
-func name(all []string, i int) string {
+func enumName(all []string, i int) string {
 	if i < len(all) {
 		return all[i]
 	}
 	return fmt.Sprintf("unknown (%d)", i)
 }
 
-// Version is what a member acts on, of one kind: a number that its source gives, and a digest of what it says.
+// Version identifies a configuration, route set or program that a member applies.
 type Version struct {
-	No     int64  `cbor:"1,keyasint"`
-	Digest uint64 `cbor:"2,keyasint,omitempty"`
-	Source string `cbor:"3,keyasint,omitempty"` // versions of two sources don't compare
+	No     int64  `cbor:"1,keyasint"`           // assigned by the source
+	Digest uint64 `cbor:"2,keyasint,omitempty"` // of the content
+	Source string `cbor:"3,keyasint,omitempty"` // versions of different sources have no order
 }
 
-// Record is what is known of a member.
+// Record describes a member as of its latest update.
 type Record struct {
 	Key
-	Incarnation uint64  `cbor:"3,keyasint"` // of the process: a start that is newer has a higher one, also where clocks differ
-	Process     uint64  `cbor:"4,keyasint"` // drawn at the start, kept over a hand-over
-	Seq         uint64  `cbor:"5,keyasint"` // counts what this process has said of itself
+	Incarnation uint64  `cbor:"3,keyasint"` // of the process: higher for each later start, even if the clock was set back
+	Process     uint64  `cbor:"4,keyasint"` // random id drawn at the start, kept across a handover
+	Seq         uint64  `cbor:"5,keyasint"` // incremented with each change that the process reports of itself
 	State       State   `cbor:"6,keyasint"`
 	Verdict     Verdict `cbor:"7,keyasint,omitempty"`
 	Zone        string  `cbor:"8,keyasint,omitempty"`
-	Generation  int     `cbor:"9,keyasint"` // of upgrades
+	Generation  int     `cbor:"9,keyasint"` // number of the process in a chain of upgrades
 	Program     Version `cbor:"10,keyasint"`
 	Config      Version `cbor:"11,keyasint"`
 	Routes      Version `cbor:"12,keyasint"`
-	Loser       bool    `cbor:"13,keyasint,omitempty"` // another process has its name and was there first
-	Why         string  `cbor:"14,keyasint,omitempty"` // of the verdict, in words
+	Loser       bool    `cbor:"13,keyasint,omitempty"` // another process has the same name and started first
+	Why         string  `cbor:"14,keyasint,omitempty"` // reason for the verdict
 }
 
 func (r Record) String() string {
-	return fmt.Sprintf("%v (start %d of process %d, word %d: %v, %v)", r.Key, r.Incarnation, r.Process, r.Seq, r.State, r.Verdict)
+	return fmt.Sprintf("%v (incarnation %d, process %d, seq %d: %v, %v)", r.Key, r.Incarnation, r.Process, r.Seq, r.State, r.Verdict)
 }
 
-// Bounds of a record's parts, in bytes, and of a view, in members.
+// Bounds of a record's fields, in bytes, and of a view, in members.
 const (
-	MostName    = 64
-	MostAddr    = 64
-	MostZone    = 64
-	MostSource  = 128
-	MostWhy     = 128
-	MostMembers = 1024
-	mostCounter = 1 << 62 // danger: a counter near its end could never be raised above
+	MaxNameBytes   = 64
+	MaxAddrBytes   = 64
+	MaxZoneBytes   = 64
+	MaxSourceBytes = 128
+	MaxWhyBytes    = 128
+	MaxMembers     = 1024
+	maxCounter     = 1 << 62 // a counter near the maximum of its type could not be incremented any more
 )
 
-// ErrRecord says that a record can't be. Errors of Check wrap it and name what is wrong.
+// ErrRecord reports an invalid record. Errors of Check and Import wrap it.
 var ErrRecord = errors.New("membership: record refused")
 
-// Check tells whether a record may be taken in.
+// Check returns an error that wraps ErrRecord if a field is out of its bounds.
 func (r Record) Check() error {
 	_, addr := netip.ParseAddrPort(r.Addr)
 	switch {
-	case r.Name == "" || len(r.Name) > MostName:
-		return fmt.Errorf("%w: a name of %d bytes, 1 to %d", ErrRecord, len(r.Name), MostName)
-	case addr != nil || len(r.Addr) > MostAddr:
-		return fmt.Errorf("%w: %.64q is no address with a port", ErrRecord, r.Addr)
-	case len(r.Zone) > MostZone:
-		return fmt.Errorf("%w: a zone of %d bytes, %d at most", ErrRecord, len(r.Zone), MostZone)
-	case len(r.Program.Source) > MostSource || len(r.Config.Source) > MostSource || len(r.Routes.Source) > MostSource:
-		return fmt.Errorf("%w: a source of over %d bytes", ErrRecord, MostSource)
-	case len(r.Why) > MostWhy:
-		return fmt.Errorf("%w: a reason of %d bytes, %d at most", ErrRecord, len(r.Why), MostWhy)
+	case r.Name == "" || len(r.Name) > MaxNameBytes:
+		return fmt.Errorf("%w: name has %d bytes, must have 1 to %d", ErrRecord, len(r.Name), MaxNameBytes)
+	case addr != nil || len(r.Addr) > MaxAddrBytes:
+		return fmt.Errorf("%w: %.64q is not an IP address with a port", ErrRecord, r.Addr)
+	case len(r.Zone) > MaxZoneBytes:
+		return fmt.Errorf("%w: zone has %d bytes, %d at most", ErrRecord, len(r.Zone), MaxZoneBytes)
+	case len(r.Program.Source) > MaxSourceBytes || len(r.Config.Source) > MaxSourceBytes || len(r.Routes.Source) > MaxSourceBytes:
+		return fmt.Errorf("%w: source longer than %d bytes", ErrRecord, MaxSourceBytes)
+	case len(r.Why) > MaxWhyBytes:
+		return fmt.Errorf("%w: reason has %d bytes, %d at most", ErrRecord, len(r.Why), MaxWhyBytes)
 	case r.State > Left:
 		return fmt.Errorf("%w: state %d", ErrRecord, r.State)
 	case r.Verdict > Gone:
 		return fmt.Errorf("%w: verdict %d", ErrRecord, r.Verdict)
-	case r.Incarnation == 0 || r.Incarnation > mostCounter || r.Seq > mostCounter:
+	case r.Incarnation == 0 || r.Incarnation > maxCounter || r.Seq > maxCounter:
 		return fmt.Errorf("%w: incarnation %d, seq %d", ErrRecord, r.Incarnation, r.Seq)
 	case r.Generation < 0 || r.Generation > 1<<30:
 		return fmt.Errorf("%w: generation %d", ErrRecord, r.Generation)
@@ -134,9 +134,9 @@
 	return nil
 }
 
-// compare puts two records of one member in the order of their news: the greater one wins wherever both come. Danger: it
-// must be total. Two processes of a hand-over that fell back may have said different things under one Seq, and a rule that
-// left them equal would let two members hold different records for ever.
+// compare orders two records of one member by recency; the greater one wins. The order must be total: after a handover that fell
+// back, both processes may have published different records with the same Seq, and if these compared as equal, members could hold
+// different records for ever.
 func (r Record) compare(o Record) int {
 	return cmp.Or(cmp.Compare(r.Incarnation, o.Incarnation), cmp.Compare(r.Process, o.Process), cmp.Compare(r.Seq, o.Seq),
 		cmp.Compare(r.Verdict, o.Verdict), cmp.Compare(r.State, o.State), cmp.Compare(r.Generation, o.Generation),
@@ -157,13 +157,13 @@
 	return -1
 }
 
-// Over tells that nothing is to be expected of the member any more: it left, or is gone.
-func (r Record) Over() bool { return r.State == Left || r.Verdict == Gone }
+// Departed reports that the member has ended for certain: its state is Left or its verdict Gone.
+func (r Record) Departed() bool { return r.State == Left || r.Verdict == Gone }
 
-// Live tells that the member is held to run and to be reachable.
-func (r Record) Live() bool { return !r.Over() && r.Verdict != Failed }
+// Live reports that the member is neither departed nor judged as Failed.
+func (r Record) Live() bool { return !r.Departed() && r.Verdict != Failed }
 
-// digest sums a record up, all but the words.
+// digest returns a hash of all fields except Why.
 func (r Record) digest() uint64 {
 	var buf [512]byte
 	b := buf[:0]
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -8,31 +8,31 @@
 	"foldlb.example/foldlb/internal/altered"
 )
 
-// The times of a view, in seconds. They are of one clock, the caller's; nothing here compares clocks of two machines.
+// Durations in seconds. All times of a view are of the caller's clock; clocks of different machines are never compared.
 const (
-	grace       = 5.0   // for a member that was heard of to be reached, and for all others after this process stood still
-	lookMost    = 2.5   // between two looks; after a longer gap this process stood still, and its judgement is put off
-	tellOver    = 60.0  // for which one that left or is gone is told to others
-	keepOver    = 600.0 // for which it is remembered: longer than others tell of it, or it would come back for ever
-	mostHistory = 256   // changes
+	reachGraceS         = 5.0   // for a newly known member, or for all members after this process was stopped, to be reached before it is judged Failed
+	maxReachabilityGapS = 2.5   // between two reachability reports; a longer gap means that this process was stopped, so verdicts are delayed
+	shareDepartedS      = 60.0  // for which a departed member is still sent to others
+	keepDepartedS       = 600.0 // for which it is kept; must exceed shareDepartedS, or others would re-add it for ever
+	maxHistory          = 256   // changes
 )
 
-// entry is a member in a view.
+// entry is the view's state of a member. Times are in seconds.
 type entry struct {
 	Record
-	since   float64 // of its state and verdict
-	unseen  float64 // since when it is not reached; 0 while it is
-	reached bool    // at the last look
-	doubted bool    // the transport had to try other ways to reach it
-	heard   uint64  // the digest that it said it held
-	heardAt float64 // 0 for never
+	stateSince       float64 // when its state or verdict last changed
+	unreachableSince float64 // 0 while it is reached
+	reached          bool    // as of the last reachability report
+	suspected        bool    // the transport had to probe it indirectly
+	peerDigest       uint64  // digest of its view that it last reported
+	peerDigestAt     float64 // 0 for never
 
-	configAt, routesAt float64 // since when it is heard to act on its configuration and its route set
-	contact            float64 // when a question was sent that it answered holding the floors that are held here; 0 for never
-	answered           bool    // a question, at any time since this process's start, holding the floors that are held here
+	configAt, routesAt float64 // when it was first known to apply its configuration and its route set
+	contactAt          float64 // send time of the last lease query that it answered while holding the same floors; 0 for none
+	answered           bool    // it answered such a query since this process's start
 }
 
-// Change is a line of a view's history.
+// Change is an entry of a view's history. At is in seconds.
 type Change struct {
 	At   float64
 	Key  Key
@@ -40,221 +40,220 @@
 	Why  string `cbor:",omitempty"`
 }
 
-// View is one member's view of the fleet. It must be used from one goroutine.
+// View is one member's view of the fleet. It must be used from one goroutine only. Times are in seconds of the caller's clock.
 type View struct {
-	self        Key
-	table       map[Key]*entry
-	now         float64
-	looked      float64 // when the transport last told who is reached
-	begun       float64
-	awake       float64 // until when no verdict is passed, since this process stood still
-	changed     float64 // when a member, state or verdict last changed
-	digest      uint64  // of all that are not over
-	shown       uint64  // the digest of the last picture that was due
-	order       []Key   // of the table, sorted; nil where that is to be done
-	history     []Change
-	fresh       []Change // since Fresh was last called
-	news        map[Key]bool
-	floors      map[Kind]*floors
-	floorNews   bool
-	clashes     []Clash // as of the last look
-	established bool    // this process has learned of the floors since its start
-	dropped     uint64  // records refused for want of a place, or of a form that can't be
-}
-
-// New begins a view with this process's own record, which must pass Check.
+	self            Key
+	members         map[Key]*entry
+	now             float64
+	reachabilityAt  float64 // time of the last reachability report
+	startedAt       float64
+	noVerdictsUntil float64 // end of the delay of verdicts after this process was stopped
+	changedAt       float64 // when a member, state or verdict last changed
+	digest          uint64  // of all members that have not departed
+	pictureDigest   uint64  // digest as of the last call of ChangedSincePicture
+	sortedKeys      []Key   // sorted keys of members; nil if they must be sorted again
+	history         []Change
+	unreported      []Change // since the last call of NewChanges
+	pendingUpdates  map[Key]bool
+	floors          map[Kind]*floors
+	floorsChanged   bool
+	conflicts       []VersionConflict // as of the last reachability report
+	established     bool              // this process has learned the fleet's floors since its start
+	dropped         uint64            // invalid records and floors, and records refused since the view was full
+}
+
+// New returns a view that contains this process's own record, which must pass Check. State, Verdict, Seq, Loser and Why are set here.
 func New(now float64, self Record) (*View, error) {
 	self.State, self.Verdict, self.Seq, self.Loser, self.Why = Joining, Fine, 1, false, ""
 	if err := self.Check(); err != nil {
 		return nil, err
 	}
-	v := empty(self.Key)
-	v.now, v.looked, v.begun, v.changed = now, now, now, now
-	v.table[self.Key] = &entry{Record: self, since: now, reached: true}
-	v.note(self.Key, "started", "")
-	v.tell(self.Key)
-	v.digest = v.sum()
+	v := newEmptyView(self.Key)
+	v.now, v.reachabilityAt, v.startedAt, v.changedAt = now, now, now, now
+	v.members[self.Key] = &entry{Record: self, stateSince: now, reached: true}
+	v.addHistory(self.Key, "started", "")
+	v.queueUpdate(self.Key)
+	v.digest = v.computeDigest()
 	return v, nil
 }
 
-func empty(self Key) *View {
-	return &View{self: self, table: map[Key]*entry{}, news: map[Key]bool{}, floors: map[Kind]*floors{}}
+func newEmptyView(self Key) *View {
+	return &View{self: self, members: map[Key]*entry{}, pendingUpdates: map[Key]bool{}, floors: map[Kind]*floors{}}
 }
 
-// Self is this process's own record.
-func (v *View) Self() Record { return v.table[v.self].Record }
+// Self returns this process's own record.
+func (v *View) Self() Record { return v.members[v.self].Record }
 
-// note enters a change in the history.
-func (v *View) note(k Key, what, why string) {
+// addHistory appends a change to the history.
+func (v *View) addHistory(k Key, what, why string) {
 	c := Change{At: v.now, Key: k, What: what, Why: why}
-	if len(v.history) >= 2*mostHistory { // danger: pictures share the old one, which is never written to again
-		v.history = slices.Clone(v.last())
+	if len(v.history) >= 2*maxHistory { // pictures share the old array, which must not be written to again
+		v.history = slices.Clone(v.recentHistory())
 	}
 	v.history = append(v.history, c)
-	if len(v.fresh) < mostHistory { // danger: a flapping fleet must not fill the memory of one that nobody asks
-		v.fresh = append(v.fresh, c)
+	if len(v.unreported) < maxHistory { // bounds the memory if members flap and NewChanges isn't called
+		v.unreported = append(v.unreported, c)
 	}
 }
 
-// last is the history's bounded end, to be shared with those who only read.
-func (v *View) last() []Change {
+// recentHistory returns the last maxHistory changes. The slice may be shared with readers.
+func (v *View) recentHistory() []Change {
 	n := len(v.history)
-	return v.history[max(0, n-mostHistory):n:n]
+	return v.history[max(0, n-maxHistory):n:n]
 }
 
-func (v *View) tell(k Key) { v.news[k] = true }
+func (v *View) queueUpdate(k Key) { v.pendingUpdates[k] = true }
 
-// Moved tells whether what a picture shows has changed since it was last asked. What each look brings (who is reached, whose digest
-// differs) is not counted: a picture is due after each look anyway. It must be asked before Fresh.
-func (v *View) Moved() bool {
-	moved := v.digest != v.shown || len(v.fresh) > 0
-	v.shown = v.digest
-	return moved
+// ChangedSincePicture reports whether the view has changed since the last call. Reachability and differing digests aren't considered, since
+// a new picture is taken after each reachability report anyway. It must be called before NewChanges.
+func (v *View) ChangedSincePicture() bool {
+	changed := v.digest != v.pictureDigest || len(v.unreported) > 0
+	v.pictureDigest = v.digest
+	return changed
 }
 
-// say changes this process's own record.
-func (v *View) say(change func(*Record)) {
-	e := v.table[v.self]
+// changeSelf applies a change to this process's own record and raises its Seq if the record differs.
+func (v *View) changeSelf(change func(*Record)) {
+	e := v.members[v.self]
 	before := e.Record
 	change(&e.Record)
 	if before == e.Record {
 		return
 	}
 	e.Seq = max(e.Seq, before.Seq) + 1
-	e.acts(before, v.now)
+	e.noteVersionTimes(before, v.now)
 	if e.State != before.State {
-		e.since, v.changed = v.now, v.now
-		v.note(v.self, e.State.String(), e.Why)
+		e.stateSince, v.changedAt = v.now, v.now
+		v.addHistory(v.self, e.State.String(), e.Why)
 	}
-	v.tell(v.self)
+	v.queueUpdate(v.self)
 }
 
-// acts notes since when a member acts on what it says now.
-func (e *entry) acts(was Record, now float64) {
-	if e.Config != was.Config {
+// noteVersionTimes updates the times since when the member applies its present versions.
+func (e *entry) noteVersionTimes(before Record, now float64) {
+	if e.Config != before.Config {
 		e.configAt = now
 	}
-	if e.Routes != was.Routes {
+	if e.Routes != before.Routes {
 		e.routesAt = now
 	}
 }
 
-// begin starts a step: time never goes back.
-func (v *View) begin(now float64) { v.now = max(v.now, now) }
+// beginStep sets the time, which never goes back.
+func (v *View) beginStep(now float64) { v.now = max(v.now, now) }
 
-// end ends a step: who is a loser, what is forgotten, and the digest.
-func (v *View) end() {
-	self := v.table[v.self]
-	loser, rival := false, Key{}
-	for k, e := range v.table {
-		if k != v.self && k.Name == v.self.Name && e.Live() && older(e.Record, self.Record) {
-			loser, rival = true, k
+// finishStep updates this process's Loser, deletes members that departed long ago and recomputes the digest.
+func (v *View) finishStep() {
+	self := v.members[v.self]
+	nameTaken, rival := false, Key{}
+	for k, e := range v.members {
+		if k != v.self && k.Name == v.self.Name && e.Live() && startedFirst(e.Record, self.Record) {
+			nameTaken, rival = true, k
 		}
 	}
-	if loser != self.Loser {
-		v.say(func(r *Record) { r.Loser = loser })
-		if loser {
-			v.note(v.self, "name taken", "another process has this name: "+rival.String()+"; this one serves on and takes no part")
+	if nameTaken != self.Loser {
+		v.changeSelf(func(r *Record) { r.Loser = nameTaken })
+		if nameTaken {
+			v.addHistory(v.self, "name taken", "another process has this name: "+rival.String()+"; this one serves on and takes no part")
 		} else {
-			v.note(v.self, "name free", "")
+			v.addHistory(v.self, "name free", "")
 		}
-		v.changed = v.now
+		v.changedAt = v.now
 	}
-	for k, e := range v.table {
-		if k != v.self && e.Over() && v.now-e.since > keepOver {
-			delete(v.table, k)
-			v.order = nil
+	for k, e := range v.members {
+		if k != v.self && e.Departed() && v.now-e.stateSince > keepDepartedS {
+			delete(v.members, k)
+			v.sortedKeys = nil
 		}
 	}
-	v.digest = v.sum()
+	v.digest = v.computeDigest()
 }
 
-// older tells which of two processes under one name was there first: the one with the lower incarnation. Where clocks differ
-// this may be the other one; what counts is that both tell the same.
-func older(a, b Record) bool {
+// startedFirst reports whether a, of two processes with one name, counts as the one that started first: the one with the lower
+// incarnation. If clocks differ this may be wrong; what matters is that both processes come to the same result.
+func startedFirst(a, b Record) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation < b.Incarnation
 	}
 	return a.Process < b.Process
 }
 
-// Merge takes in what others tell. Records that can't be are dropped and counted; of the others those that are newer than
-// what is held count, in any order.
-func (v *View) Merge(now float64, told []Record) {
-	v.begin(now)
-	news := false
-	for _, r := range told {
+// Merge merges records received from others, in any order. Invalid records are dropped and counted, outdated ones ignored.
+func (v *View) Merge(now float64, received []Record) {
+	v.beginStep(now)
+	changed := false
+	for _, r := range received {
 		if r.Check() != nil {
 			v.dropped++
-		} else if v.take(r) {
-			news = true
+		} else if v.mergeRecord(r) {
+			changed = true
 		}
 	}
-	if news { // danger: each record comes a dozen times, and summing up hundreds for each would starve a large fleet
-		v.end()
+	if changed { // each record arrives about a dozen times; a digest over hundreds of members for each would overload a large fleet
+		v.finishStep()
 	}
 }
 
-// take takes a record in, and tells whether it was news.
-func (v *View) take(r Record) bool {
-	e := v.table[r.Key]
+// mergeRecord merges a valid record and reports whether the view changed.
+func (v *View) mergeRecord(r Record) bool {
+	e := v.members[r.Key]
 	switch {
 	case r.Key == v.self:
-		return v.takeOwn(r)
-	case e == nil && len(v.table) >= MostMembers && !v.makeRoom():
+		return v.mergeOwn(r)
+	case e == nil && len(v.members) >= MaxMembers && !v.evictDeparted():
 		v.dropped++
 		return false
 	case e == nil:
-		e = &entry{Record: r, since: v.now, unseen: v.now, configAt: v.now, routesAt: v.now}
-		v.table[r.Key], v.order = e, nil
-		v.noteTaken(r, "")
+		e = &entry{Record: r, stateSince: v.now, unreachableSince: v.now, configAt: v.now, routesAt: v.now}
+		v.members[r.Key], v.sortedKeys = e, nil
+		v.noteMerged(r, "")
 	case r.compare(e.Record) <= 0 && !altered.Is("stale news wins"):
 		return false
 	default:
-		was := e.Record
+		before := e.Record
 		e.Record = r
-		e.acts(was, v.now)
-		if was.Process != r.Process {
-			e.unseen, e.reached, e.heard, e.heardAt, e.contact, e.answered = v.now, false, 0, 0, 0, false
-			v.noteTaken(r, "")
-			e.since = v.now
-		} else if was.State != r.State || was.Verdict != r.Verdict {
-			e.since = v.now
-			v.noteTaken(r, r.Why)
-		} else if was.Loser != r.Loser && r.Loser {
-			v.note(r.Key, "name taken", "serves on and takes no part")
+		e.noteVersionTimes(before, v.now)
+		if before.Process != r.Process {
+			e.unreachableSince, e.reached, e.peerDigest, e.peerDigestAt, e.contactAt, e.answered = v.now, false, 0, 0, 0, false
+			v.noteMerged(r, "")
+			e.stateSince = v.now
+		} else if before.State != r.State || before.Verdict != r.Verdict {
+			e.stateSince = v.now
+			v.noteMerged(r, r.Why)
+		} else if before.Loser != r.Loser && r.Loser {
+			v.addHistory(r.Key, "name taken", "serves on and takes no part")
 		}
 	}
-	v.tell(r.Key)
+	v.queueUpdate(r.Key)
 	return true
 }
 
-func (v *View) noteTaken(r Record, why string) {
-	v.changed = v.now
+func (v *View) noteMerged(r Record, why string) {
+	v.changedAt = v.now
 	what := r.State.String()
 	if r.Verdict != Fine && r.State != Left {
 		what = r.Verdict.String()
 	}
-	v.note(r.Key, what, why)
-	for k, e := range v.table {
+	v.addHistory(r.Key, what, why)
+	for k, e := range v.members {
 		if k.Name == r.Name && k != r.Key && e.Live() && r.Live() {
-			v.note(r.Key, "name in two places", "also "+k.String())
+			v.addHistory(r.Key, "name in two places", "also "+k.String())
 		}
 	}
 }
 
-// takeOwn hears what others tell of this process. It is the only one that may say anything of itself, so what they have that
-// is newer is answered by something newer still: a verdict, a predecessor's record, or what the other process of a hand-over
-// said that fell back.
-func (v *View) takeOwn(r Record) bool {
-	e := v.table[v.self]
+// mergeOwn handles a received record of this process itself. Only this process may change its record, so it overrides a newer one by
+// raising its Seq or incarnation. A newer one carries a verdict, is a predecessor's, or is from the other process of a handover that
+// fell back.
+func (v *View) mergeOwn(r Record) bool {
+	e := v.members[v.self]
 	if r.compare(e.Record) <= 0 {
 		return false
 	}
 	why := ""
 	switch {
 	case r.Process != e.Process:
-		// Its predecessor's, as nobody else can listen at this address; its clock was ahead of ours.
+		// The record is a predecessor's, since no other process can listen at this address; its clock was ahead.
 		e.Incarnation = r.Incarnation + 1
 	case r.Verdict != Fine:
 		why = "held as " + r.Verdict.String() + " by others, and refuted"
@@ -262,108 +261,108 @@
 	e.Seq = max(e.Seq, r.Seq) + 1
 	e.Verdict, e.Why = Fine, ""
 	if why != "" {
-		v.note(v.self, "refuted", why)
+		v.addHistory(v.self, "refuted", why)
 	}
-	v.tell(v.self)
+	v.queueUpdate(v.self)
 	return true
 }
 
-// makeRoom forgets the one that has been over for longest.
-func (v *View) makeRoom() bool {
+// evictDeparted deletes the member that departed first, and reports whether there was one.
+func (v *View) evictDeparted() bool {
 	var oldest *entry
-	for k, e := range v.table {
-		if k != v.self && e.Over() && (oldest == nil || e.since < oldest.since || e.since == oldest.since && e.Key.compare(oldest.Key) < 0) {
+	for k, e := range v.members {
+		if k != v.self && e.Departed() && (oldest == nil || e.stateSince < oldest.stateSince || e.stateSince == oldest.stateSince && e.Key.compare(oldest.Key) < 0) {
 			oldest = e
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	delete(v.table, oldest.Key)
-	v.order = nil
+	delete(v.members, oldest.Key)
+	v.sortedKeys = nil
 	return true
 }
 
-// Heard is what a member said that it holds.
-type Heard struct {
+// PeerDigest is the digest of its view that a peer reported.
+type PeerDigest struct {
 	Process uint64 `cbor:"1,keyasint"`
 	Digest  uint64 `cbor:"2,keyasint"`
 }
 
-// Sight is what the transport tells, by process.
-type Sight struct {
-	Reached []uint64 `cbor:"1,keyasint,omitempty"`
-	Doubted []uint64 `cbor:"2,keyasint,omitempty"` // reached, but not by a plain question
-	Heard   []Heard  `cbor:"3,keyasint,omitempty"`
+// Reachability is a report of the transport, by process id.
+type Reachability struct {
+	Reached    []uint64     `cbor:"1,keyasint,omitempty"`
+	Suspected  []uint64     `cbor:"2,keyasint,omitempty"` // did not answer a direct probe
+	PeerDigest []PeerDigest `cbor:"3,keyasint,omitempty"`
 }
 
-// Look takes in whom the transport reaches now. The transport has its own suspicions and second opinions: one
-// that is no longer among the reached has been suspected by it for as long as a suspicion lasts, and said nothing.
+// UpdateReachability applies a report of the transport, and passes verdicts on members that aren't reached. The transport has its own
+// suspicion time-out and indirect probes: a member that is no longer reached didn't answer for the whole time-out.
 //
-// Danger: a process that was stopped, or starved, finds every timer run out when it wakes, though it was itself that did not
-// answer. So after a gap it judges nobody for as long as others need to reach it.
-func (v *View) Look(now float64, s Sight) {
-	v.begin(now)
-	if v.now-v.looked > lookMost {
-		v.awake = v.now + grace
-		v.note(v.self, "stood still", fmt.Sprintf("for %.1f s; nobody is judged for %.0f s", v.now-v.looked, grace))
-		for _, e := range v.table {
-			if e.unseen != 0 {
-				e.unseen = v.now
+// A process that was stopped or got no CPU time finds all time-outs expired when it resumes, although it was the one that didn't
+// respond. So after a gap between reports it passes no verdicts for reachGraceS, in which members can be reached again.
+func (v *View) UpdateReachability(now float64, s Reachability) {
+	v.beginStep(now)
+	if v.now-v.reachabilityAt > maxReachabilityGapS {
+		v.noVerdictsUntil = v.now + reachGraceS
+		v.addHistory(v.self, "stood still", fmt.Sprintf("for %.1f s; nobody is judged for %.0f s", v.now-v.reachabilityAt, reachGraceS))
+		for _, e := range v.members {
+			if e.unreachableSince != 0 {
+				e.unreachableSince = v.now
 			}
 		}
 	}
-	v.looked = v.now
-	v.clashes = v.findClashes() // danger: for each record that comes, hundreds of members would have no time for anything else
-	in, doubted := set(s.Reached), set(s.Doubted)
-	digests := make(map[uint64]uint64, len(s.Heard))
-	for _, h := range s.Heard {
+	v.reachabilityAt = v.now
+	v.conflicts = v.findConflicts() // once per report, since a search for each received record would overload a fleet of hundreds
+	reached, suspected := processSet(s.Reached), processSet(s.Suspected)
+	digests := make(map[uint64]uint64, len(s.PeerDigest))
+	for _, h := range s.PeerDigest {
 		digests[h.Process] = h.Digest
 	}
-	met := false
-	for _, k := range v.keys() {
-		e := v.table[k]
+	reachedAny := false
+	for _, k := range v.memberKeys() {
+		e := v.members[k]
 		if k == v.self {
 			continue
 		}
-		if e.Over() {
-			e.reached, e.doubted = false, false
+		if e.Departed() {
+			e.reached, e.suspected = false, false
 			continue
 		}
 		if d, said := digests[e.Process]; said {
-			e.heard, e.heardAt = d, v.now
+			e.peerDigest, e.peerDigestAt = d, v.now
 		}
-		e.doubted = doubted[e.Process]
-		if e.doubted && altered.Is("no second opinion") {
-			v.judge(e, Failed, "not answered at once")
+		e.suspected = suspected[e.Process]
+		if e.suspected && altered.Is("no second opinion") {
+			v.setVerdict(e, Failed, "not answered at once")
 		}
-		if in[e.Process] {
-			met = true
-			e.reached, e.unseen = true, 0
+		if reached[e.Process] {
+			reachedAny = true
+			e.reached, e.unreachableSince = true, 0
 			if e.Verdict != Fine {
-				v.tell(k) // until it hears of it, and refutes it
+				v.queueUpdate(k) // sent until the member receives and refutes it
 			}
 			continue
 		}
-		was := e.reached
+		wasReached := e.reached
 		e.reached = false
-		if e.unseen == 0 {
-			e.unseen = v.now
+		if e.unreachableSince == 0 {
+			e.unreachableSince = v.now
 		}
-		if e.Verdict != Fine || v.now < v.awake || v.Self().Loser {
+		if e.Verdict != Fine || v.now < v.noVerdictsUntil || v.Self().Loser {
 			continue
 		}
-		if was || v.now-e.unseen > grace {
-			v.judge(e, Failed, "not reached by "+v.self.Name)
+		if wasReached || v.now-e.unreachableSince > reachGraceS {
+			v.setVerdict(e, Failed, "not reached by "+v.self.Name)
 		}
 	}
-	if v.Self().State == Joining && (met || v.now-v.begun > grace) {
-		v.say(func(r *Record) { r.State = Serving })
+	if v.Self().State == Joining && (reachedAny || v.now-v.startedAt > reachGraceS) {
+		v.changeSelf(func(r *Record) { r.State = Serving })
 	}
-	v.end()
+	v.finishStep()
 }
 
-func set(processes []uint64) map[uint64]bool {
+func processSet(processes []uint64) map[uint64]bool {
 	in := make(map[uint64]bool, len(processes))
 	for _, p := range processes {
 		in[p] = true
@@ -371,59 +370,60 @@
 	return in
 }
 
-func (v *View) judge(e *entry, verdict Verdict, why string) {
-	if len(why) > MostWhy {
-		why = why[:MostWhy]
+func (v *View) setVerdict(e *entry, verdict Verdict, why string) {
+	if len(why) > MaxWhyBytes {
+		why = why[:MaxWhyBytes]
 	}
-	e.Verdict, e.Why, e.since, v.changed = verdict, why, v.now, v.now
-	v.note(e.Key, verdict.String(), why)
-	v.tell(e.Key)
+	e.Verdict, e.Why, e.stateSince, v.changedAt = verdict, why, v.now, v.now
+	v.addHistory(e.Key, verdict.String(), why)
+	v.queueUpdate(e.Key)
 }
 
-// Refused takes in that the machine at a process's address says that nobody listens there. A process listens for as long as it
-// lives, and hands its listener over; so this one has ended.
-func (v *View) Refused(now float64, process uint64) {
-	v.begin(now)
-	for _, e := range v.table {
-		if e.Process == process && e.Key != v.self && !e.Over() {
-			v.judge(e, Gone, "its machine refuses connections, so it has ended; asked by "+v.self.Name)
+// ConnectionRefused records that the machine of a process refused a connection. A process listens until it ends or hands its listener
+// over, so the process has ended.
+func (v *View) ConnectionRefused(now float64, process uint64) {
+	v.beginStep(now)
+	for _, e := range v.members {
+		if e.Process == process && e.Key != v.self && !e.Departed() {
+			v.setVerdict(e, Gone, "its machine refuses connections, so it has ended; asked by "+v.self.Name)
 		}
 	}
-	v.end()
+	v.finishStep()
 }
 
-// The faults of Remove.
+// Reasons for which Remove refuses.
 const (
 	FaultUnknown = "no member has this name"
 	FaultAnswers = "it answers"
 	FaultSelf    = "it is this dispatcher"
 )
 
-// Remove says on staff's word that what ran under a name is gone for good. It returns why not, empty where it is done.
+// Remove sets the verdict Gone on all members with a name, as ordered by an operator. It returns the reason if it refuses, otherwise an
+// empty string.
 func (v *View) Remove(now float64, name string) string {
-	v.begin(now)
-	fault := FaultUnknown
-	for _, k := range v.keys() {
-		e := v.table[k]
+	v.beginStep(now)
+	refusal := FaultUnknown
+	for _, k := range v.memberKeys() {
+		e := v.members[k]
 		switch {
-		case k.Name != name || e.Over() && fault != FaultUnknown:
+		case k.Name != name || e.Departed() && refusal != FaultUnknown:
 		case k == v.self:
-			fault = FaultSelf
+			refusal = FaultSelf
 		case e.reached:
 			return FaultAnswers
-		case e.Over():
-			fault = ""
+		case e.Departed():
+			refusal = ""
 		default:
-			v.judge(e, Gone, "removed by staff at "+v.self.Name)
-			fault = ""
+			v.setVerdict(e, Gone, "removed by staff at "+v.self.Name)
+			refusal = ""
 		}
 	}
-	v.end()
-	return fault
+	v.finishStep()
+	return refusal
 }
 
-// Says is what a process says of itself beside its state.
-type Says struct {
+// SelfInfo is what a process reports of itself besides its state.
+type SelfInfo struct {
 	Generation int
 	Program    Version
 	Config     Version
@@ -431,11 +431,11 @@
 	Zone       string
 }
 
-// Say has this process say what it acts on, and whether its callers are sent away. A state that came later stays: one that is
-// stopping does not serve again.
-func (v *View) Say(now float64, s Says, sentAway bool) {
-	v.begin(now)
-	v.say(func(r *Record) {
+// UpdateSelf updates this process's own record. sentAway switches between Serving and SentAway; later states stay, so a stopping process
+// never serves again.
+func (v *View) UpdateSelf(now float64, s SelfInfo, sentAway bool) {
+	v.beginStep(now)
+	v.changeSelf(func(r *Record) {
 		r.Generation, r.Program, r.Config, r.Routes, r.Zone = s.Generation, s.Program, s.Config, s.Routes, s.Zone
 		if r.State == Serving && sentAway {
 			r.State = SentAway
@@ -443,43 +443,43 @@
 			r.State = Serving
 		}
 	})
-	v.end()
+	v.finishStep()
 }
 
-// Enter has this process say that it is stopping, or has left.
-func (v *View) Enter(now float64, s State) {
-	v.begin(now)
-	v.say(func(r *Record) { r.State = max(r.State, s) })
-	v.end()
+// AdvanceState sets this process's state unless it is already in a later one.
+func (v *View) AdvanceState(now float64, s State) {
+	v.beginStep(now)
+	v.changeSelf(func(r *Record) { r.State = max(r.State, s) })
+	v.finishStep()
 }
 
-// Acting is how many members may be acting now, this one among them: an upper bound. One counts until it left, or until it
-// surely acts no more; one that is only out of reach counts, since it may serve behind a partition.
+// Acting returns an upper bound of the number of members that may be acting now, this one included. Only departed members don't count; an
+// unreachable member may still serve behind a partition.
 func (v *View) Acting() (n int) {
 	if altered.Is("naive count") {
 		return v.Reached()
 	}
-	for _, e := range v.table {
-		if !e.Over() {
+	for _, e := range v.members {
+		if !e.Departed() {
 			n++
 		}
 	}
 	return n
 }
 
-// Reached is how many members were reached at the last look, this one among them: what a view without the bound would count.
+// Reached returns how many members were reached as of the last report, this one included.
 func (v *View) Reached() (n int) {
-	for _, e := range v.table {
-		if !e.Over() && e.reached {
+	for _, e := range v.members {
+		if !e.Departed() && e.reached {
 			n++
 		}
 	}
 	return n
 }
 
-func (v *View) sum() (d uint64) {
-	for _, e := range v.table {
-		if !e.Over() {
+func (v *View) computeDigest() (d uint64) {
+	for _, e := range v.members {
+		if !e.Departed() {
 			d += e.Record.digest() // commutative, so that no order is needed
 		}
 	}
@@ -489,57 +489,59 @@
 	return d
 }
 
-// Digest is of all members that are not over. Two views with one digest hold the same.
+// Digest returns a digest of the floors and of all members that have not departed. Views with equal digests hold the same.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Records are those of all other members, by key.
+// Records returns the records of all other members, ordered by key.
 func (v *View) Records() (all []Record) {
-	for _, k := range v.keys() {
+	for _, k := range v.memberKeys() {
 		if k != v.self {
-			all = append(all, v.table[k].Record)
+			all = append(all, v.members[k].Record)
 		}
 	}
 	return all
 }
 
-// keys are those of the table, sorted. They are not to be written to.
-func (v *View) keys() []Key {
-	if v.order == nil {
-		v.order = slices.SortedFunc(maps.Keys(v.table), Key.compare)
+// memberKeys returns the sorted keys of members. Callers must not modify the slice.
+func (v *View) memberKeys() []Key {
+	if v.sortedKeys == nil {
+		v.sortedKeys = slices.SortedFunc(maps.Keys(v.members), Key.compare)
 	}
-	return v.order
+	return v.sortedKeys
 }
 
-// News returns the records to be told to others since it was last called, by key.
-func (v *View) News() []Record {
+// RecordUpdates returns the records to be sent to others since the last call, ordered by key.
+func (v *View) RecordUpdates() []Record {
 	var all []Record
-	for k := range v.news {
-		if e := v.table[k]; e != nil {
+	for k := range v.pendingUpdates {
+		if e := v.members[k]; e != nil {
 			all = append(all, e.Record)
 		}
 	}
-	clear(v.news)
+	clear(v.pendingUpdates)
 	slices.SortFunc(all, func(a, b Record) int { return a.Key.compare(b.Key) })
 	return all
 }
 
-// Told returns what is told to a member that asks for everything.
-func (v *View) Told() []Record {
+// SyncRecords returns the records to send in a full-state exchange, ordered by key.
+func (v *View) SyncRecords() []Record {
 	var all []Record
-	for _, k := range v.keys() {
-		if e := v.table[k]; e.told(v.now, e.since) {
+	for _, k := range v.memberKeys() {
+		if e := v.members[k]; e.isShared(v.now, e.stateSince) {
 			all = append(all, e.Record)
 		}
 	}
 	return all
 }
 
-// told tells whether a record is told to others: one that is over only for some time.
-func (r Record) told(now, since float64) bool { return !r.Over() || now-since <= tellOver }
+// isShared reports whether a record is sent to others. A departed member is sent for a limited time only.
+func (r Record) isShared(now, since float64) bool {
+	return !r.Departed() || now-since <= shareDepartedS
+}
 
-// Fresh returns the changes since it was last called.
-func (v *View) Fresh() []Change {
-	all := v.fresh
-	v.fresh = nil
+// NewChanges returns the changes since the last call.
+func (v *View) NewChanges() []Change {
+	all := v.unreported
+	v.unreported = nil
 	return all
 }
