--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -92,8 +92,8 @@
 	unlogged int
 }
 
-// NewProcess draws a process's number.
-func NewProcess() uint64 { return rand.Uint64()>>(64-drawnBits) | 1 }
+// NewProcessID draws a process's number.
+func NewProcessID() uint64 { return rand.Uint64()>>(64-drawnBits) | 1 }
 
 // New makes a member. Nothing runs yet. process is a new one's, or its predecessor's, as the sockets are.
 func New(cfg Config, s *Sockets, process uint64, taken bool, clock func() float64, post func(core.Event), log logrus.FieldLogger) *Node {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -100,7 +100,7 @@
 		if s, err = Listen(cfg.Listen); err != nil {
 			t.Fatal(err)
 		}
-		process = NewProcess()
+		process = NewProcessID()
 	}
 	return begin(t, cfg, s, process, taken, view)
 }
@@ -108,7 +108,7 @@
 // memberAt starts one on sockets of its own.
 func memberAt(t *testing.T, cfg Config, s *Sockets) *body {
 	t.Helper()
-	return begin(t, cfg, s, NewProcess(), false, nil)
+	return begin(t, cfg, s, NewProcessID(), false, nil)
 }
 
 func begin(t *testing.T, cfg Config, s *Sockets, process uint64, taken bool, view *membership.View) *body {
@@ -292,7 +292,7 @@
 	for _, fd := range files.FDs {
 		received.FDs = append(received.FDs, dup(t, fd))
 	}
-	taken, err := Take(st, received)
+	taken, err := ImportSockets(st, received)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upgrade/pipe.go
+++ b/internal/upgrade/pipe.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	if len(text) > snapshot.MostBytes {
+	if len(text) > snapshot.MaxBytes {
 		return fmt.Errorf("%w: a message of %d bytes", snapshot.ErrTooLarge, len(text))
 	}
 	head := binary.BigEndian.AppendUint32([]byte{kind}, uint32(len(text)))
--- a/internal/upgrade/taker.go
+++ b/internal/upgrade/taker.go
@@ -74,7 +74,7 @@
 	t := &Taken{pipe: p, Files: gate.Receive()}
 	var twin *core.Reducer
 	for {
-		m, err := p.Receive(snapshot.MostBytes)
+		m, err := p.Receive(snapshot.MaxBytes)
 		if err != nil {
 			return nil, fmt.Errorf("the old process said no more: %w", err)
 		}
@@ -183,7 +183,7 @@
 	if err := t.pipe.Send(NeedState{}); err != nil {
 		return nil, err
 	}
-	m, err := t.pipe.Receive(snapshot.MostBytes)
+	m, err := t.pipe.Receive(snapshot.MaxBytes)
 	if err != nil {
 		return nil, err
 	}
