--- a/internal/gossip/effects.go
+++ b/internal/gossip/effects.go
@@ -10,39 +10,39 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// Perform carries out an effect of the reducer's. It does not block.
+// Perform carries out an effect of the reducer. It doesn't block.
 func (n *Node) Perform(e core.Effect) {
 	switch e := e.(type) {
 	case core.FleetNews:
 		for _, r := range e.Records {
-			if text, err := pack([]membership.Record{r}); err == nil {
-				n.queue.QueueBroadcast(&news{key: r.Key.String(), text: text})
+			if text, err := encodeRecords([]membership.Record{r}); err == nil {
+				n.queue.QueueBroadcast(&broadcast{key: r.Key.String(), text: text})
 			}
 		}
 	case core.FloorsNews:
-		if text, err := packAll(nil, e.Floors, nil); err == nil {
-			n.queue.QueueBroadcast(&news{text: text})
+		if text, err := encodeState(nil, e.Floors, nil); err == nil {
+			n.queue.QueueBroadcast(&broadcast{text: text})
 		}
 	case core.HintsNews:
-		for some := range slices.Chunk(e.Hints, hintsEach) {
-			if text, err := packHints(some); err == nil {
-				n.queue.QueueBroadcast(&news{text: text})
+		for some := range slices.Chunk(e.Hints, hintsPerDatagram) {
+			if text, err := encodeHints(some); err == nil {
+				n.queue.QueueBroadcast(&broadcast{text: text})
 			}
 		}
 	case core.ConfigHeld:
 		n.held.Store(&e)
 	case core.FetchConfig:
-		n.fetch(e)
+		n.requestConfig(e)
 	case core.AskHints:
 		if m := n.node(e.Process); m != nil {
-			n.send(m, message{Version: protocolVersion, Behind: &behind{Process: n.process}})
+			n.send(m, message{Version: protocolVersion, HintsRequest: &hintsRequest{Process: n.process}})
 		}
 	case core.FleetPictured:
 		n.picture.Store(&e.Picture)
 		n.hints.Store(&e.Hints)
 		for _, m := range e.Picture.Members {
-			if m.Self && m.State == membership.Left && !n.ended {
-				n.ended = true
+			if m.Self && m.State == membership.Left && !n.leftClosed {
+				n.leftClosed = true
 				close(n.left)
 			}
 		}
@@ -50,21 +50,21 @@
 	}
 }
 
-// logChanges writes what is new in a picture to the log. Danger: a large fleet that comes up, or flaps, would fill it, so only so many lines are
-// written.
+// logChanges logs the changes that are new in a picture. The number of lines is limited, since a large fleet that starts or flaps would
+// flood the log.
 func (n *Node) logChanges(e core.FleetPictured) {
 	now := time.Now()
-	n.lines = min(mostLines, n.lines+now.Sub(n.linesAt).Seconds()*linesAS)
-	n.linesAt = now
+	n.logTokens = min(maxLogBurst, n.logTokens+now.Sub(n.logTokensAt).Seconds()*logLinesPerS)
+	n.logTokensAt = now
 	for _, c := range e.Fresh {
-		if n.lines < 1 {
-			n.unlogged++
+		if n.logTokens < 1 {
+			n.unloggedChanges++
 			continue
 		}
-		n.lines--
-		if n.unlogged > 0 {
-			n.log.WithField("changes", n.unlogged).Info("fleet: more changed than is logged; see fleet events")
-			n.unlogged = 0
+		n.logTokens--
+		if n.unloggedChanges > 0 {
+			n.log.WithField("changes", n.unloggedChanges).Info("fleet: further changes were not logged; see fleet events")
+			n.unloggedChanges = 0
 		}
 		n.log.WithFields(logrus.Fields{"member": c.Key.Name, "addr": c.Key.Addr, "what": c.What, "why": c.Why,
 			"acting": e.Picture.Acting, "reached": e.Picture.Reached}).Info("fleet")
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -12,13 +12,14 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-type packed struct {
+// cachedState is the encoded full state of a view with this digest.
+type cachedState struct {
 	digest uint64
 	at     time.Time
 	text   []byte
 }
 
-// exchange tells and hears everything, with members whose digests differ from this one's.
+// exchange performs full-state exchanges with members whose digests differ.
 func (n *Node) exchange(ctx context.Context) {
 	for {
 		select {
@@ -30,19 +31,19 @@
 	}
 }
 
-// The library's delegates.
+// memberlist's delegate methods.
 
-// NodeMeta tells nothing: the view says it all.
+// NodeMeta returns no metadata, since the records contain everything.
 func (n *Node) NodeMeta(int) []byte { return nil }
 
-// NotifyMsg takes what another member tells.
-func (n *Node) NotifyMsg(text []byte) { n.hear(text) }
+// NotifyMsg handles a message from another member.
+func (n *Node) NotifyMsg(text []byte) { n.handleMessage(text) }
 
-func (n *Node) hear(text []byte) {
-	p, err := unpack(text)
+func (n *Node) handleMessage(text []byte) {
+	p, err := decodeMessage(text)
 	if err != nil {
-		if n.foreign.Add(1)&(n.foreign.Load()-1) == 0 { // at 1, 2, 4, 8 ...
-			n.log.WithError(err).WithField("count", n.foreign.Load()).Warn("fleet: news that can't be read")
+		if n.unreadable.Add(1)&(n.unreadable.Load()-1) == 0 { // at 1, 2, 4, 8 ...
+			n.log.WithError(err).WithField("count", n.unreadable.Load()).Warn("fleet: cannot decode message")
 		}
 		return
 	}
@@ -52,38 +53,38 @@
 	if len(p.Floors) > 0 {
 		n.post(core.FleetFloored{Floors: p.Floors})
 	}
-	if p.Ask != nil {
-		n.answer(*p.Ask)
+	if p.Poll != nil {
+		n.replyToPoll(*p.Poll)
 	}
-	if p.Answer != nil {
-		n.post(core.FleetContacted{Contact: *p.Answer})
+	if p.PollReply != nil {
+		n.post(core.FleetContacted{Contact: *p.PollReply})
 	}
-	if p.Want != nil {
-		n.asked(*p.Want)
+	if p.ConfigRequest != nil {
+		n.enqueueConfigRequest(*p.ConfigRequest)
 	}
-	if p.Behind != nil {
-		n.giveHints(p.Behind.Process)
+	if p.HintsRequest != nil {
+		n.sendHints(p.HintsRequest.Process)
 	}
-	if p.Given != nil {
-		n.given(*p.Given)
+	if p.ConfigReply != nil {
+		n.configReply(*p.ConfigReply)
 	}
 	if len(p.Hints) > 0 && !altered.Is("deaf to drains") {
 		n.post(core.FleetHinted{Hints: p.Hints})
 	}
 }
 
-// GetBroadcasts gives what is to be told with the library's own messages.
+// GetBroadcasts returns updates to piggyback on memberlist's messages.
 func (n *Node) GetBroadcasts(overhead, limit int) [][]byte {
 	return n.queue.GetBroadcasts(overhead, limit)
 }
 
-// LocalState is everything, for an exchange.
+// LocalState returns the encoded full state for an exchange.
 func (n *Node) LocalState(bool) []byte {
 	p := n.picture.Load()
 	if p == nil {
 		return nil
 	}
-	if held := n.packed.Load(); held != nil && held.digest == p.Digest && time.Since(held.at) < time.Second {
+	if held := n.cachedState.Load(); held != nil && held.digest == p.Digest && time.Since(held.at) < time.Second {
 		return held.text
 	}
 	floors := slices.Clone(p.Floors)
@@ -91,48 +92,48 @@
 		floors[i].Age += max(0, n.clock()-p.FloorsAt)
 	}
 	var hints []core.Hint
-	if told := n.hints.Load(); told != nil {
-		hints = *told
+	if recent := n.hints.Load(); recent != nil {
+		hints = *recent
 	}
-	text, err := packAll(p.SyncRecords(), floors, hints)
+	text, err := encodeState(p.SyncRecords(), floors, hints)
 	if err != nil {
 		return nil
 	}
-	n.packed.Store(&packed{p.Digest, time.Now(), text})
+	n.cachedState.Store(&cachedState{p.Digest, time.Now(), text})
 	return text
 }
 
-// MergeRemoteState takes everything that another member tells.
+// MergeRemoteState handles the full state of another member.
 func (n *Node) MergeRemoteState(text []byte, _ bool) {
 	if len(text) > 0 {
-		n.hear(text)
+		n.handleMessage(text)
 	}
 }
 
-// AckPayload goes with each answer to a question: the digest of what is held here.
+// AckPayload returns the digest of the local view, sent with each ack of a probe.
 func (n *Node) AckPayload() []byte {
 	p := n.picture.Load()
 	if p == nil {
 		return nil
 	}
-	return digestText(p.Digest)
+	return encodeDigest(p.Digest)
 }
 
-// NotifyPingComplete hears what another member holds. Where that differs, both tell each other everything.
+// NotifyPingComplete records the digest that a member sent with its ack, and starts a full-state exchange if it differs.
 func (n *Node) NotifyPingComplete(other *memberlist.Node, _ time.Duration, payload []byte) {
-	digest, ok := digestOf(payload)
+	digest, ok := decodeDigest(payload)
 	process, named := processOf(other.Name)
 	p := n.picture.Load()
 	if !ok || !named || p == nil {
 		return
 	}
 	n.mu.Lock()
-	n.heard[process] = digest
-	due := digest != p.Digest && time.Since(n.synced[process]) > syncPause
+	n.peerDigests[process] = digest
+	due := digest != p.Digest && time.Since(n.syncedAt[process]) > minSyncInterval
 	if due {
-		n.synced[process] = time.Now()
-		if len(n.synced) > 2*membership.MaxMembers {
-			clear(n.synced)
+		n.syncedAt[process] = time.Now()
+		if len(n.syncedAt) > 2*membership.MaxMembers {
+			clear(n.syncedAt)
 		}
 	}
 	n.mu.Unlock()
@@ -144,17 +145,17 @@
 	}
 }
 
-// news is a record on its way, or hints, which have no key. A newer record of the same member takes its place.
-type news struct {
+// broadcast is a queued record, or hints or floors, which have no key. A newer record of a member replaces a queued one.
+type broadcast struct {
 	key  string
 	text []byte
 }
 
-func (b *news) Invalidates(o memberlist.Broadcast) bool {
-	other, ok := o.(*news)
+func (b *broadcast) Invalidates(o memberlist.Broadcast) bool {
+	other, ok := o.(*broadcast)
 	return ok && b.key != "" && other.key == b.key
 }
 
-func (b *news) Message() []byte { return b.text }
+func (b *broadcast) Message() []byte { return b.text }
 
-func (b *news) Finished() {}
+func (b *broadcast) Finished() {}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,6 +1,6 @@
-// Package gossip is a member's way to the other dispatchers of its fleet: memberlist's protocol (SWIM with Lifeguard) as it is,
-// with the view's records in CBOR beside it. It tells the reducer whom it reaches and what others say, and others what the
-// reducer says; it decides nothing.
+// Package gossip connects a dispatcher to the other members of its fleet: memberlist's unmodified protocol (SWIM with Lifeguard)
+// carries the view's records in CBOR. It reports reachability and received records to the reducer and sends the reducer's updates;
+// it makes no decisions.
 package gossip
 
 import (
@@ -26,86 +26,87 @@
 )
 
 const (
-	lookEvery  = 500 * time.Millisecond
-	askEvery   = time.Second
-	syncPause  = time.Second     // between two exchanges with one member
-	seekLeast  = time.Second     // between two tries to meet those out of reach, growing to
-	seekMost   = 5 * time.Second // which bounds how long after a partition two sides meet
-	seekAtOnce = 3               // addresses for each try
-	meetMost   = 3 * time.Second // for a successor to meet somebody before it says whom it reaches
-	leaveMost  = 500 * time.Millisecond
-	mostLines  = 50 // of the log at once
-	linesAS    = 5  // and for good
-	silentFor  = 10 // times the pause between two questions, without any word from anybody, until nobody is reached
-	leaveTo    = 3  // members that are told of a leave one by one
-	retransmit = 4
-	dialMost   = 2 * time.Second
-	drawnBits  = 62 // of a process's number
+	reportInterval    = 500 * time.Millisecond
+	pollInterval      = time.Second
+	minSyncInterval   = time.Second     // between two full-state exchanges with a member
+	minRejoinInterval = time.Second     // first pause between attempts to reach unreachable members, doubled up to maxRejoinInterval
+	maxRejoinInterval = 5 * time.Second // bounds how long after a partition the two sides rejoin
+	rejoinBatch       = 3               // addresses tried per attempt
+	maxSuccessorDelay = 3 * time.Second // how long a successor waits to reach a member before it reports reachability
+	leaveTimeout      = 500 * time.Millisecond
+	maxLogBurst       = 50 // log lines in a burst
+	logLinesPerS      = 5  // sustained
+	silentProbes      = 10 // probe intervals without any datagram received, after which all members count as unreachable
+	leaveNotifyCount  = 3  // members that are notified of a leave directly
+	retransmitMult    = 4
+	dialTimeout       = 2 * time.Second
+	processIDBits     = 62 // length of a process id
 )
 
-// Config says how a member takes part.
+// Config configures a member.
 type Config struct {
-	Fleet     string         // that both sides must say
+	Fleet     string         // fleet name; members with another one are ignored
 	Name      string         // of this dispatcher
-	Listen    netip.AddrPort // for datagrams and connections
-	Advertise netip.AddrPort // where others find it; the zero value for Listen
+	Listen    netip.AddrPort // UDP and TCP address
+	Advertise netip.AddrPort // address advertised to others; the zero value means Listen
 	Seeds     []string       // host:port
-	Allow     []netip.Prefix // of peers; empty for loopback and private addresses
-	Probe     time.Duration  // between two questions
-	Lease     time.Duration  // for which this member may act without touch with the fleet; 0 for any time
+	Allow     []netip.Prefix // allowed peers; empty means loopback and private addresses
+	Probe     time.Duration  // probe interval
+	Lease     time.Duration  // how long this member may act without contact with a majority; 0 for no limit
 }
 
-func near(a netip.Addr) bool { return a.IsLoopback() || a.IsPrivate() }
+func isLocalAddr(a netip.Addr) bool { return a.IsLoopback() || a.IsPrivate() }
 
-// Node is this process as a member.
+// Node is this process as a member of the fleet.
 type Node struct {
-	cfg     atomic.Pointer[Config]
-	process uint64
-	t       *transport
-	post    func(core.Event)
-	clock   func() float64 // the reducer's
-	log     logrus.FieldLogger
-	list    *memberlist.Memberlist
-	queue   *memberlist.TransmitLimitedQueue
-	taken   bool // over from another process
+	cfg       atomic.Pointer[Config]
+	process   uint64
+	t         *transport
+	post      func(core.Event)
+	clock     func() float64 // the reducer's clock, in seconds
+	log       logrus.FieldLogger
+	list      *memberlist.Memberlist
+	queue     *memberlist.TransmitLimitedQueue
+	inherited bool // the sockets come from a predecessor
 
-	picture atomic.Pointer[membership.Picture]
-	hints   atomic.Pointer[[]core.Hint]
-	packed  atomic.Pointer[packed] // what Told says, written down
-	foreign atomic.Uint64          // messages that can't be read
-	dropped atomic.Uint64          // questions for a configuration, and answers, that were dropped
-	held    atomic.Pointer[core.ConfigHeld]
-	asking  atomic.Pointer[core.FetchConfig] // what was asked for last
-	giving  giving
+	picture         atomic.Pointer[membership.Picture]
+	hints           atomic.Pointer[[]core.Hint]
+	cachedState     atomic.Pointer[cachedState] // encoded full state
+	unreadable      atomic.Uint64               // undecodable messages
+	dropped         atomic.Uint64               // configuration requests and replies that were dropped
+	held            atomic.Pointer[core.ConfigHeld]
+	requestedConfig atomic.Pointer[core.FetchConfig] // last configuration requested
+	configServer    configServer
 
-	mu      sync.Mutex
-	heard   map[uint64]uint64 // digests that were told since the last look
-	doubted map[uint64]bool
-	synced  map[uint64]time.Time
-	wake    chan struct{}
-	sync    chan string   // addresses to exchange everything with
-	left    chan struct{} // closed when the reducer has entered Left
-	ended   bool          // it is; of the reducer's goroutine, as are those below
+	mu          sync.Mutex
+	peerDigests map[uint64]uint64 // digests received since the last report, by process
+	suspected   map[uint64]bool
+	syncedAt    map[uint64]time.Time
+	wake        chan struct{}
+	sync        chan string   // addresses for full-state exchanges
+	left        chan struct{} // closed once the reducer is in state Left
+	leftClosed  bool          // left is closed; this and the fields below belong to the reducer's goroutine
 
-	lines    float64 // that may be logged now
-	linesAt  time.Time
-	unlogged int
+	logTokens       float64 // lines that may be logged now
+	logTokensAt     time.Time
+	unloggedChanges int
 }
 
-// NewProcessID draws a process's number.
-func NewProcessID() uint64 { return rand.Uint64()>>(64-drawnBits) | 1 }
+// NewProcessID returns a random id, never 0.
+func NewProcessID() uint64 { return rand.Uint64()>>(64-processIDBits) | 1 }
 
-// New makes a member. Nothing runs yet. process is a new one's, or its predecessor's, as the sockets are.
-func New(cfg Config, s *Sockets, process uint64, taken bool, clock func() float64, post func(core.Event), log logrus.FieldLogger) *Node {
-	n := &Node{process: process, clock: clock, post: post, log: log, taken: taken, heard: map[uint64]uint64{}, doubted: map[uint64]bool{},
-		synced: map[uint64]time.Time{}, wake: make(chan struct{}, 1), sync: make(chan string, 8), left: make(chan struct{}), giving: giving{queue: make(chan want, mostGive)}}
-	n.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: retransmit, NumNodes: func() int { return max(1, n.size()) }}
+// New returns a node, which starts with Run. process is a new id, or the predecessor's if the sockets are inherited. clock returns the
+// reducer's time in seconds.
+func New(cfg Config, s *Sockets, process uint64, inherited bool, clock func() float64, post func(core.Event), log logrus.FieldLogger) *Node {
+	n := &Node{process: process, clock: clock, post: post, log: log, inherited: inherited, peerDigests: map[uint64]uint64{}, suspected: map[uint64]bool{},
+		syncedAt: map[uint64]time.Time{}, wake: make(chan struct{}, 1), sync: make(chan string, 8), left: make(chan struct{}), configServer: configServer{queue: make(chan configRequest, maxQueuedRequests)}}
+	n.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: retransmitMult, NumNodes: func() int { return max(1, n.size()) }}
 	n.cfg.Store(&cfg)
 	n.t = newTransport(s, cfg.advertised(s), n.allowed)
 	n.t.refused = func(p uint64) { n.post(core.FleetRefused{Process: p}) }
-	n.t.doubted = func(p uint64) {
+	n.t.suspected = func(p uint64) {
 		n.mu.Lock()
-		n.doubted[p] = true
+		n.suspected[p] = true
 		n.mu.Unlock()
 	}
 	return n
@@ -118,7 +119,7 @@
 	return s.Addr()
 }
 
-// Key is how others name this member.
+// Key returns the key of this member in the views.
 func (n *Node) Key() membership.Key {
 	return membership.Key{Name: n.cfg.Load().Name, Addr: n.t.advertise.String()}
 }
@@ -126,7 +127,7 @@
 func (n *Node) allowed(a netip.Addr) bool {
 	c := n.cfg.Load()
 	if len(c.Allow) == 0 {
-		return near(a)
+		return isLocalAddr(a)
 	}
 	for _, p := range c.Allow {
 		if p.Contains(a) {
@@ -136,13 +137,13 @@
 	return false
 }
 
-// Configure changes seeds and allowed addresses. It tells which other keys differ, that only a restart applies.
+// Configure applies new seeds and allowed addresses. It reports whether other settings differ, which need a restart.
 func (n *Node) Configure(next Config) (restart bool) {
 	now := *n.cfg.Load()
 	restart = next.Fleet != now.Fleet || next.Listen != now.Listen || next.Advertise != now.Advertise || next.Probe != now.Probe
 	now.Seeds, now.Allow = next.Seeds, next.Allow
 	n.cfg.Store(&now)
-	n.nudge()
+	n.triggerReport()
 	return restart
 }
 
@@ -150,7 +151,7 @@
 	return name + "~" + strconv.FormatUint(process, 16)
 }
 
-// processOf reads a process's number out of a name of the library's.
+// processOf returns the process id in a memberlist node name.
 func processOf(node string) (uint64, bool) {
 	at := strings.LastIndexByte(node, '~')
 	if at < 0 {
@@ -160,7 +161,7 @@
 	return p, err == nil && p != 0
 }
 
-// Run takes part until the context ends.
+// Run takes part in the fleet until the context ends. It returns an error if memberlist can't be started.
 func (n *Node) Run(ctx context.Context) error {
 	cfg := n.cfg.Load()
 	c := memberlist.DefaultLANConfig()
@@ -168,9 +169,9 @@
 	c.BindAddr, c.BindPort = n.t.Addr().Addr().String(), int(n.t.Addr().Port())
 	c.AdvertiseAddr, c.AdvertisePort = n.t.advertise.Addr().String(), int(n.t.advertise.Port())
 	c.ProbeInterval, c.ProbeTimeout = cfg.Probe, cfg.Probe/2
-	c.TCPTimeout = dialMost
+	c.TCPTimeout = dialTimeout
 	c.EnableCompression = false
-	c.Logger = log.New(&lines{log: n.log}, "", 0)
+	c.Logger = log.New(&debugLogger{log: n.log}, "", 0)
 	c.Delegate, c.Ping, c.Events = n, n, n
 	c.DNSConfigPath = "/etc/resolv.conf"
 	n.t.run()
@@ -183,10 +184,10 @@
 	n.list = list
 	n.mu.Unlock()
 	go n.exchange(ctx)
-	go n.seek(ctx)
-	go n.ask(ctx)
-	go n.give(ctx)
-	n.look(ctx)
+	go n.rejoin(ctx)
+	go n.poll(ctx)
+	go n.serveConfigs(ctx)
+	n.reportReachability(ctx)
 	list.Shutdown()
 	return nil
 }
@@ -198,7 +199,7 @@
 	return 1
 }
 
-// node is the library's word for a process; nil where it reaches none of that number.
+// node returns memberlist's node of a process, or nil if memberlist doesn't reach it.
 func (n *Node) node(process uint64) *memberlist.Node {
 	n.mu.Lock()
 	list := n.list
@@ -220,22 +221,22 @@
 	}
 }
 
-// Picture is the view as it was last told; nil before that.
+// Picture returns the reducer's latest picture of the view, or nil before the first.
 func (n *Node) Picture() *membership.Picture { return n.picture.Load() }
 
-// Counts are what was counted since this process began.
+// Counts returns the counters since this process started.
 func (n *Node) Counts() Counts {
 	t := n.t
-	return Counts{Sent: t.sent.Load(), SentBytes: t.sentBytes.Load(), Taken: t.taken.Load(), TakenBytes: t.takenBytes.Load(),
-		Opened: t.opened.Load(), Strangers: t.strangers.Load(), Full: t.full.Load(), Unreadable: n.foreign.Load(), Dropped: n.dropped.Load()}
+	return Counts{Sent: t.sent.Load(), SentBytes: t.sentBytes.Load(), Taken: t.received.Load(), TakenBytes: t.receivedBytes.Load(),
+		Opened: t.opened.Load(), Strangers: t.strangers.Load(), Full: t.full.Load(), Unreadable: n.unreadable.Load(), Dropped: n.dropped.Load()}
 }
 
-// Leave says to others that this process ends in order, and acts no more.
+// Leave notifies others that this process shuts down in order and acts no more.
 func (n *Node) Leave() {
 	n.post(core.FleetEntered{State: membership.Left})
 	select {
 	case <-n.left:
-	case <-time.After(leaveMost):
+	case <-time.After(leaveTimeout):
 		return
 	}
 	n.mu.Lock()
@@ -245,25 +246,25 @@
 	if list == nil || p == nil {
 		return
 	}
-	// Danger: gossip goes on only for as long as this process does, so some are told directly.
-	text, err := pack(p.SyncRecords())
-	told := 0
+	// Gossip ends with this process, so some members are notified directly.
+	text, err := encodeRecords(p.SyncRecords())
+	notified := 0
 	for _, m := range list.Members() {
-		if process, ok := processOf(m.Name); err == nil && ok && process != n.process && told < leaveTo {
+		if process, ok := processOf(m.Name); err == nil && ok && process != n.process && notified < leaveNotifyCount {
 			if list.SendReliable(m, text) == nil {
-				told++
+				notified++
 			}
 		}
 	}
-	list.Leave(leaveMost)
+	list.Leave(leaveTimeout)
 }
 
-// lines writes the library's log into ours, as debugging: what matters is told by the view.
-type lines struct{ log logrus.FieldLogger }
+// debugLogger writes memberlist's log lines at debug level; relevant changes are logged from the view.
+type debugLogger struct{ log logrus.FieldLogger }
 
-var _ io.Writer = (*lines)(nil)
+var _ io.Writer = (*debugLogger)(nil)
 
-func (l *lines) Write(text []byte) (int, error) {
+func (l *debugLogger) Write(text []byte) (int, error) {
 	l.log.Debug(string(bytes.TrimSpace(text)))
 	return len(text), nil
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -20,28 +20,28 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// body is a member with a view, in the place of a reducer.
-type body struct {
+// testNode is a node with a view in place of the reducer.
+type testNode struct {
 	*Node
 	mu   sync.Mutex
 	view *membership.View
 	end  context.CancelFunc
 	done chan struct{}
 
-	hints   []core.Hint       // that it tells
-	onHints func([]core.Hint) // with mu held; nil for nothing
+	hints   []core.Hint       // known drains
+	onHints func([]core.Hint) // called with mu held; may be nil
 }
 
 var (
-	began       = time.Now()
-	bubbleBegan = time.Date(2000, time.January, 1, 0, 0, 0, 0, time.UTC) // of testing/synctest
+	startTime         = time.Now()
+	synctestStartTime = time.Date(2000, time.January, 1, 0, 0, 0, 0, time.UTC) // initial time of testing/synctest
 )
 
 func seconds() float64 {
-	if elapsed := time.Since(began); elapsed >= 0 {
+	if elapsed := time.Since(startTime); elapsed >= 0 {
 		return elapsed.Seconds() + 1
 	}
-	return time.Since(bubbleBegan).Seconds() + 1
+	return time.Since(synctestStartTime).Seconds() + 1
 }
 
 func silent() logrus.FieldLogger {
@@ -50,7 +50,7 @@
 	return l
 }
 
-func (b *body) post(ev core.Event) {
+func (b *testNode) post(ev core.Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch ev := ev.(type) {
@@ -72,10 +72,10 @@
 		b.view.AdvanceState(seconds(), ev.State)
 	}
 	_, looked := ev.(core.FleetLooked)
-	b.tell(looked)
+	b.performUpdates(looked)
 }
 
-func (b *body) tell(looked bool) {
+func (b *testNode) performUpdates(looked bool) {
 	if floors := b.view.FloorUpdates(); len(floors) > 0 {
 		b.Perform(core.FloorsNews{Floors: floors})
 	}
@@ -87,12 +87,12 @@
 	}
 }
 
-func config(name string, seeds ...string) Config {
+func testConfig(name string, seeds ...string) Config {
 	return Config{Fleet: "test", Name: name, Listen: netip.AddrPortFrom(loopback.Host(), 0), Seeds: seeds, Probe: 100 * time.Millisecond}
 }
 
-// member starts one; s and process are a predecessor's, or nil and 0.
-func member(t *testing.T, cfg Config, s *Sockets, process uint64, view *membership.View) *body {
+// startMember starts a node; s and process are a predecessor's, or nil and 0.
+func startMember(t *testing.T, cfg Config, s *Sockets, process uint64, view *membership.View) *testNode {
 	t.Helper()
 	taken := s != nil
 	if s == nil {
@@ -102,18 +102,18 @@
 		}
 		process = NewProcessID()
 	}
-	return begin(t, cfg, s, process, taken, view)
+	return startNode(t, cfg, s, process, taken, view)
 }
 
-// memberAt starts one on sockets of its own.
-func memberAt(t *testing.T, cfg Config, s *Sockets) *body {
+// startMemberOn starts a new node on the given sockets.
+func startMemberOn(t *testing.T, cfg Config, s *Sockets) *testNode {
 	t.Helper()
-	return begin(t, cfg, s, NewProcessID(), false, nil)
+	return startNode(t, cfg, s, NewProcessID(), false, nil)
 }
 
-func begin(t *testing.T, cfg Config, s *Sockets, process uint64, taken bool, view *membership.View) *body {
+func startNode(t *testing.T, cfg Config, s *Sockets, process uint64, taken bool, view *membership.View) *testNode {
 	t.Helper()
-	b := &body{view: view, done: make(chan struct{})}
+	b := &testNode{view: view, done: make(chan struct{})}
 	b.Node = New(cfg, s, process, taken, seconds, b.post, silent())
 	if b.view == nil {
 		var err error
@@ -122,7 +122,7 @@
 		}
 	}
 	b.mu.Lock()
-	b.tell(true)
+	b.performUpdates(true)
 	b.mu.Unlock()
 	ctx, end := context.WithCancel(context.Background())
 	b.end = end
@@ -136,7 +136,7 @@
 	return b
 }
 
-// waitUntil waits until something is so, and fails where it never is.
+// waitUntil waits until a condition holds, and fails the test after 20 s.
 func waitUntil(t *testing.T, what string, so func() bool) {
 	t.Helper()
 	waitWithin(t, 20*time.Second, what, so)
@@ -147,13 +147,13 @@
 	until := time.Now().Add(most)
 	for !so() {
 		if time.Now().After(until) {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting until: " + what)
 		}
-		time.Sleep(10 * time.Millisecond) // between two looks at what comes from other goroutines
+		time.Sleep(10 * time.Millisecond) // poll interval
 	}
 }
 
-func (b *body) holds(live ...string) bool {
+func (b *testNode) holds(live ...string) bool {
 	var got []string
 	for _, m := range b.Picture().Members {
 		if m.Live() {
@@ -165,43 +165,44 @@
 	return slices.Equal(got, live)
 }
 
-func (b *body) at() string { return b.t.advertise.String() }
+func (b *testNode) at() string { return b.t.advertise.String() }
 
-// TestMembersMeet, one leaves, and one ends without a word: its machine's refusal is evidence.
+// TestMembersMeet checks that members find each other, that one leaves, and that one which ends without notice is detected by its machine's
+// refusal of connections.
 func TestMembersMeet(t *testing.T) {
-	a := member(t, config("a"), nil, 0, nil)
-	b := member(t, config("b", a.at()), nil, 0, nil)
-	c := member(t, config("c", "127.0.0.1:1", a.at()), nil, 0, nil) // a seed that is down, and one that is up
-	for _, x := range []*body{a, b, c} {
-		waitUntil(t, "all hold all", func() bool { return x.holds("a", "b", "c") })
+	a := startMember(t, testConfig("a"), nil, 0, nil)
+	b := startMember(t, testConfig("b", a.at()), nil, 0, nil)
+	c := startMember(t, testConfig("c", "127.0.0.1:1", a.at()), nil, 0, nil) // one dead seed and a live one
+	for _, x := range []*testNode{a, b, c} {
+		waitUntil(t, "each member holds all", func() bool { return x.holds("a", "b", "c") })
 	}
-	waitUntil(t, "all hold the same", func() bool {
+	waitUntil(t, "all digests are equal", func() bool {
 		return a.Picture().Digest == b.Picture().Digest && b.Picture().Digest == c.Picture().Digest
 	})
 	b.Leave()
 	b.end()
 	waitUntil(t, "b has left", func() bool { return a.holds("a", "c") && c.holds("a", "c") })
-	c.end() // without a word
+	c.end() // without notice
 	waitUntil(t, "c is gone", func() bool { return a.holds("a") && a.Picture().Acting == 1 })
 }
 
-// TestOthersAreNotHeard: members of another fleet, strangers' addresses, and what is no message at all.
+// TestOthersAreNotHeard checks that a member ignores other fleets, addresses that aren't allowed, and invalid messages.
 func TestOthersAreNotHeard(t *testing.T) {
-	a := member(t, config("a"), nil, 0, nil)
-	foreign := config("f", a.at())
+	a := startMember(t, testConfig("a"), nil, 0, nil)
+	foreign := testConfig("f", a.at())
 	foreign.Fleet = "other"
-	f := member(t, foreign, nil, 0, nil)
-	shut := config("s")
+	f := startMember(t, foreign, nil, 0, nil)
+	shut := testConfig("s")
 	shut.Allow = []netip.Prefix{netip.MustParsePrefix("127.0.0.9/32")}
-	s := member(t, shut, nil, 0, nil)
-	b := member(t, config("b", a.at(), s.at()), nil, 0, nil)
+	s := startMember(t, shut, nil, 0, nil)
+	b := startMember(t, testConfig("b", a.at(), s.at()), nil, 0, nil)
 	to, err := net.Dial("udp", a.at())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer to.Close()
 	for i := range 200 {
-		fmt.Fprintf(to, "rubbish %d", i)
+		fmt.Fprintf(to, "junk %d", i)
 	}
 	conn, err := net.Dial("tcp", a.at())
 	if err != nil {
@@ -209,31 +210,32 @@
 	}
 	conn.Write(make([]byte, 1<<16))
 	conn.Close()
-	a.NotifyMsg([]byte("no news"))
-	a.MergeRemoteState(make([]byte, mostNews+1), false)
-	waitUntil(t, "a and b meet", func() bool { return a.holds("a", "b") && b.holds("a", "b") })
-	waitUntil(t, "strangers are counted", func() bool { return s.Counts().Strangers > 0 && a.Counts().Unreadable == 2 })
+	a.NotifyMsg([]byte("no message"))
+	a.MergeRemoteState(make([]byte, maxMessageBytes+1), false)
+	waitUntil(t, "a and b reach each other", func() bool { return a.holds("a", "b") && b.holds("a", "b") })
+	waitUntil(t, "messages from disallowed addresses and invalid ones are counted", func() bool { return s.Counts().Strangers > 0 && a.Counts().Unreadable == 2 })
 	if !f.holds("f") || !s.holds("s") {
-		t.Errorf("the foreign one holds %v, the shut one %v", f.Picture().Members, s.Picture().Members)
+		t.Errorf("the member of another fleet holds %v, the one that allows nobody %v", f.Picture().Members, s.Picture().Members)
 	}
-	s.Configure(config("s")) // as SIGHUP does
-	waitUntil(t, "the one that was shut is met", func() bool { return a.holds("a", "b", "s") })
+	s.Configure(testConfig("s")) // as on SIGHUP
+	waitUntil(t, "the member is reached once it allows others", func() bool { return a.holds("a", "b", "s") })
 }
 
-// TestDrainsAreGivenToWhomAsks: a member whose discovery is late asks another one for the drains that it knows of, and gets all of them.
+// TestDrainsAreGivenToWhomAsks checks that a member with an outdated route set obtains all known drains from another one, and that requests
+// beyond the rate limit are dropped.
 func TestDrainsAreGivenToWhomAsks(t *testing.T) {
-	a := member(t, config("a"), nil, 0, nil)
-	b := member(t, config("b", a.at()), nil, 0, nil)
-	for _, x := range []*body{a, b} {
-		waitUntil(t, "they meet", func() bool { return x.holds("a", "b") })
+	a := startMember(t, testConfig("a"), nil, 0, nil)
+	b := startMember(t, testConfig("b", a.at()), nil, 0, nil)
+	for _, x := range []*testNode{a, b} {
+		waitUntil(t, "members reach each other", func() bool { return x.holds("a", "b") })
 	}
 	var want []core.Hint
-	for i := range 3 * hintsEach {
+	for i := range 3 * hintsPerDatagram {
 		want = append(want, core.Hint{Worker: core.WorkerID(fmt.Sprint("w", i)), Version: 7, Source: "s"})
 	}
 	a.mu.Lock()
 	a.hints = want
-	a.tell(true)
+	a.performUpdates(true)
 	a.mu.Unlock()
 	heard := map[core.Hint]bool{}
 	b.mu.Lock()
@@ -243,27 +245,28 @@
 		}
 	}
 	b.mu.Unlock()
-	waitUntil(t, "all drains are told", func() bool {
+	waitUntil(t, "all drains are received", func() bool {
 		b.Perform(core.AskHints{Process: a.process})
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		return len(heard) == len(want)
 	})
 	before := a.Counts().Dropped
-	for range 3 * hintsAS {
-		a.giveHints(b.process)
+	for range 3 * hintRepliesPerS {
+		a.sendHints(b.process)
 	}
-	if got := a.Counts().Dropped - before; got < hintsAS {
-		t.Errorf("%d of %d questions at once are dropped", got, 3*hintsAS)
+	if got := a.Counts().Dropped - before; got < hintRepliesPerS {
+		t.Errorf("%d of %d concurrent requests are dropped", got, 3*hintRepliesPerS)
 	}
 }
 
-// TestSocketsPassOn: a successor on the same sockets and with the same view is the same member, and nobody doubts it.
+// TestSocketsPassOn checks that a successor on the same sockets and with the same view is the same member and is never judged as failed,
+// although its view contains unreachable members whose connections open but never respond.
 func TestSocketsPassOn(t *testing.T) {
-	a := member(t, config("a"), nil, 0, nil)
-	b := member(t, config("b", a.at()), nil, 0, nil)
-	waitUntil(t, "they meet", func() bool { return a.holds("a", "b") && b.holds("a", "b") })
-	var silent []membership.Record // behind a partition: connections come up, and nobody says a word
+	a := startMember(t, testConfig("a"), nil, 0, nil)
+	b := startMember(t, testConfig("b", a.at()), nil, 0, nil)
+	waitUntil(t, "members reach each other", func() bool { return a.holds("a", "b") && b.holds("a", "b") })
+	var silent []membership.Record // connections to them open, but nothing responds
 	for i := range 6 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -274,11 +277,11 @@
 			Seq: 1, State: membership.Serving, Verdict: membership.Failed, Generation: 1})
 	}
 	b.post(core.FleetTold{Records: silent})
-	waitUntil(t, "both hold the same, so that neither asks the other for everything", func() bool {
+	waitUntil(t, "digests are equal, so that no full-state exchange follows", func() bool {
 		return len(a.Picture().Members) == 8 && a.Picture().Digest == b.Picture().Digest
 	})
 	last := a.Counts().Opened
-	waitUntil(t, "a asks for nothing more", func() bool {
+	waitUntil(t, "a opens no more connections", func() bool {
 		was := last
 		last = a.Counts().Opened
 		return was == last && a.Picture().Digest == b.Picture().Digest
@@ -304,23 +307,23 @@
 	}
 	b.end()
 	<-b.done
-	next := member(t, config("b"), taken, st.Process, view)
+	next := startMember(t, testConfig("b"), taken, st.Process, view)
 	waitUntil(t, "the successor reaches a", func() bool { return next.Picture().Reached == 2 })
 	for range 3 {
 		last := a.Counts().Sent
-		waitUntil(t, "a asks on", func() bool { return a.Counts().Sent > last+5 })
+		waitUntil(t, "a goes on probing", func() bool { return a.Counts().Sent > last+5 })
 		if !a.holds("a", "b") {
 			t.Fatalf("a holds %v", a.Picture().Members)
 		}
 	}
 	for _, c := range next.Picture().History {
 		if c.What == "stood still" || c.Key.Name == "a" && c.What == "failed" {
-			t.Errorf("the successor asked the silent ones first: %+v", c)
+			t.Errorf("the successor contacted the unresponsive members first: %+v", c)
 		}
 	}
 	for _, c := range a.Picture().History {
 		if c.Key.Name == "b" && (c.What == "failed" || c.What == "gone") {
-			t.Errorf("a doubted it: %+v", c)
+			t.Errorf("a judged the successor: %+v", c)
 		}
 	}
 }
@@ -335,7 +338,7 @@
 }
 
 func FuzzNews(f *testing.F) {
-	good, err := pack([]membership.Record{{Key: membership.Key{Name: "a", Addr: "127.0.0.1:1"}, Incarnation: 1, Process: 2, Seq: 3, State: membership.Serving, Generation: 1}})
+	good, err := encodeRecords([]membership.Record{{Key: membership.Key{Name: "a", Addr: "127.0.0.1:1"}, Incarnation: 1, Process: 2, Seq: 3, State: membership.Serving, Generation: 1}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -344,7 +347,7 @@
 	f.Add([]byte{})
 	f.Add([]byte{0xa2, 1, 2, 2, 0x80})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		p, err := unpack(text)
+		p, err := decodeMessage(text)
 		if err != nil {
 			return
 		}
@@ -355,14 +358,14 @@
 		}
 		v.Merge(2, records)
 		if _, err := membership.Import(v.Export()); err != nil {
-			t.Fatalf("what was taken in can't be written down: %v", err)
+			t.Fatalf("a view with the decoded records can't be imported: %v", err)
 		}
-		told, err := pack(v.SyncRecords())
+		told, err := encodeRecords(v.SyncRecords())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if again, err := unpack(told); err != nil || len(again.Records) != len(v.SyncRecords()) {
-			t.Fatalf("what is told can't be read: %v", err)
+		if again, err := decodeMessage(told); err != nil || len(again.Records) != len(v.SyncRecords()) {
+			t.Fatalf("encoded records can't be decoded: %v", err)
 		}
 	})
 }
--- a/internal/gossip/handover.go
+++ b/internal/gossip/handover.go
@@ -8,16 +8,17 @@
 	"foldlb.example/foldlb/internal/hold"
 )
 
-// State is what passes to a successor beside the reducer's view.
+// State is handed over to a successor, in addition to the reducer's view.
 type State struct {
-	Packet, Stream int // places of the descriptors; -1 for none
+	Packet, Stream int // indexes of the descriptors; -1 for none
 	Process        uint64
 	Listen         string
 }
 
-var errNoSockets = errors.New("fleet: what is to be handed over are no sockets of a member")
+var errNoSockets = errors.New("fleet: sockets to hand over are not a UDP socket and a TCP listener")
 
-// Export lists the sockets. They need not be held still: what this process still reads or answers comes from the same member.
+// Export adds the sockets to files and returns their state. This process may go on using them, since it is the same member as its
+// successor. A nil Node exports no sockets.
 func (n *Node) Export(files *hold.Files) (State, error) {
 	if n == nil {
 		return State{Packet: -1, Stream: -1}, nil
@@ -35,7 +36,7 @@
 	return State{Packet: packet, Stream: stream, Process: n.process, Listen: n.t.Addr().String()}, err
 }
 
-// Take makes sockets of those that another process handed over.
+// ImportSockets returns the sockets that another process handed over.
 func ImportSockets(st State, files *hold.Received) (*Sockets, error) {
 	ln, err := files.Listener(st.Stream)
 	if err != nil {
@@ -53,5 +54,5 @@
 		pc.Close()
 		return nil, errNoSockets
 	}
-	return socketsOf(packet, stream), nil
+	return newSockets(packet, stream), nil
 }
--- a/internal/gossip/memory_network_test.go
+++ b/internal/gossip/memory_network_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// memoryNetwork is a network in memory: what 300 members cost there is theirs, and no kernel's.
+// memoryNetwork is a network in memory, so that measurements with 300 members don't include the kernel's network stack.
 type memoryNetwork struct {
-	mu    sync.Mutex
-	ports map[netip.AddrPort]*memoryPort
-	next  uint16
-	apart func(from, to netip.AddrPort) bool // nothing gets through between them; nil for nowhere
+	mu          sync.Mutex
+	ports       map[netip.AddrPort]*memoryPort
+	next        uint16
+	partitioned func(from, to netip.AddrPort) bool // reports pairs without a link; nil for none
 }
 
 type datagram struct {
@@ -24,44 +24,44 @@
 	from netip.AddrPort
 }
 
-// memoryPort is one member's place in it: where its datagrams and connections come.
+// memoryPort is a member's address with its incoming datagrams and connections.
 type memoryPort struct {
-	a     *memoryNetwork
-	at    netip.AddrPort
-	grams chan datagram
-	conns chan net.Conn
-	done  chan struct{}
-	once  sync.Once
+	network *memoryNetwork
+	at      netip.AddrPort
+	grams   chan datagram
+	conns   chan net.Conn
+	done    chan struct{}
+	once    sync.Once
 }
 
 func newMemoryNetwork() *memoryNetwork {
 	return &memoryNetwork{ports: map[netip.AddrPort]*memoryPort{}, next: 1000}
 }
 
-// acceptBacklog is how many connections wait to be accepted, as a kernel has it.
+// acceptBacklog bounds the connections that wait for Accept, as in a kernel.
 const acceptBacklog = 128
 
-// sockets are a new member's.
-func (a *memoryNetwork) sockets() *Sockets {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.next++
-	p := &memoryPort{a: a, at: netip.AddrPortFrom(netip.MustParseAddr("127.1.0.1"), a.next), grams: make(chan datagram, 4*mostQueued), conns: make(chan net.Conn, acceptBacklog), done: make(chan struct{})}
-	a.ports[p.at] = p
+// sockets returns sockets at a new address.
+func (network *memoryNetwork) sockets() *Sockets {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	network.next++
+	p := &memoryPort{network: network, at: netip.AddrPortFrom(netip.MustParseAddr("127.1.0.1"), network.next), grams: make(chan datagram, 4*maxQueuedDatagrams), conns: make(chan net.Conn, acceptBacklog), done: make(chan struct{})}
+	network.ports[p.at] = p
 	return &Sockets{packet: p, stream: memoryListener{p}, addr: p.at, dial: p.dial}
 }
 
-func (a *memoryNetwork) port(from, to netip.AddrPort) (p *memoryPort, cut bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.ports[to], a.apart != nil && a.apart(from, to)
+func (network *memoryNetwork) port(from, to netip.AddrPort) (p *memoryPort, cut bool) {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	return network.ports[to], network.partitioned != nil && network.partitioned(from, to)
 }
 
 func (p *memoryPort) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
-	if x, cut := p.a.port(p.at, to); x != nil && !cut {
+	if x, cut := p.network.port(p.at, to); x != nil && !cut {
 		select {
 		case x.grams <- datagram{append([]byte(nil), b...), p.at}:
-		default: // a full queue, as a kernel's
+		default: // dropped, as by a kernel with a full buffer
 		}
 	}
 	return len(b), nil
@@ -76,18 +76,18 @@
 	}
 }
 
-// Close gives the place up: from then on connections there are refused.
+// Close releases the address; later connections to it are refused.
 func (p *memoryPort) Close() error {
 	p.once.Do(func() {
-		p.a.mu.Lock()
-		delete(p.a.ports, p.at)
-		p.a.mu.Unlock()
+		p.network.mu.Lock()
+		delete(p.network.ports, p.at)
+		p.network.mu.Unlock()
 		close(p.done)
 	})
 	return nil
 }
 
-// memoryConn is an end of a connection that says where the other end is.
+// memoryConn is one end of a connection with the address of the other.
 type memoryConn struct {
 	net.Conn
 	from netip.AddrPort
@@ -100,10 +100,10 @@
 	if err != nil {
 		return nil, err
 	}
-	x, cut := p.a.port(p.at, to)
+	x, cut := p.network.port(p.at, to)
 	switch {
 	case cut:
-		return nil, os.ErrDeadlineExceeded // at once: nobody waits for what is known
+		return nil, os.ErrDeadlineExceeded // returned immediately instead of after the time-out
 	case x == nil:
 		return nil, &net.OpError{Op: "dial", Net: "memory", Err: syscall.ECONNREFUSED}
 	}
@@ -131,19 +131,19 @@
 
 func (l memoryListener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.at) }
 
-// TestHalvesInMemoryMeetAgain: members on a network in memory come to one view, two halves that are parted hold each other for failed and count
-// all, and they are one fleet again afterwards.
+// TestHalvesInMemoryMeetAgain checks that the halves of a partitioned fleet judge each other as failed but still count as acting, and that the
+// fleet converges after the partition.
 func TestHalvesInMemoryMeetAgain(t *testing.T) {
 	const n = 12
 	a := newMemoryNetwork()
-	var all []*body
+	var all []*testNode
 	half := map[netip.AddrPort]int{}
 	for i := range n {
-		cfg := config(fmt.Sprint("m", i))
+		cfg := testConfig(fmt.Sprint("m", i))
 		if i > 0 {
 			cfg.Seeds = []string{all[0].at()}
 		}
-		b := memberAt(t, cfg, a.sockets())
+		b := startMemberOn(t, cfg, a.sockets())
 		half[b.t.Addr()] = i % 2
 		all = append(all, b)
 	}
@@ -157,13 +157,13 @@
 			return reached < n || all[0].Picture().Digest == all[1].Picture().Digest
 		}
 	}
-	waitUntil(t, "one view", one(n))
+	waitUntil(t, "all views are equal", one(n))
 	a.mu.Lock()
-	a.apart = func(from, to netip.AddrPort) bool { return half[from] != half[to] }
+	a.partitioned = func(from, to netip.AddrPort) bool { return half[from] != half[to] }
 	a.mu.Unlock()
-	waitUntil(t, "each half holds the other for failed, and counts it", one(n/2))
+	waitUntil(t, "each half judges the other as failed and still counts it as acting", one(n/2))
 	a.mu.Lock()
-	a.apart = nil
+	a.partitioned = nil
 	a.mu.Unlock()
-	waitUntil(t, "one view again", one(n))
+	waitUntil(t, "all views are equal again", one(n))
 }
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -11,31 +11,32 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// protocolVersion is the version of the messages. A member of another version is no peer: what it tells is counted and dropped.
+// protocolVersion is the version of the messages. Messages of other versions are counted and dropped.
 const protocolVersion = 1
 
 const (
-	mostNews     = 1 << 20 // bytes
-	mostWorkerID = 256     // bytes of a worker's id
-	hintsEach    = 8       // hints of a datagram
+	maxMessageBytes  = 1 << 20 // encoded message
+	maxWorkerIDBytes = 256     // worker id
+	hintsPerDatagram = 8       // hints per datagram
 )
 
-// ErrMessage says that news can't be read. Errors of unpack wrap it.
-var ErrMessage = errors.New("gossip: message of no known version")
+// ErrMessage reports a message that can't be decoded. Errors of decodeMessage wrap it.
+var ErrMessage = errors.New("gossip: invalid message or unknown version")
 
+// message is a message between members; all fields but Version are optional.
 type message struct {
-	Version uint                `cbor:"1,keyasint"`
-	Records []membership.Record `cbor:"2,keyasint,omitempty"`
-	Hints   []core.Hint         `cbor:"3,keyasint,omitempty"`
-	Floors  []membership.Floor  `cbor:"4,keyasint,omitempty"`
-	Ask     *ask                `cbor:"5,keyasint,omitempty"`
-	Answer  *membership.Contact `cbor:"6,keyasint,omitempty"`
-	Want    *want               `cbor:"7,keyasint,omitempty"`
-	Given   *given              `cbor:"8,keyasint,omitempty"`
-	Behind  *behind             `cbor:"9,keyasint,omitempty"`
+	Version       uint                `cbor:"1,keyasint"`
+	Records       []membership.Record `cbor:"2,keyasint,omitempty"`
+	Hints         []core.Hint         `cbor:"3,keyasint,omitempty"`
+	Floors        []membership.Floor  `cbor:"4,keyasint,omitempty"`
+	Poll          *poll               `cbor:"5,keyasint,omitempty"`
+	PollReply     *membership.Contact `cbor:"6,keyasint,omitempty"`
+	ConfigRequest *configRequest      `cbor:"7,keyasint,omitempty"`
+	ConfigReply   *configReply        `cbor:"8,keyasint,omitempty"`
+	HintsRequest  *hintsRequest       `cbor:"9,keyasint,omitempty"`
 }
 
-var reader = func() cbor.DecMode {
+var decoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: membership.MaxMembers, MaxMapPairs: 64,
 		MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 	if err != nil {
@@ -44,63 +45,63 @@
 	return m
 }()
 
-func pack(records []membership.Record) ([]byte, error) {
+func encodeRecords(records []membership.Record) ([]byte, error) {
 	return cbor.Marshal(message{Version: protocolVersion, Records: records})
 }
 
-// ask is a question whose answer says that the asker is in touch.
-type ask struct {
+// poll is a lease query: the reply confirms contact with the sending process. Sent is in seconds of the sender's clock.
+type poll struct {
 	Process uint64  `cbor:"1,keyasint"`
 	Sent    float64 `cbor:"2,keyasint"`
 }
 
-// want asks for the configuration that a member acts on.
-type want struct {
+// configRequest requests the shared part of a configuration from a member that applies it.
+type configRequest struct {
 	Process uint64             `cbor:"1,keyasint"` // that asks
 	Config  membership.Version `cbor:"2,keyasint"`
 }
 
-// behind asks for the drains that a member with a newer list knows of.
-type behind struct {
+// hintsRequest requests the drains known to a member with a newer route set.
+type hintsRequest struct {
 	Process uint64 `cbor:"1,keyasint"` // that asks
 }
 
-// given is a configuration's shared part.
-type given struct {
+// configReply carries the shared part of a configuration.
+type configReply struct {
 	Config membership.Version `cbor:"1,keyasint"`
-	Member string             `cbor:"2,keyasint"` // that gives it
+	Member string             `cbor:"2,keyasint"` // sender's name
 	Text   []byte             `cbor:"3,keyasint"`
 }
 
-// packAll is everything that is told in an exchange.
-func packAll(records []membership.Record, floors []membership.Floor, hints []core.Hint) ([]byte, error) {
+// encodeState encodes the full state for an exchange.
+func encodeState(records []membership.Record, floors []membership.Floor, hints []core.Hint) ([]byte, error) {
 	return cbor.Marshal(message{Version: protocolVersion, Records: records, Floors: floors, Hints: hints})
 }
 
-func packHints(hints []core.Hint) ([]byte, error) {
+func encodeHints(hints []core.Hint) ([]byte, error) {
 	return cbor.Marshal(message{Version: protocolVersion, Hints: hints})
 }
 
-func packGiven(g given) ([]byte, error) {
-	return cbor.Marshal(message{Version: protocolVersion, Given: &g})
+func encodeConfigReply(g configReply) ([]byte, error) {
+	return cbor.Marshal(message{Version: protocolVersion, ConfigReply: &g})
 }
 
-// unpack reads news. Records that can't be are the view's to drop and count.
-func unpack(text []byte) (message, error) {
-	if len(text) > mostNews {
-		return message{}, fmt.Errorf("%w: %d bytes, %d at most", ErrMessage, len(text), mostNews)
+// decodeMessage decodes a message and checks its bounds. Invalid records are left for the view to drop and count.
+func decodeMessage(text []byte) (message, error) {
+	if len(text) > maxMessageBytes {
+		return message{}, fmt.Errorf("%w: %d bytes, %d at most", ErrMessage, len(text), maxMessageBytes)
 	}
 	var p message
-	if err := reader.Unmarshal(text, &p); err != nil {
+	if err := decoder.Unmarshal(text, &p); err != nil {
 		return message{}, fmt.Errorf("%w: %w", ErrMessage, err)
 	}
 	for i, h := range p.Hints {
-		if h.Worker == "" || len(h.Worker) > mostWorkerID || len(h.Source) > membership.MaxSourceBytes {
-			return message{}, fmt.Errorf("%w: hint %d is of no worker or source that can be", ErrMessage, i)
+		if h.Worker == "" || len(h.Worker) > maxWorkerIDBytes || len(h.Source) > membership.MaxSourceBytes {
+			return message{}, fmt.Errorf("%w: hint %d has no valid worker or source", ErrMessage, i)
 		}
 	}
-	if g := p.Given; g != nil && (len(g.Text) == 0 || len(g.Text) > core.MostShared || len(g.Member) > membership.MaxNameBytes || len(g.Config.Source) > membership.MaxSourceBytes) {
-		return message{}, fmt.Errorf("%w: a configuration of %d bytes, 1 to %d", ErrMessage, len(g.Text), core.MostShared)
+	if g := p.ConfigReply; g != nil && (len(g.Text) == 0 || len(g.Text) > core.MostShared || len(g.Member) > membership.MaxNameBytes || len(g.Config.Source) > membership.MaxSourceBytes) {
+		return message{}, fmt.Errorf("%w: configuration of %d bytes, must have 1 to %d, or its member or source is too long", ErrMessage, len(g.Text), core.MostShared)
 	}
 	if p.Version != protocolVersion {
 		return message{}, fmt.Errorf("%w: version %d, this program reads %d", ErrMessage, p.Version, protocolVersion)
@@ -108,9 +109,9 @@
 	return p, nil
 }
 
-func digestText(d uint64) []byte { return binary.BigEndian.AppendUint64([]byte{protocolVersion}, d) }
+func encodeDigest(d uint64) []byte { return binary.BigEndian.AppendUint64([]byte{protocolVersion}, d) }
 
-func digestOf(text []byte) (uint64, bool) {
+func decodeDigest(text []byte) (uint64, bool) {
 	if len(text) != 9 || text[0] != protocolVersion {
 		return 0, false
 	}
--- a/internal/gossip/reachability.go
+++ b/internal/gossip/reachability.go
@@ -10,9 +10,9 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// look tells the reducer whom the library reaches, at once when that changes and often enough that nothing is missed.
-func (n *Node) look(ctx context.Context) {
-	t := time.NewTicker(lookEvery)
+// reportReachability reports the members that memberlist reaches to the reducer, on each change and every reportInterval.
+func (n *Node) reportReachability(ctx context.Context) {
+	t := time.NewTicker(reportInterval)
 	defer t.Stop()
 	begun := time.Now()
 	for {
@@ -22,19 +22,19 @@
 		case <-t.C:
 		case <-n.wake:
 		}
-		s := n.sight()
-		if n.taken && len(s.Reached) == 0 && time.Since(begun) < meetMost {
-			continue // danger: a successor that has met nobody yet would call all of them lost
+		s := n.reachability()
+		if n.inherited && len(s.Reached) == 0 && time.Since(begun) < maxSuccessorDelay {
+			continue // a successor that has reached no member yet would report all as unreachable
 		}
 		n.post(core.FleetLooked{Sight: s})
 	}
 }
 
-func (n *Node) sight() membership.Reachability {
+func (n *Node) reachability() membership.Reachability {
 	var s membership.Reachability
-	// One that is cut off from everybody would doubt the others one by one, and itself first: the library slows such a member down. But
-	// where nothing at all is heard, nobody is reached.
-	alone := n.t.silence() > silentFor*n.cfg.Load().Probe
+	// memberlist slows down the probes of a member that is cut off, so it would suspect the others one by one only. If no datagram is
+	// received at all, no member is reached.
+	alone := n.t.silence() > silentProbes*n.cfg.Load().Probe
 	for _, m := range n.list.Members() {
 		if p, ok := processOf(m.Name); ok && p != n.process && !alone {
 			s.Reached = append(s.Reached, p)
@@ -42,29 +42,29 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for p := range n.doubted {
+	for p := range n.suspected {
 		s.Suspected = append(s.Suspected, p)
 	}
-	for p, d := range n.heard {
+	for p, d := range n.peerDigests {
 		s.PeerDigest = append(s.PeerDigest, membership.PeerDigest{Process: p, Digest: d})
 	}
-	clear(n.doubted)
-	clear(n.heard)
+	clear(n.suspected)
+	clear(n.peerDigests)
 	return s
 }
 
-func (n *Node) nudge() {
+func (n *Node) triggerReport() {
 	select {
 	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
-// NotifyJoin hears that the library reaches one.
-func (n *Node) NotifyJoin(*memberlist.Node) { n.nudge() }
+// NotifyJoin is called when memberlist reaches a member.
+func (n *Node) NotifyJoin(*memberlist.Node) { n.triggerReport() }
 
-// NotifyLeave hears that it no longer does.
-func (n *Node) NotifyLeave(*memberlist.Node) { n.nudge() }
+// NotifyLeave is called when memberlist no longer reaches a member.
+func (n *Node) NotifyLeave(*memberlist.Node) { n.triggerReport() }
 
-// NotifyUpdate hears of metadata, of which there are none.
+// NotifyUpdate does nothing, since members have no metadata.
 func (n *Node) NotifyUpdate(*memberlist.Node) {}
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -16,34 +16,34 @@
 )
 
 const (
-	mostPacket  = 65536
-	mostQueued  = 256 // datagrams that were read and not looked at yet
-	mostStreams = 16  // connections that peers opened, at once; descriptors are needed elsewhere
-	streamMost  = 10 * time.Second
-	acceptPause = 10 * time.Millisecond
+	maxDatagramBytes   = 65536
+	maxQueuedDatagrams = 256 // datagrams read but not yet processed
+	maxStreams         = 16  // concurrent connections opened by peers; bounds the descriptors used
+	streamTimeout      = 10 * time.Second
+	acceptPause        = 10 * time.Millisecond
 )
 
-// Sockets are where a member listens: datagrams and connections at one address. They pass on in a hand-over.
+// Sockets are a member's UDP socket and TCP listener at one address. They are handed over to a successor.
 type Sockets struct {
-	packet packets
+	packet packetConn
 	stream net.Listener
 	addr   netip.AddrPort
 	dial   func(addr string, most time.Duration) (net.Conn, error)
 }
 
-// packets is what datagrams go through: a UDP socket, or a network in memory.
-type packets interface {
+// packetConn is a UDP socket or, in tests, a network in memory.
+type packetConn interface {
 	ReadFromUDPAddrPort(b []byte) (n int, from netip.AddrPort, err error)
 	WriteToUDPAddrPort(b []byte, to netip.AddrPort) (n int, err error)
 	Close() error
 }
 
-// socketsOf are those of the machine.
-func socketsOf(pc *net.UDPConn, ln *net.TCPListener) *Sockets {
+// newSockets wraps operating system sockets.
+func newSockets(pc *net.UDPConn, ln *net.TCPListener) *Sockets {
 	s := &Sockets{packet: pc, stream: ln, addr: ln.Addr().(*net.TCPAddr).AddrPort()}
 	s.dial = func(addr string, most time.Duration) (net.Conn, error) {
 		d := net.Dialer{Timeout: most}
-		if own := s.addr.Addr(); !own.IsUnspecified() { // so that a peer's address set knows it
+		if own := s.addr.Addr(); !own.IsUnspecified() { // so that the peer's allowed addresses match
 			d.LocalAddr = &net.TCPAddr{IP: own.AsSlice()}
 		}
 		return d.Dial("tcp", addr)
@@ -51,7 +51,7 @@
 	return s
 }
 
-// Listen opens the sockets at an address.
+// Listen opens the sockets at an address. With port 0 the system chooses one port for both.
 func Listen(at netip.AddrPort) (*Sockets, error) {
 	ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(at))
 	if err != nil {
@@ -63,13 +63,12 @@
 		ln.Close()
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	return socketsOf(pc, ln), nil
+	return newSockets(pc, ln), nil
 }
 
-// Addr is where they listen.
+// Addr returns the address of the sockets.
 func (s *Sockets) Addr() netip.AddrPort { return s.addr }
 
-// Close closes them.
 func (s *Sockets) Close() error { return errors.Join(s.packet.Close(), s.stream.Close()) }
 
 type udpFile struct{ c *net.UDPConn }
@@ -80,80 +79,80 @@
 
 func (f tcpFile) FD(g func(fd int)) error { return hold.FD(f.ln, g) }
 
-// Counts are what a transport has counted since its start.
+// Counts are counters of a Node since its start.
 type Counts struct {
 	Sent, SentBytes   uint64 // datagrams
-	Taken, TakenBytes uint64
+	Taken, TakenBytes uint64 // datagrams received from allowed addresses
 	Opened            uint64 // connections to peers
 	Strangers         uint64 // datagrams and connections from addresses that are not allowed
-	Full              uint64 // datagrams and connections dropped since a queue was full
-	Unreadable        uint64 // messages of no version that is known
-	Dropped           uint64 // questions for a configuration beyond what is answered, and answers that nobody asked for
+	Full              uint64 // datagrams and connections dropped because of a full queue or the connection limit
+	Unreadable        uint64 // messages that can't be decoded
+	Dropped           uint64 // configuration and hint requests beyond the rate limits, and configuration replies that weren't requested
 }
 
-// transport is memberlist's way to its peers, over sockets that may have come from another process.
+// transport implements memberlist's transport over sockets that may be inherited from another process.
 type transport struct {
 	*Sockets
 	advertise netip.AddrPort
 	allowed   func(netip.Addr) bool
-	refused   func(process uint64) // a peer's machine says that nobody listens there
-	doubted   func(process uint64) // a peer is asked over a connection, since it did not answer a datagram
+	refused   func(process uint64) // called when a peer's machine refuses a connection
+	suspected func(process uint64) // called when a peer is probed over a connection, since it did not ack a datagram
 
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	places  chan struct{}
-	done    chan struct{}
-	once    sync.Once
+	packets     chan *memberlist.Packet
+	streams     chan net.Conn
+	streamSlots chan struct{}
+	done        chan struct{}
+	once        sync.Once
 
-	begun   time.Time
-	heardAt atomic.Int64 // nanoseconds from begun to the last datagram that a peer may have sent
+	startedAt      time.Time
+	lastReceivedAt atomic.Int64 // nanoseconds from startedAt to the last datagram from an allowed address
 
-	sent, sentBytes, taken, takenBytes, opened, strangers, full atomic.Uint64
+	sent, sentBytes, received, receivedBytes, opened, strangers, full atomic.Uint64
 }
 
 var _ memberlist.NodeAwareTransport = (*transport)(nil)
 
 func newTransport(s *Sockets, advertise netip.AddrPort, allowed func(netip.Addr) bool) *transport {
-	return &transport{Sockets: s, advertise: advertise, allowed: allowed, packets: make(chan *memberlist.Packet, mostQueued),
-		streams: make(chan net.Conn), places: make(chan struct{}, mostStreams), done: make(chan struct{}), begun: time.Now()}
+	return &transport{Sockets: s, advertise: advertise, allowed: allowed, packets: make(chan *memberlist.Packet, maxQueuedDatagrams),
+		streams: make(chan net.Conn), streamSlots: make(chan struct{}, maxStreams), done: make(chan struct{}), startedAt: time.Now()}
 }
 
-func (t *transport) heard() { t.heardAt.Store(int64(time.Since(t.begun))) }
+func (t *transport) noteReceived() { t.lastReceivedAt.Store(int64(time.Since(t.startedAt))) }
 
-// silence is for how long no peer has said a word. Danger: it is not reckoned by the machine's clock of day. One that is set forward by an
-// hour would say that nobody was heard for an hour, and one that is set back that somebody was.
+// silence returns the time since the last datagram from an allowed address. It uses the monotonic clock, so that setting the wall clock
+// doesn't change it.
 func (t *transport) silence() time.Duration {
-	return time.Since(t.begun) - time.Duration(t.heardAt.Load())
+	return time.Since(t.startedAt) - time.Duration(t.lastReceivedAt.Load())
 }
 
 func (t *transport) run() {
-	t.heard()
+	t.noteReceived()
 	go t.read()
 	go t.accept()
 }
 
 func (t *transport) read() {
-	buf := make([]byte, mostPacket)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := t.packet.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if t.ended() || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // danger: a peer that is gone makes the next read fail, and says nothing of this socket
+			continue // a peer that has ended can make the next read fail; the socket remains usable
 		}
 		if !t.allowed(from.Addr().Unmap()) {
 			t.strangers.Add(1)
 			continue
 		}
-		t.taken.Add(1)
-		t.heard()
-		t.takenBytes.Add(uint64(n))
+		t.received.Add(1)
+		t.noteReceived()
+		t.receivedBytes.Add(uint64(n))
 		p := &memberlist.Packet{Buf: append([]byte(nil), buf[:n]...), From: net.UDPAddrFromAddrPort(from), Timestamp: time.Now()}
 		select {
 		case t.packets <- p:
 		default:
-			t.full.Add(1) // like a datagram that was lost on its way
+			t.full.Add(1) // equivalent to a datagram lost on the network
 		}
 	}
 }
@@ -165,7 +164,7 @@
 			if t.ended() || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(acceptPause) // danger: out of descriptors, accepting fails at once, again and again
+			time.Sleep(acceptPause) // without free descriptors Accept fails immediately and repeatedly
 			continue
 		}
 		from, _ := netip.ParseAddrPort(c.RemoteAddr().String())
@@ -175,15 +174,15 @@
 			continue
 		}
 		select {
-		case t.places <- struct{}{}:
+		case t.streamSlots <- struct{}{}:
 		default:
 			t.full.Add(1)
 			c.Close()
 			continue
 		}
-		c.SetDeadline(time.Now().Add(streamMost)) // danger: one that trickles would keep its place for ever
+		c.SetDeadline(time.Now().Add(streamTimeout)) // a peer that sends slowly must not occupy its slot for ever
 		select {
-		case t.streams <- &placed{Conn: c, free: sync.OnceFunc(func() { <-t.places })}:
+		case t.streams <- &slotConn{Conn: c, release: sync.OnceFunc(func() { <-t.streamSlots })}:
 		case <-t.done:
 			c.Close()
 			return
@@ -191,20 +190,20 @@
 	}
 }
 
-// placed is a peer's connection, which has a place as long as it is open.
-type placed struct {
+// slotConn is a connection from a peer, which occupies a slot of maxStreams until it is closed.
+type slotConn struct {
 	net.Conn
-	free func()
+	release func()
 }
 
-func (p *placed) Close() error {
-	p.free()
+func (p *slotConn) Close() error {
+	p.release()
 	return p.Conn.Close()
 }
 
-// SetDeadline keeps the time that a connection has at the most.
-func (p *placed) SetDeadline(at time.Time) error {
-	if most := time.Now().Add(streamMost); at.IsZero() || at.After(most) {
+// SetDeadline sets a deadline of at most streamTimeout from now.
+func (p *slotConn) SetDeadline(at time.Time) error {
+	if most := time.Now().Add(streamTimeout); at.IsZero() || at.After(most) {
 		at = most
 	}
 	return p.Conn.SetDeadline(at)
@@ -219,12 +218,12 @@
 	}
 }
 
-// FinalAdvertiseAddr is memberlist's question where peers find this member.
+// FinalAdvertiseAddr returns the advertised address to memberlist.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return t.advertise.Addr().AsSlice(), int(t.advertise.Port()), nil
 }
 
-// WriteTo sends a datagram.
+// WriteTo sends a datagram to host:port and returns the time of sending.
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -237,22 +236,23 @@
 	return time.Now(), err
 }
 
-// WriteToAddress sends a datagram to a member.
+// WriteToAddress is WriteTo for memberlist's node-aware interface.
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	return t.WriteTo(b, a.Addr)
 }
 
-// DialTimeout opens a connection to a peer, from the address at which this member listens.
+// DialTimeout connects to a peer from this member's address.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	t.opened.Add(1)
 	return t.dial(addr, timeout)
 }
 
-// DialAddressTimeout opens a connection to a member, and takes what its machine says for evidence.
+// DialAddressTimeout connects to a member. It reports the member as suspected, since memberlist connects after an unanswered probe, and as
+// ended if its machine refuses the connection.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	process, named := processOf(a.Name)
-	if named && t.doubted != nil {
-		t.doubted(process)
+	if named && t.suspected != nil {
+		t.suspected(process)
 	}
 	c, err := t.DialTimeout(a.Addr, timeout)
 	if named && errors.Is(err, syscall.ECONNREFUSED) && t.refused != nil {
@@ -261,10 +261,10 @@
 	return c, err
 }
 
-// PacketCh is where datagrams come from.
+// PacketCh returns the channel of received datagrams.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// StreamCh is where connections come from.
+// StreamCh returns the channel of accepted connections.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
 // Shutdown closes the sockets.
