--- a/internal/audit/recorder.go
+++ b/internal/audit/recorder.go
@@ -1,6 +1,5 @@
-// Package audit keeps account of what a dispatcher acted on. Recorder is the part without I/O: it counts acts in spans, each of
-// which has the versions that were held, and remembers single acts of the latest requests. Package trail writes it to a folder and
-// reads it back.
+// Package audit records which versions a dispatcher acted on. Recorder has no I/O: it counts acts in spans, each with the versions
+// in force, and keeps the individual acts of recent requests. Package trail writes the spans to a folder and verifies them.
 package audit
 
 import (
@@ -9,17 +8,17 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// Kind is what was done to the outside.
+// Kind is a kind of externally visible act.
 type Kind uint8
 
 // The kinds of acts.
 const (
-	Sent     Kind = iota // a branch was given to a worker's connection to write
-	GivenUp              // a branch was ended, and its worker told so
-	Answered             // served
-	Refused              // answered busy
-	Failed               // answered as failed
-	NumKinds             // how many kinds there are
+	Sent     Kind = iota // a branch was passed to a worker's connection for writing
+	GivenUp              // a branch was cancelled and its worker notified
+	Answered             // a caller got a result
+	Refused              // a caller got a busy response
+	Failed               // a caller got a failure response
+	NumKinds             // number of kinds
 )
 
 var kindNames = [NumKinds]string{"sent", "given up", "answered", "refused", "failed"}
@@ -31,31 +30,32 @@
 	return "unknown"
 }
 
-// Versions are what a dispatcher acts on.
+// Versions are the versions that a dispatcher applies.
 type Versions struct {
 	Program membership.Version `cbor:"1,keyasint"`
 	Config  membership.Version `cbor:"2,keyasint"`
 	Routes  membership.Version `cbor:"3,keyasint"`
-	Begun   int                `cbor:"4,keyasint"` // counts the beginnings of route sets: other sources, and sources that began anew
+	Begun   int                `cbor:"4,keyasint"` // incremented when the route set's source changes or restarts its numbering
 }
 
-// Span is a time in which a dispatcher acted on the same versions. Times are seconds on its own clock.
+// Span is a period in which a dispatcher applied the same versions. Times are in seconds of its own clock.
 type Span struct {
 	No       uint64           `cbor:"1,keyasint"`
 	Versions Versions         `cbor:"2,keyasint"`
-	From     float64          `cbor:"3,keyasint"` // when the versions came into force, or the last span ended
-	First    float64          `cbor:"4,keyasint"` // act; 0 where there was none
-	Last     float64          `cbor:"5,keyasint"`
-	Until    float64          `cbor:"6,keyasint"`
-	Counts   [NumKinds]uint64 `cbor:"7,keyasint"`
-
-	// Of the branches among the acts, which alone fall under floors and lists: an answer to a request that was taken before may come
-	// after. 0 where there was none, and in records of builds that did not tell them apart.
+	From     float64          `cbor:"3,keyasint"` // when the versions came into force or the previous span ended
+	First    float64          `cbor:"4,keyasint"` // first act; 0 if there was none
+	Last     float64          `cbor:"5,keyasint"` // last act
+	Until    float64          `cbor:"6,keyasint"` // end of the span
+	Counts   [NumKinds]uint64 `cbor:"7,keyasint"` // acts by kind
+
+	// First and last branch sent. Floors and route sets apply to branches only: a request accepted earlier may still be answered later. 0 if
+	// there was none, and in records of older builds without these fields.
 	FirstSent float64 `cbor:"8,keyasint,omitempty"`
 	LastSent  float64 `cbor:"9,keyasint,omitempty"`
 }
 
-// Sends is when the span's first and last branch were sent; where that is not told, when its first and last act were. No branch: false.
+// SendTimes returns when the span's first and last branch were sent, or the times of its first and last act if the record lacks these, and
+// false if no branch was sent.
 func (s Span) SendTimes() (first, last float64, any bool) {
 	switch {
 	case s.Counts[Sent] == 0:
@@ -66,7 +66,7 @@
 	return s.FirstSent, s.LastSent, true
 }
 
-// Acts is how many acts a span has.
+// Acts returns the number of acts in the span.
 func (s Span) Acts() (n uint64) {
 	for _, c := range s.Counts {
 		n += c
@@ -74,48 +74,48 @@
 	return n
 }
 
-// Act is a single act.
+// Act is an individual act. At is in seconds.
 type Act struct {
 	At       float64
 	Kind     Kind
 	Request  string
-	Worker   string // of what was sent or given up
+	Worker   string // set for Sent and GivenUp
 	Versions Versions
 }
 
 const (
-	spanMost = 10.0 // seconds of a span
-	ringMost = 8192 // single acts that are remembered
-	heldMost = 1024 // versions that they may name; acts on older ones are forgotten
+	maxSpanS          = 10.0 // after which a span is ended
+	maxRecentActs     = 8192 // individual acts kept
+	maxRecentVersions = 1024 // versions kept for these acts; acts on older versions are dropped
 )
 
-// Recorder is a dispatcher's account. It must be used from one goroutine. Its zero value is not ready for use: see New.
+// Recorder counts a dispatcher's acts. It must be used from one goroutine only. The zero value isn't usable: see New.
 type Recorder struct {
-	now  Span
-	ring []ringAct
-	next int
-	held []Versions       // that the ring's acts name; the last is in force
-	base int              // of held's first, counted from the beginning
-	done []Span           // ended, and not taken yet
-	sum  [NumKinds]uint64 // of all that has ended
+	now            Span
+	recent         []recentAct
+	next           int
+	recentVersions []Versions       // referred to by recent; the last is in force
+	firstVersion   int              // index of recentVersions[0] among all versions
+	ended          []Span           // ended spans not returned by Take yet
+	sums           [NumKinds]uint64 // over all ended spans
 }
 
-type ringAct struct {
+type recentAct struct {
 	at       float64
 	request  string
 	worker   string
-	versions int // counted from the beginning
+	versions int // index among all versions
 	kind     Kind
 }
 
-// New begins an account. No is the number of the first span: one more than a predecessor's last.
+// New returns a recorder. no is the number of the first span, one more than a predecessor's last.
 func New(now float64, no uint64, v Versions) *Recorder {
-	b := &Recorder{ring: make([]ringAct, 0, ringMost), held: []Versions{v}}
+	b := &Recorder{recent: make([]recentAct, 0, maxRecentActs), recentVersions: []Versions{v}}
 	b.now = Span{No: no, Versions: v, From: now}
 	return b
 }
 
-// Act counts an act. It allocates nothing but the ring, once.
+// Act records an act. It doesn't allocate.
 func (b *Recorder) Act(now float64, kind Kind, request, worker string) {
 	if b.now.First == 0 {
 		b.now.First = now
@@ -128,89 +128,89 @@
 		b.now.LastSent = now
 	}
 	b.now.Counts[kind]++
-	a := ringAct{at: now, request: request, worker: worker, versions: b.base + len(b.held) - 1, kind: kind}
-	if len(b.ring) < ringMost {
-		b.ring = append(b.ring, a)
+	a := recentAct{at: now, request: request, worker: worker, versions: b.firstVersion + len(b.recentVersions) - 1, kind: kind}
+	if len(b.recent) < maxRecentActs {
+		b.recent = append(b.recent, a)
 		return
 	}
-	b.ring[b.next] = a
-	b.next = (b.next + 1) % ringMost
+	b.recent[b.next] = a
+	b.next = (b.next + 1) % maxRecentActs
 }
 
-// Hold says which versions are held from now on, and tells whether they are others. What was counted before belongs to those before.
+// SetVersions sets the versions in force and reports whether they changed. Earlier acts stay in a span of the earlier versions.
 func (b *Recorder) SetVersions(now float64, v Versions) bool {
 	if v == b.now.Versions {
 		return false
 	}
 	b.end(now)
 	b.now.Versions = v
-	b.held = append(b.held, v)
-	if len(b.held) > 2*heldMost { // danger: route sets that change all the time, with hardly an act between, would be kept for ever
-		b.base += len(b.held) - heldMost
-		b.held = slices.Clone(b.held[len(b.held)-heldMost:])
+	b.recentVersions = append(b.recentVersions, v)
+	if len(b.recentVersions) > 2*maxRecentVersions { // bounds the memory if route sets change often with hardly any acts in between
+		b.firstVersion += len(b.recentVersions) - maxRecentVersions
+		b.recentVersions = slices.Clone(b.recentVersions[len(b.recentVersions)-maxRecentVersions:])
 	}
 	return true
 }
 
-// Pass ends a span that has lasted long enough, and tells whether one is due.
+// EndDueSpan ends the current span if it is at least maxSpanS old.
 func (b *Recorder) EndDueSpan(now float64) {
-	if now-b.now.From >= spanMost {
+	if now-b.now.From >= maxSpanS {
 		b.end(now)
 	}
 }
 
-// End ends the span that is under way.
+// End ends the current span.
 func (b *Recorder) End(now float64) { b.end(now) }
 
 func (b *Recorder) end(now float64) {
 	s := b.now
 	s.Until = now
-	b.done = append(b.done, s)
+	b.ended = append(b.ended, s)
 	for k, n := range s.Counts {
-		b.sum[k] += n
+		b.sums[k] += n
 	}
 	b.now = Span{No: s.No + 1, Versions: s.Versions, From: now}
 }
 
-// Take returns the spans that have ended since it was last called.
+// Take returns the spans that have ended since the last call.
 func (b *Recorder) Take() []Span {
-	done := b.done
-	b.done = nil
+	done := b.ended
+	b.ended = nil
 	return done
 }
 
-// Now is the span that is under way.
+// Now returns the current span.
 func (b *Recorder) Now() Span { return b.now }
 
-// Of returns the acts on a request that are remembered, in order.
+// ActsOf returns the recorded acts of a request that are still kept, in order.
 func (b *Recorder) ActsOf(request string) (all []Act) {
-	for i := range b.ring {
-		a := b.ring[(b.next+i)%len(b.ring)]
-		if a.request == request && a.versions >= b.base {
-			all = append(all, Act{At: a.at, Kind: a.kind, Request: a.request, Worker: a.worker, Versions: b.held[a.versions-b.base]})
+	for i := range b.recent {
+		a := b.recent[(b.next+i)%len(b.recent)]
+		if a.request == request && a.versions >= b.firstVersion {
+			all = append(all, Act{At: a.at, Kind: a.kind, Request: a.request, Worker: a.worker, Versions: b.recentVersions[a.versions-b.firstVersion]})
 		}
 	}
 	return all
 }
 
-// Sums are the counts of all spans that have ended.
-func (b *Recorder) Sums() [NumKinds]uint64 { return b.sum }
+// Sums returns the number of acts in all ended spans, by kind.
+func (b *Recorder) Sums() [NumKinds]uint64 { return b.sums }
 
-// State is what passes to a successor: single acts stay behind.
+// State is the state handed over to a successor, without individual acts.
 type State struct {
 	Now  Span             `cbor:"1,keyasint"`
 	Done []Span           `cbor:"2,keyasint,omitempty"`
 	Sums [NumKinds]uint64 `cbor:"3,keyasint"`
 }
 
-// Export returns the account without single acts.
+// Export returns the recorder's state without individual acts.
 func (b *Recorder) Export() State {
-	return State{Now: b.now, Done: slices.Clone(b.done), Sums: b.sum}
+	return State{Now: b.now, Done: slices.Clone(b.ended), Sums: b.sums}
 }
 
-// Import goes on with an account.
+// Import returns a recorder that continues from an exported state.
 func Import(s State) *Recorder {
 	b := New(s.Now.From, s.Now.No, s.Now.Versions)
-	b.now, b.done, b.sum = s.Now, slices.Clone(s.Done), s.Sums
+	b.now, b.ended, b.sums = s.Now, slices.Clone(s.Done), s.Sums
 	return b
 }
--- a/internal/audit/recorder_test.go
+++ b/internal/audit/recorder_test.go
@@ -11,7 +11,8 @@
 
 func routes(no int64) Versions { return Versions{Routes: membership.Version{No: no, Source: "d"}} }
 
-// TestActsBelongToWhatWasHeld: whatever comes in whatever order, each act is in just one span, of the versions held at that step.
+// TestActsBelongToWhatWasHeld checks that each act is in exactly one span, with the versions in force at that time, under any order of acts,
+// version changes and handovers.
 func TestActsBelongToWhatWasHeld(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(1, 1, routes(1))
@@ -27,7 +28,7 @@
 			case 1:
 				b.EndDueSpan(now)
 			case 2:
-				b = Import(b.Export()) // a hand-over
+				b = Import(b.Export()) // handover
 			default:
 				k := Kind(rapid.IntRange(0, int(NumKinds)-1).Draw(t, "kind"))
 				b.Act(now, k, fmt.Sprint(total), "w")
@@ -45,7 +46,7 @@
 			}
 			if first, last, sent := s.SendTimes(); sent != (s.Counts[Sent] > 0) || sent && (first < s.First || last < first || s.Last < last) ||
 				sent && s.Acts() == s.Counts[Sent] && (first != s.First || last != s.Last) {
-				t.Fatalf("span %+v has branches from %v until %v", s, first, last)
+				t.Fatalf("span %+v: branches sent from %v until %v", s, first, last)
 			}
 			no, until = s.No, s.Until
 			c := got[s.Versions.Routes.No]
@@ -66,10 +67,10 @@
 	})
 }
 
-// TestLatestActsAreRemembered, each with its versions, and the oldest are forgotten.
+// TestLatestActsAreRemembered checks that the latest acts are kept with their versions, and that older acts and versions are dropped.
 func TestLatestActsAreRemembered(t *testing.T) {
 	b := New(1, 1, routes(1))
-	for i := range ringMost + 10 {
+	for i := range maxRecentActs + 10 {
 		if i%5000 == 4999 {
 			b.SetVersions(float64(i), routes(int64(i)))
 		}
@@ -77,17 +78,17 @@
 		b.Act(float64(i), Answered, fmt.Sprint("r", i), "")
 	}
 	if got := b.ActsOf("r0"); got != nil {
-		t.Errorf("the oldest is remembered: %v", got)
+		t.Errorf("the oldest act is kept: %v", got)
 	}
 	got := b.ActsOf("r5000")
 	if len(got) != 2 || got[0].Kind != Sent || got[0].Worker != "w" || got[0].Versions != routes(4999) || got[1].Kind != Answered {
-		t.Errorf("remembered: %+v", got)
+		t.Errorf("acts kept: %+v", got)
 	}
-	for i := range 3 * ringMost {
+	for i := range 3 * maxRecentActs {
 		b.SetVersions(1e6+float64(i), routes(int64(1e6+i)))
 	}
-	if len(b.held) > 2*heldMost {
-		t.Errorf("%d versions are kept for %d acts", len(b.held), len(b.ring))
+	if len(b.recentVersions) > 2*maxRecentVersions {
+		t.Errorf("%d versions are kept for %d acts", len(b.recentVersions), len(b.recent))
 	}
 	if got := b.ActsOf("r8191"); got != nil {
 		t.Errorf("after many versions: %+v", got)
@@ -102,7 +103,7 @@
 	}
 }
 
-// TestAnswersAfterTheLastBranch: what a span tells of branches does not move with what comes after them.
+// TestAnswersAfterTheLastBranch checks that later answers don't change a span's times of its branches.
 func TestAnswersAfterTheLastBranch(t *testing.T) {
 	b := New(1, 1, routes(1))
 	b.Act(2, Refused, "a", "")
@@ -113,11 +114,11 @@
 	if first, last, sent := s.SendTimes(); !sent || first != 3 || last != 4 || s.First != 2 || s.Last != 9 {
 		t.Errorf("branches from %v until %v of %+v", first, last, s)
 	}
-	s.FirstSent, s.LastSent = 0, 0 // as a build told it that did not know them apart
+	s.FirstSent, s.LastSent = 0, 0 // as in a record of an older build
 	if first, last, sent := s.SendTimes(); !sent || first != 2 || last != 9 {
-		t.Errorf("without its own times: from %v until %v", first, last)
+		t.Errorf("without times of branches: from %v until %v", first, last)
 	}
 	if _, _, sent := (Span{First: 1, Last: 2, Counts: [NumKinds]uint64{Answered: 1}}).SendTimes(); sent {
-		t.Error("an answer is taken for a branch")
+		t.Error("an answer counts as a branch")
 	}
 }
--- a/internal/audit/trail/format.go
+++ b/internal/audit/trail/format.go
@@ -1,5 +1,5 @@
-// Package trail writes a dispatcher's account to a folder, record behind record, each sealed by the one before, and reads the
-// folders of any number of members back to see whether they kept what is promised.
+// Package trail writes a dispatcher's audit records to a folder as a hash chain, and verifies the folders of any number of members:
+// that no record is missing or altered, and that the members followed the rules for versions.
 package trail
 
 import (
@@ -11,24 +11,24 @@
 	"foldlb.example/foldlb/internal/audit"
 )
 
-// FormatVersion is the version of the format written here, and the last word of each file's head.
+// FormatVersion is the version of the format written here, stored in the last byte of each file header.
 const FormatVersion = 1
 
-// A file begins with its head. After it come records: four bytes of length, big-endian; the record in CBOR; and a sum, which is the
-// SHA-256 of the last record's sum and the record. The first sum of a file goes on from what its first record names.
+// A file consists of a header and records. A record is a length of four bytes, big-endian; the record in CBOR; and a checksum, the SHA-256 of
+// the previous record's checksum and the record. The first record of a file contains the previous checksum (Begin.Last).
 const (
-	head       = "FOLDAUDIT"
-	headSize   = len(head) + 1
-	lengthSize = 4
-	sumSize    = sha256.Size
-	mostRecord = 4 << 10 // bytes of a record
+	fileMagic      = "FOLDAUDIT"
+	headSize       = len(fileMagic) + 1
+	lengthSize     = 4
+	sumSize        = sha256.Size
+	maxRecordBytes = 4 << 10 // of the CBOR of a record
 )
 
-// Record is one entry. Just one of the pointers is set.
+// Record is an audit record. Exactly one of the pointers is set.
 type Record struct {
-	No    uint64          `cbor:"1,keyasint"` // counts a member's records over all files
-	Wall  int64           `cbor:"2,keyasint"` // Unix milliseconds by the machine's clock, for people; nothing is ordered by it
-	Clock float64         `cbor:"3,keyasint"` // seconds on the dispatcher's clock
+	No    uint64          `cbor:"1,keyasint"` // consecutive over all files of a member
+	Wall  int64           `cbor:"2,keyasint"` // Unix milliseconds of the wall clock, for display only; nothing is ordered by it
+	Clock float64         `cbor:"3,keyasint"` // seconds of the dispatcher's clock
 	Begin *Begin          `cbor:"4,keyasint,omitempty"`
 	Span  *audit.Span     `cbor:"5,keyasint,omitempty"`
 	Gap   *Gap            `cbor:"6,keyasint,omitempty"`
@@ -39,25 +39,25 @@
 // Begin is the first record of a file.
 type Begin struct {
 	Member  string          `cbor:"1,keyasint"`
-	Process uint64          `cbor:"2,keyasint"`           // drawn at a start, kept over a hand-over
-	Last    []byte          `cbor:"3,keyasint"`           // sum of the record before; empty for the first file
-	Cut     string          `cbor:"4,keyasint,omitempty"` // what was cut off or left behind as the file began
-	Held    *audit.Versions `cbor:"5,keyasint,omitempty"` // what was acted on last, by the records before
+	Process uint64          `cbor:"2,keyasint"`           // random id drawn at the start, kept across a handover
+	Last    []byte          `cbor:"3,keyasint"`           // checksum of the previous record; empty in the first file
+	Cut     string          `cbor:"4,keyasint,omitempty"` // what was cut off or could not be read of the previous file
+	Held    *audit.Versions `cbor:"5,keyasint,omitempty"` // versions last applied according to the records before
 }
 
-// Gap says that records are missing here, and why.
+// Gap reports how many records are missing here, and why.
 type Gap struct {
 	Missing uint64 `cbor:"1,keyasint"`
 	Why     string `cbor:"2,keyasint"`
 }
 
-// End is what a process says of itself as it ends in order.
+// End is written when a process ends in order.
 type End struct {
-	Counts [audit.NumKinds]uint64 `cbor:"1,keyasint"` // over all its spans
-	Spans  uint64                 `cbor:"2,keyasint"`
+	Counts [audit.NumKinds]uint64 `cbor:"1,keyasint"` // acts in all spans of the process, by kind
+	Spans  uint64                 `cbor:"2,keyasint"` // number of spans
 }
 
-// The faults of a folder.
+// Errors of a folder.
 var (
 	ErrVersion = errors.New("audit: of a newer format than this program reads")
 	ErrMember  = errors.New("audit: another member's record")
@@ -66,7 +66,7 @@
 	ErrTorn    = errors.New("audit: the last record is torn")
 )
 
-var reader = func() cbor.DecMode {
+var decoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 64, MaxMapPairs: 64, MaxNestedLevels: 8,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 	if err != nil {
@@ -75,7 +75,8 @@
 	return m
 }()
 
-func sumOf(last, text []byte) []byte {
+// chainSum returns the checksum of a record that follows one with the checksum last.
+func chainSum(last, text []byte) []byte {
 	h := sha256.New()
 	h.Write(last)
 	h.Write(text)
--- a/internal/audit/trail/trail_test.go
+++ b/internal/audit/trail/trail_test.go
@@ -25,8 +25,8 @@
 	return s
 }
 
-// written writes spans and ends in order.
-func written(t *testing.T, o Options, spans ...audit.Span) Predecessor {
+// writeSpans writes spans and an End record, and returns the predecessor.
+func writeSpans(t *testing.T, o Options, spans ...audit.Span) Predecessor {
 	t.Helper()
 	w, last, err := Open(o, func(err error) { t.Error(err) })
 	if err != nil {
@@ -44,7 +44,7 @@
 	return last
 }
 
-func verified(t *testing.T, folders ...string) Result {
+func mustVerify(t *testing.T, folders ...string) Result {
 	t.Helper()
 	v, err := Verify(folders, true)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return v
 }
 
-func broken(v Result) string {
+func violationText(v Result) string {
 	var all []string
 	for _, b := range v.Violations {
 		all = append(all, b.Where+": "+b.What)
@@ -61,22 +61,22 @@
 	return strings.Join(all, "; ")
 }
 
-// TestGoesOn: a second process goes on with the first one's record, knows what it acted on, and both verify as one.
+// TestGoesOn checks that a second process continues the first one's records, knows its last versions, and that both verify as one chain.
 func TestGoesOn(t *testing.T) {
 	dir := t.TempDir()
-	written(t, options(dir), span(1, 3, 5), span(2, 4, 6))
+	writeSpans(t, options(dir), span(1, 3, 5), span(2, 4, 6))
 	o := options(dir)
 	o.Process = 8
-	last := written(t, o, span(1, 4, 1))
+	last := writeSpans(t, o, span(1, 4, 1))
 	if !last.Any || !last.Ended || last.Process != 7 || last.Versions.Routes.No != 4 || last.Cut != "" {
-		t.Errorf("found of the process before: %+v", last)
+		t.Errorf("predecessor: %+v", last)
 	}
-	if v := verified(t, dir); broken(v) != "" || v.Acts != 12 || v.Members != 1 || len(v.Spans) != 3 {
+	if v := mustVerify(t, dir); violationText(v) != "" || v.Acts != 12 || v.Members != 1 || len(v.Spans) != 3 {
 		t.Errorf("verified as %+v", v)
 	}
 }
 
-// TestFilesTurnOver: files are bounded in size and number, and what is kept still verifies.
+// TestFilesTurnOver checks that files are bounded in size and number, and that the remaining ones still verify.
 func TestFilesTurnOver(t *testing.T) {
 	dir := t.TempDir()
 	o := options(dir)
@@ -85,17 +85,17 @@
 	for i := range 100 {
 		spans = append(spans, span(uint64(i+1), int64(i+1), 1))
 	}
-	written(t, o, spans...)
-	names, _ := filesOf(dir)
+	writeSpans(t, o, spans...)
+	names, _ := listFiles(dir)
 	if len(names) != 3 {
 		t.Errorf("%d files are kept", len(names))
 	}
-	if v := verified(t, dir); broken(v) != "" || v.Acts == 0 || v.Acts == 100 {
+	if v := mustVerify(t, dir); violationText(v) != "" || v.Acts == 0 || v.Acts == 100 {
 		t.Errorf("verified as %+v", v)
 	}
 }
 
-// TestOneWriter: a second process is kept out, and let in when the first has ended.
+// TestOneWriter checks that a second process can't open a folder until the first has ended.
 func TestOneWriter(t *testing.T) {
 	dir := t.TempDir()
 	w, _, err := Open(options(dir), func(err error) { t.Error(err) })
@@ -106,23 +106,24 @@
 		t.Errorf("a second writer: %v", err)
 	}
 	w.Close(10 * time.Second)
-	written(t, options(dir))
+	writeSpans(t, options(dir))
 }
 
-// TestDamageIsFound: a record that is torn, cut, altered, reordered, left out, copied from another member or of a newer format.
+// TestDamageIsFound checks that both Verify and Open detect records that are torn, altered, reordered or missing, and reject other members'
+// records and newer formats.
 func TestDamageIsFound(t *testing.T) {
 	base := func(t *testing.T) (dir, file string, text []byte, at []int) {
 		dir = t.TempDir()
-		written(t, options(dir), span(1, 3, 5), span(2, 4, 6), span(3, 5, 7))
-		names, _ := filesOf(dir)
+		writeSpans(t, options(dir), span(1, 3, 5), span(2, 4, 6), span(3, 5, 7))
+		names, _ := listFiles(dir)
 		text, err := os.ReadFile(names[0])
 		if err != nil {
 			t.Fatal(err)
 		}
 		for n, p := 0, headSize; p < len(text); n++ {
 			at = append(at, p)
-			_, _, size, err := parse(text[p:], nil, false)
-			if err != nil && size == 0 { // the sum is not checked here
+			_, _, size, err := parseRecord(text[p:], nil, false)
+			if err != nil && size == 0 { // the checksum isn't checked here
 				size = lengthSize + int(text[p+2])<<8 + int(text[p+3]) + sumSize
 			}
 			p += size
@@ -132,7 +133,7 @@
 	for name, tc := range map[string]struct {
 		spoil func(text []byte, at []int) []byte
 		want  string
-		open  string // what the next start says was cut off; empty for nothing
+		open  string // expected Predecessor.Cut; empty for none
 	}{
 		"whole":         {func(text []byte, _ []int) []byte { return text }, "", ""},
 		"torn":          {func(text []byte, at []int) []byte { return text[:at[3]+9] }, "ends within a record", "torn last record"},
@@ -149,20 +150,20 @@
 		if err := os.WriteFile(file, tc.spoil(text, at), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		v := verified(t, dir)
-		if got := broken(v); tc.open == "" && got != "" || !strings.Contains(got, tc.want) || tc.open != "" && got == "" {
+		v := mustVerify(t, dir)
+		if got := violationText(v); tc.open == "" && got != "" || !strings.Contains(got, tc.want) || tc.open != "" && got == "" {
 			t.Errorf("%s: verified as %q, want %q", name, got, tc.want)
 		}
-		last := written(t, options(dir), span(1, 5, 1)) // it is never a reason not to start
+		last := writeSpans(t, options(dir), span(1, 5, 1)) // damage must not prevent the next start
 		if !strings.Contains(last.Cut, tc.open) || (tc.open == "") != (last.Cut == "") {
-			t.Errorf("%s: the next start says %q, want %q", name, last.Cut, tc.open)
+			t.Errorf("%s: the next start reports %q, want %q", name, last.Cut, tc.open)
 		}
-		if v = verified(t, dir); v.Cuts != 1 && tc.open != "" {
-			t.Errorf("%s: the record does not say that it was cut", name)
+		if v = mustVerify(t, dir); v.Cuts != 1 && tc.open != "" {
+			t.Errorf("%s: the cut isn't recorded", name)
 		}
 	}
 	dir, file, text, _ := base(t)
-	text[len(head)] = FormatVersion + 1
+	text[len(fileMagic)] = FormatVersion + 1
 	os.WriteFile(file, text, 0o600)
 	if _, _, err := Open(options(dir), nil); !errors.Is(err, ErrVersion) {
 		t.Errorf("a newer format: %v", err)
@@ -181,7 +182,7 @@
 	}
 }
 
-// TestPromisesAreChecked: what the versions and counts of a record say, not only its format.
+// TestPromisesAreChecked checks that Verify detects records that are intact but violate the rules for versions, spans and counts.
 func TestPromisesAreChecked(t *testing.T) {
 	older, other := span(2, 2, 1), span(2, 3, 1)
 	other.Versions.Routes.Digest = 99
@@ -205,8 +206,8 @@
 		"one that is there twice":  {span(1, 4, 1), "span 1 follows span 1"},
 	} {
 		dir := t.TempDir()
-		written(t, options(dir), span(1, 3, 1), tc.second)
-		if got := broken(verified(t, dir)); tc.want == "" && got != "" || !strings.Contains(got, tc.want) {
+		writeSpans(t, options(dir), span(1, 3, 1), tc.second)
+		if got := violationText(mustVerify(t, dir)); tc.want == "" && got != "" || !strings.Contains(got, tc.want) {
 			t.Errorf("%s: %q, want %q", name, got, tc.want)
 		}
 	}
@@ -219,27 +220,27 @@
 	w.Put(1, Record{Span: &s})
 	w.Put(2, Record{End: &End{}})
 	w.Close(10 * time.Second)
-	if got := broken(verified(t, dir)); !strings.Contains(got, "says at its end") {
+	if got := violationText(mustVerify(t, dir)); !strings.Contains(got, "says at its end") {
 		t.Errorf("counts that don't add up: %q", got)
 	}
 	a, b := t.TempDir(), t.TempDir()
-	written(t, options(a), span(1, 3, 1))
+	writeSpans(t, options(a), span(1, 3, 1))
 	o := options(b)
 	o.Member = "n2"
-	written(t, o, other)
-	if got := broken(verified(t, a, b)); !strings.Contains(got, "and another at n1") {
+	writeSpans(t, o, other)
+	if got := violationText(mustVerify(t, a, b)); !strings.Contains(got, "and another at n1") {
 		t.Errorf("one number with two contents at two members: %q", got)
 	}
 }
 
-// slow is a disk that takes nothing until it is let, or fails.
-type slow struct {
+// faultyFile is a file whose writes block until wait is closed, or fail half-way while fail is set.
+type faultyFile struct {
 	file
 	wait chan struct{}
 	fail *bool
 }
 
-func (s slow) Write(p []byte) (int, error) {
+func (s faultyFile) Write(p []byte) (int, error) {
 	if s.wait != nil {
 		<-s.wait
 	}
@@ -250,52 +251,54 @@
 	return s.file.Write(p)
 }
 
-func (s slow) Seek(at int64, whence int) (int64, error) { return s.file.(io.Seeker).Seek(at, whence) }
+func (s faultyFile) Seek(at int64, whence int) (int64, error) {
+	return s.file.(io.Seeker).Seek(at, whence)
+}
 
-// unstarted is a writer with its folder locked and its file open, whose goroutine the test starts.
-func unstarted(t *testing.T, dir string) *Writer {
+// newIdleWriter returns a writer with its folder locked and its file open, without its goroutine.
+func newIdleWriter(t *testing.T, dir string) *Writer {
 	t.Helper()
-	w := &Writer{o: options(dir), queue: make(chan Record, mostQueued), done: make(chan struct{}), warn: func(error) {}}
+	w := &Writer{o: options(dir), queue: make(chan Record, maxQueuedRecords), done: make(chan struct{}), warn: func(error) {}}
 	var err error
 	if w.lock, err = lock(dir); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := w.open(); err != nil {
+	if _, err := w.resumeFolder(); err != nil {
 		t.Fatal(err)
 	}
 	return w
 }
 
-// TestSlowDiskDelaysNobody, and what it could not take is recorded as a gap.
+// TestSlowDiskDelaysNobody checks that Put doesn't block on a slow disk, and that dropped records are reported by a Gap.
 func TestSlowDiskDelaysNobody(t *testing.T) {
 	dir := t.TempDir()
-	w := unstarted(t, dir)
+	w := newIdleWriter(t, dir)
 	wait := make(chan struct{})
-	w.f = slow{file: w.f, wait: wait}
+	w.f = faultyFile{file: w.f, wait: wait}
 	go w.run()
-	for i := range 2 * mostQueued {
+	for i := range 2 * maxQueuedRecords {
 		s := span(uint64(i+1), int64(i+1), 1)
-		w.Put(1, Record{Span: &s}) // returns at once, or the test never ends
+		w.Put(1, Record{Span: &s}) // must not block
 	}
 	close(wait)
 	for len(w.queue) > 0 {
-		time.Sleep(time.Millisecond) // the writer works it off
+		time.Sleep(time.Millisecond) // until the writer has emptied the queue
 	}
-	s := span(2*mostQueued+1, 2*mostQueued+1, 1)
+	s := span(2*maxQueuedRecords+1, 2*maxQueuedRecords+1, 1)
 	w.Put(2, Record{Span: &s})
 	w.Close(10 * time.Second)
-	v := verified(t, dir)
-	if broken(v) != "" || v.Missing == 0 || v.Acts+v.Missing != 2*mostQueued+1 {
-		t.Errorf("verified as %+v: %s", v, broken(v))
+	v := mustVerify(t, dir)
+	if violationText(v) != "" || v.Missing == 0 || v.Acts+v.Missing != 2*maxQueuedRecords+1 {
+		t.Errorf("verified as %+v: %s", v, violationText(v))
 	}
 }
 
-// TestFullDisk: half a record that was written is taken back, and the record goes on behind a gap when there is room again.
+// TestFullDisk checks that a partially written record is removed, and that writing continues after a Gap once there is space again.
 func TestFullDisk(t *testing.T) {
 	dir := t.TempDir()
-	w := unstarted(t, dir)
+	w := newIdleWriter(t, dir)
 	fail := false
-	w.f = slow{file: w.f, fail: &fail}
+	w.f = faultyFile{file: w.f, fail: &fail}
 	for i := range 5 {
 		fail = i == 1 || i == 2
 		s := span(uint64(i+1), int64(i+1), 1)
@@ -303,15 +306,15 @@
 	}
 	w.f.Close()
 	w.lock.Close()
-	v := verified(t, dir)
-	if broken(v) != "" || v.Missing != 2 || v.Acts != 3 {
-		t.Errorf("verified as %+v: %s", v, broken(v))
+	v := mustVerify(t, dir)
+	if violationText(v) != "" || v.Missing != 2 || v.Acts != 3 {
+		t.Errorf("verified as %+v: %s", v, violationText(v))
 	}
 	if os.Geteuid() != 0 {
 		ro := t.TempDir()
 		os.Chmod(ro, 0o500)
 		if _, _, err := Open(options(filepath.Join(ro, "x")), nil); err == nil {
-			t.Error("a folder that can't be written is opened")
+			t.Error("a read-only folder was opened")
 		}
 	}
 }
@@ -325,17 +328,17 @@
 	s := span(1, 3, 5)
 	w.Put(1, Record{Span: &s})
 	w.Close(10 * time.Second)
-	names, _ := filesOf(dir)
+	names, _ := listFiles(dir)
 	text, err := os.ReadFile(names[0])
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(text)
 	f.Add(text[:len(text)-3])
-	f.Add([]byte(head))
+	f.Add([]byte(fileMagic))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, "00000001"+ending), text, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, "00000001"+fileExt), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		v, err := Verify([]string{dir}, true)
@@ -351,7 +354,7 @@
 		}
 		w.Close(10 * time.Second)
 		if again, err := Verify([]string{dir}, false); err != nil || again.Records < v.Records+1 {
-			t.Fatal(fmt.Sprint("what stood before can't be read behind a new start: ", v.Records, again.Records, err))
+			t.Fatal(fmt.Sprint("earlier records can't be verified after a new start: ", v.Records, again.Records, err))
 		}
 	})
 }
@@ -367,7 +370,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				for i := range 8640 { // a day of spans of ten seconds
+				for i := range 8640 { // one day of spans of ten seconds
 					s := span(uint64(i+1), int64(i+1), 100)
 					w.write(Record{Span: &s})
 				}
--- a/internal/audit/trail/verify.go
+++ b/internal/audit/trail/verify.go
@@ -15,16 +15,16 @@
 	"foldlb.example/foldlb/internal/membership"
 )
 
-// Break is a promise that a record shows broken, or a record that can't be believed.
+// Violation is a violated rule, or a record that is damaged or inconsistent.
 type Violation struct {
 	Member string  `json:"member"`
-	Where  string  `json:"where"` // file, and record or byte
+	Where  string  `json:"where"` // file name and record number or byte offset
 	What   string  `json:"what"`
 	Wall   int64   `json:"wall_ms,omitempty"`
 	Clock  float64 `json:"clock,omitempty"`
 }
 
-// Use is what a member did on one version of a kind.
+// Use summarizes a member's acts on one version of a kind. Wall-clock times are in Unix milliseconds.
 type Use struct {
 	Member    string             `json:"member"`
 	Kind      string             `json:"kind"`
@@ -35,50 +35,50 @@
 	Acts      uint64             `json:"acts"`
 }
 
-// Entry is a span with where it was found.
+// Entry is a span with its member and process.
 type Entry struct {
 	Member  string     `json:"member"`
 	Process uint64     `json:"process"`
-	Wall    int64      `json:"wall_ms"` // when it was written: its end
+	Wall    int64      `json:"wall_ms"` // Unix milliseconds when it was written, at its end
 	Span    audit.Span `json:"span"`
 }
 
-// Verdict is what verifying has found.
+// Result is the result of Verify.
 type Result struct {
 	Members    int         `json:"members"`
 	Records    uint64      `json:"records"`
 	Bytes      int64       `json:"bytes"`
 	Acts       uint64      `json:"acts"`
-	Missing    uint64      `json:"missing"` // records that gaps tell of
-	Cuts       int         `json:"cuts"`    // torn ends that were cut off
+	Missing    uint64      `json:"missing"` // records reported missing by gaps
+	Cuts       int         `json:"cuts"`    // files whose end was cut off or unreadable
 	Violations []Violation `json:"breaks"`
 	Uses       []Use       `json:"-"`
 	Spans      []Entry     `json:"-"`
 }
 
-const mostBreaks = 200
+const maxViolations = 200
 
-// life is a process's record as it is read.
-type life struct {
+// processState is the state of a process during verification. any is set once a span was read, hasGap once one may be missing.
+type processState struct {
 	spans  uint64
 	last   audit.Span
 	any    bool
 	counts [audit.NumKinds]uint64
-	gap    bool
+	hasGap bool
 }
 
 type verifier struct {
 	Result
-	keep   bool
-	lives  map[uint64]*life
-	owners map[origin]content
-	uses   map[useKey]*Use
-	member string
-	newest audit.Versions // of the member that is read
-	acted  bool
+	keepSpans   bool
+	processes   map[uint64]*processState
+	contents    map[versionID]content
+	uses        map[useKey]*Use
+	member      string
+	latest      audit.Versions // versions last applied by the current member
+	hasVersions bool
 }
 
-type origin struct {
+type versionID struct {
 	kind, source string
 	no           int64
 }
@@ -95,10 +95,11 @@
 	begun        int
 }
 
-// Verify reads the records of folders, one member's each, and checks what they promise. keep has all spans returned. It shares the format
-// of records with the writer, and no code.
-func Verify(folders []string, keep bool) (Result, error) {
-	v := &verifier{keep: keep, owners: map[origin]content{}, uses: map[useKey]*Use{}}
+// Verify reads and checks the records of folders, each of one member. keepSpans makes it return all spans. It returns an error if a folder
+// can't be read, contains no record or has a newer format; all else is reported as violations. Apart from the record format it shares no code
+// with the writer, so that a fault of the writer can't hide itself.
+func Verify(folders []string, keepSpans bool) (Result, error) {
+	v := &verifier{keepSpans: keepSpans, contents: map[versionID]content{}, uses: map[useKey]*Use{}}
 	for _, folder := range folders {
 		if err := v.folder(folder); err != nil {
 			return v.Result, err
@@ -121,8 +122,8 @@
 	return v.Result, nil
 }
 
-func (v *verifier) broken(where string, r Record, format string, args ...any) {
-	if len(v.Violations) < mostBreaks {
+func (v *verifier) addViolation(where string, r Record, format string, args ...any) {
+	if len(v.Violations) < maxViolations {
 		v.Violations = append(v.Violations, Violation{Member: v.member, Where: where, What: fmt.Sprintf(format, args...), Wall: r.Wall, Clock: r.Clock})
 	}
 }
@@ -134,7 +135,7 @@
 	}
 	var names []string
 	for _, e := range list {
-		if filepath.Ext(e.Name()) == ending {
+		if filepath.Ext(e.Name()) == fileExt {
 			names = append(names, e.Name())
 		}
 	}
@@ -143,20 +144,20 @@
 	}
 	sort.Strings(names)
 	v.Members++
-	v.member, v.acted, v.newest = "", false, audit.Versions{}
-	v.lives = map[uint64]*life{}
+	v.member, v.hasVersions, v.latest = "", false, audit.Versions{}
+	v.processes = map[uint64]*processState{}
 	var sum []byte
 	var next uint64
 	for i, name := range names {
-		if sum, next, err = v.file(filepath.Join(folder, name), name, sum, next, i == 0); err != nil {
+		if sum, next, err = v.readFile(filepath.Join(folder, name), name, sum, next, i == 0); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// file reads one file and returns the sum and number to go on from.
-func (v *verifier) file(path, name string, sum []byte, next uint64, first bool) ([]byte, uint64, error) {
+// readFile verifies one file and returns the checksum and record number with which the next file must continue.
+func (v *verifier) readFile(path, name string, sum []byte, next uint64, first bool) ([]byte, uint64, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return sum, next, fmt.Errorf("audit: %w", err)
@@ -164,47 +165,47 @@
 	defer f.Close()
 	in := bufio.NewReaderSize(f, 64<<10)
 	top := make([]byte, headSize)
-	if _, err := io.ReadFull(in, top); err != nil || string(top[:len(head)]) != head {
-		v.broken(name, Record{}, "is no record: it has no head")
+	if _, err := io.ReadFull(in, top); err != nil || string(top[:len(fileMagic)]) != fileMagic {
+		v.addViolation(name, Record{}, "is no record: it has no head")
 		return sum, next, nil
 	}
-	if top[len(head)] > FormatVersion {
-		return sum, next, fmt.Errorf("%w: %s is of format %d", ErrVersion, path, top[len(head)])
+	if top[len(fileMagic)] > FormatVersion {
+		return sum, next, fmt.Errorf("%w: %s is of format %d", ErrVersion, path, top[len(fileMagic)])
 	}
 	process := uint64(0)
 	for n, at := 0, int64(headSize); ; n++ {
 		var size [lengthSize]byte
 		if _, err := io.ReadFull(in, size[:]); err != nil {
 			if !errors.Is(err, io.EOF) {
-				v.broken(fmt.Sprintf("%s, byte %d", name, at), Record{}, "the file ends within a record")
+				v.addViolation(fmt.Sprintf("%s, byte %d", name, at), Record{}, "the file ends within a record")
 			}
 			return sum, next, nil
 		}
 		length := binary.BigEndian.Uint32(size[:])
 		where := fmt.Sprintf("%s, byte %d", name, at)
-		if length > mostRecord {
-			v.broken(where, Record{}, "a record of %d bytes, %d at most: nothing behind it can be read", length, mostRecord)
+		if length > maxRecordBytes {
+			v.addViolation(where, Record{}, "a record of %d bytes, %d at most: nothing behind it can be read", length, maxRecordBytes)
 			return sum, next, nil
 		}
 		text := make([]byte, int(length)+sumSize)
 		if _, err := io.ReadFull(in, text); err != nil {
-			v.broken(where, Record{}, "the file ends within a record")
+			v.addViolation(where, Record{}, "the file ends within a record")
 			return sum, next, nil
 		}
 		at += int64(lengthSize + len(text))
-		body, told := text[:length], text[length:]
+		body, checksum := text[:length], text[length:]
 		var r Record
-		if err := reader.Unmarshal(body, &r); err != nil {
-			v.broken(where, Record{}, "no record: %v", err)
+		if err := decoder.Unmarshal(body, &r); err != nil {
+			v.addViolation(where, Record{}, "no record: %v", err)
 			return sum, next, nil
 		}
 		if n == 0 {
 			if r.Begin == nil {
-				v.broken(where, r, "a file that does not begin with its member's name")
+				v.addViolation(where, r, "a file that does not begin with its member's name")
 				return sum, next, nil
 			}
 			if !first && string(r.Begin.Last) != string(sum) {
-				v.broken(where, r, "does not go on from the file before: records are missing or altered")
+				v.addViolation(where, r, "does not go on from the file before: records are missing or altered")
 			}
 			sum = r.Begin.Last
 			if first {
@@ -214,97 +215,97 @@
 		h := sha256.New()
 		h.Write(sum)
 		h.Write(body)
-		if own := h.Sum(nil); string(own) != string(told) {
-			v.broken(where, r, "its sum does not match: it, or one before it, is altered, missing or in another place")
+		if own := h.Sum(nil); string(own) != string(checksum) {
+			v.addViolation(where, r, "its sum does not match: it, or one before it, is altered, missing or in another place")
 			return sum, next, nil
 		} else {
 			sum = own
 		}
 		if r.No != next {
-			v.broken(where, r, "record %d stands where %d should", r.No, next)
+			v.addViolation(where, r, "record %d stands where %d should", r.No, next)
 		}
 		next = r.No + 1
 		v.Records++
 		v.Bytes += int64(lengthSize) + int64(len(text))
-		v.record(fmt.Sprintf("%s, record %d", name, r.No), r, &process)
+		v.checkRecord(fmt.Sprintf("%s, record %d", name, r.No), r, &process)
 	}
 }
 
-func (v *verifier) record(where string, r Record, process *uint64) {
+func (v *verifier) checkRecord(where string, r Record, process *uint64) {
 	switch {
 	case r.Begin != nil:
 		if v.member == "" {
 			v.member = r.Begin.Member
 		} else if v.member != r.Begin.Member {
-			v.broken(where, r, "is of %q, in a folder of %q", r.Begin.Member, v.member)
+			v.addViolation(where, r, "is of %q, in a folder of %q", r.Begin.Member, v.member)
 		}
 		*process = r.Begin.Process
-		if r.Begin.Held != nil && !v.acted {
-			v.acted, v.newest = true, *r.Begin.Held // what was acted on in files that are no longer kept
+		if r.Begin.Held != nil && !v.hasVersions {
+			v.hasVersions, v.latest = true, *r.Begin.Held // versions applied in files that were deleted
 		}
 		if r.Begin.Cut != "" {
 			v.Cuts++
-			if l := v.lives[*process]; l != nil {
-				l.gap = true
+			if l := v.processes[*process]; l != nil {
+				l.hasGap = true
 			}
 		}
 	case r.Gap != nil:
 		v.Missing += r.Gap.Missing
-		v.life(*process).gap = true
+		v.processState(*process).hasGap = true
 	case r.Held != nil:
-		v.held(where, r, *r.Held)
+		v.checkVersions(where, r, *r.Held)
 	case r.Span != nil:
-		v.span(where, r, *process)
+		v.checkSpan(where, r, *process)
 	case r.End != nil:
-		if l := v.life(*process); !l.gap && (l.counts != r.End.Counts) {
-			v.broken(where, r, "the process says at its end that it did %v, and its spans say %v", r.End.Counts, l.counts)
+		if l := v.processState(*process); !l.hasGap && (l.counts != r.End.Counts) {
+			v.addViolation(where, r, "the process says at its end that it did %v, and its spans say %v", r.End.Counts, l.counts)
 		}
 	}
 }
 
-func (v *verifier) life(process uint64) *life {
-	l := v.lives[process]
+func (v *verifier) processState(process uint64) *processState {
+	l := v.processes[process]
 	if l == nil {
-		l = &life{}
-		v.lives[process] = l
+		l = &processState{}
+		v.processes[process] = l
 	}
 	return l
 }
 
-// held checks that a member goes back behind nothing that it acted on, also not in another process.
-func (v *verifier) held(where string, r Record, now audit.Versions) {
-	old := v.newest
-	if v.acted {
+// checkVersions checks that a member never goes back to an older version, not even in a later process.
+func (v *verifier) checkVersions(where string, r Record, now audit.Versions) {
+	old := v.latest
+	if v.hasVersions {
 		if old.Config.Source == now.Config.Source && old.Config.No > now.Config.No {
-			v.broken(where, r, "acts on configuration %d after %d", now.Config.No, old.Config.No)
+			v.addViolation(where, r, "acts on configuration %d after %d", now.Config.No, old.Config.No)
 		}
 		if old.Begun > now.Begun {
-			v.broken(where, r, "acts on the source's beginning %d after %d", now.Begun, old.Begun)
+			v.addViolation(where, r, "acts on the source's beginning %d after %d", now.Begun, old.Begun)
 		} else if old.Begun == now.Begun && old.Routes.Source == now.Routes.Source && old.Routes.No > now.Routes.No && now.Routes.No >= 0 {
-			v.broken(where, r, "acts on route set %d after %d of the same source", now.Routes.No, old.Routes.No)
+			v.addViolation(where, r, "acts on route set %d after %d of the same source", now.Routes.No, old.Routes.No)
 		}
 	}
-	v.acted, v.newest = true, now
+	v.hasVersions, v.latest = true, now
 	if now.Routes.No < 0 {
-		v.newest.Routes = old.Routes // it holds no list yet, and forgets nothing
+		v.latest.Routes = old.Routes // it has no route set yet, so the last one still counts
 	}
 }
 
-func (v *verifier) span(where string, r Record, process uint64) {
-	s, l := *r.Span, v.life(process)
-	if !v.acted || s.Versions != v.newest {
-		v.held(where, r, s.Versions)
+func (v *verifier) checkSpan(where string, r Record, process uint64) {
+	s, l := *r.Span, v.processState(process)
+	if !v.hasVersions || s.Versions != v.latest {
+		v.checkVersions(where, r, s.Versions)
 	}
 	if l.any {
-		if !l.gap && s.No != l.last.No+1 {
-			v.broken(where, r, "span %d follows span %d", s.No, l.last.No)
+		if !l.hasGap && s.No != l.last.No+1 {
+			v.addViolation(where, r, "span %d follows span %d", s.No, l.last.No)
 		}
 	} else if s.No > 1 {
-		l.gap = true // its first spans are in files that are no longer kept
+		l.hasGap = true // its first spans are in files that were deleted
 	}
 	if s.From > s.Until || s.Acts() > 0 && (s.First < s.From || s.Last < s.First || s.Until < s.Last) ||
 		s.LastSent != 0 && (s.Counts[audit.Sent] == 0 || s.FirstSent < s.First || s.LastSent < s.FirstSent || s.Last < s.LastSent) {
-		v.broken(where, r, "its times are in no order: %v", s)
+		v.addViolation(where, r, "its times are in no order: %v", s)
 	}
 	l.any, l.last = true, s
 	l.spans++
@@ -312,34 +313,34 @@
 		l.counts[k] += n
 	}
 	v.Acts += s.Acts()
-	v.one(where, r, "configuration", s.Versions.Config, 0)
-	v.one(where, r, "route set", s.Versions.Routes, s.Versions.Begun)
-	v.use(r, "program", s.Versions.Program, 0, s)
-	v.use(r, "configuration", s.Versions.Config, 0, s)
-	v.use(r, "route set", s.Versions.Routes, s.Versions.Begun, s)
-	if v.keep {
+	v.checkContent(where, r, "configuration", s.Versions.Config, 0)
+	v.checkContent(where, r, "route set", s.Versions.Routes, s.Versions.Begun)
+	v.addUse(r, "program", s.Versions.Program, 0, s)
+	v.addUse(r, "configuration", s.Versions.Config, 0, s)
+	v.addUse(r, "route set", s.Versions.Routes, s.Versions.Begun, s)
+	if v.keepSpans {
 		v.Spans = append(v.Spans, Entry{Member: v.member, Process: process, Wall: r.Wall, Span: s})
 	}
 }
 
-// one checks that one number has one content, wherever it was acted on.
-func (v *verifier) one(where string, r Record, kind string, x membership.Version, begun int) {
+// checkContent checks that a version number has the same content at all members.
+func (v *verifier) checkContent(where string, r Record, kind string, x membership.Version, begun int) {
 	if x.No <= 0 {
 		return
 	}
 	if kind == "route set" && begun > 0 {
-		return // its own count of beginnings, which other members don't share
+		return // numbered anew by its source; members count such restarts differently
 	}
-	key := origin{kind: kind, source: x.Source, no: x.No}
-	was, seen := v.owners[key]
+	key := versionID{kind: kind, source: x.Source, no: x.No}
+	was, seen := v.contents[key]
 	if !seen {
-		v.owners[key] = content{x.Digest, v.member, where}
+		v.contents[key] = content{x.Digest, v.member, where}
 	} else if was.digest != x.Digest {
-		v.broken(where, r, "%s %d of %s has one content here (%x) and another at %s (%x; %s)", kind, x.No, x.Source, x.Digest, was.member, was.digest, was.where)
+		v.addViolation(where, r, "%s %d of %s has one content here (%x) and another at %s (%x; %s)", kind, x.No, x.Source, x.Digest, was.member, was.digest, was.where)
 	}
 }
 
-func (v *verifier) use(r Record, kind string, x membership.Version, begun int, s audit.Span) {
+func (v *verifier) addUse(r Record, kind string, x membership.Version, begun int, s audit.Span) {
 	key := useKey{v.member, kind, x, begun}
 	u := v.uses[key]
 	if u == nil {
--- a/internal/audit/trail/writer.go
+++ b/internal/audit/trail/writer.go
@@ -19,44 +19,44 @@
 )
 
 const (
-	ending     = ".audit"
-	mostQueued = 256 // records that wait for the disk
+	fileExt          = ".audit"
+	maxQueuedRecords = 256 // records waiting to be written
 )
 
-// Options say where and how much is written.
+// Options configure a Writer.
 type Options struct {
 	Folder  string
 	Member  string
 	Process uint64
-	Files   int   // that are kept
-	Bytes   int64 // of a file, at the most
+	Files   int   // number of files kept; the oldest are deleted
+	Bytes   int64 // size at which a new file is started
 
-	Wall func() time.Time // the machine's clock of day, for people; nil for the system's
+	Wall func() time.Time // wall clock for Record.Wall; nil means time.Now
 }
 
-// Writer writes records to a folder, on a goroutine of its own. Nobody waits for it.
+// Writer writes records to a folder on its own goroutine. Put never blocks.
 type Writer struct {
-	o     Options
-	queue chan Record
-	done  chan struct{}
-	end   sync.Once
-	warn  func(error)
+	o         Options
+	queue     chan Record
+	done      chan struct{}
+	closeOnce sync.Once
+	warn      func(error)
 
-	missing uint64 // since the last record that found a place; of the poster's goroutine
+	droppedCount uint64 // records dropped since the last one that was queued; used by the goroutine that calls Put
 
-	// of the writing goroutine
-	lock *os.File
-	f    file
-	size int64
-	no   uint64
-	last []byte
-	seq  int
-	held *audit.Versions // by the last record that says so
-	lost uint64          // records that could not be written since the last that was
-	why  string
+	// used by the writing goroutine
+	lock       *os.File
+	f          file
+	size       int64
+	no         uint64
+	last       []byte
+	fileNo     int
+	held       *audit.Versions // versions in the last such record
+	lostCount  uint64          // records that could not be written since the last one written
+	lostReason string
 }
 
-// file is what is written to; tests put a slow or full one in its place.
+// file is the file written to; tests substitute a slow or full one.
 type file interface {
 	io.Writer
 	Sync() error
@@ -64,20 +64,20 @@
 	Close() error
 }
 
-// Last is what the newest records of a folder tell of the process before.
+// Predecessor describes the previous process according to the newest file of a folder.
 type Predecessor struct {
 	Process  uint64
-	Versions audit.Versions // of its last span
-	Any      bool           // there was one
+	Versions audit.Versions // last applied
+	Any      bool           // Versions is set
 	Ended    bool           // it ended in order
-	Cut      string         // what was cut off
+	Cut      string         // what was cut off or couldn't be read; empty for nothing
 }
 
-// Open goes on with a folder's record, or begins one, and tells what the process before acted on last. A torn last record is cut off
-// and named. A record of another member or of a newer format is an error, and nothing is written. Where the chain is broken a new
-// file begins, which says so.
+// Open opens a folder for writing, creating it if needed, and describes the previous process. A torn last record is cut off and reported. If
+// the hash chain is broken, a new file is started that says so. Errors wrap ErrBusy if another process writes the folder, ErrMember if it
+// belongs to another member, and ErrVersion if its format is newer; then nothing is written.
 func Open(o Options, warn func(error)) (*Writer, Predecessor, error) {
-	w := &Writer{o: o, queue: make(chan Record, mostQueued), done: make(chan struct{}), warn: warn}
+	w := &Writer{o: o, queue: make(chan Record, maxQueuedRecords), done: make(chan struct{}), warn: warn}
 	if err := os.MkdirAll(o.Folder, 0o700); err != nil {
 		return nil, Predecessor{}, fmt.Errorf("audit: %w", err)
 	}
@@ -85,7 +85,7 @@
 	if w.lock, err = lock(o.Folder); err != nil {
 		return nil, Predecessor{}, err
 	}
-	last, err := w.open()
+	last, err := w.resumeFolder()
 	if err != nil {
 		w.lock.Close()
 		return nil, last, err
@@ -101,7 +101,7 @@
 	return time.Now().UnixMilli()
 }
 
-// lock keeps a second process out of a folder for as long as this one lives. Danger: two writers would each break the other's chain.
+// lock locks a folder for the lifetime of this process. Two writers would each break the other's hash chain.
 func lock(folder string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(folder, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -114,32 +114,32 @@
 	return f, nil
 }
 
-// open reads how the last file ends, and begins the next.
-func (w *Writer) open() (Predecessor, error) {
+// resumeFolder reads the latest file and starts the next one.
+func (w *Writer) resumeFolder() (Predecessor, error) {
 	o := w.o
-	names, err := filesOf(o.Folder)
+	names, err := listFiles(o.Folder)
 	if err != nil {
 		return Predecessor{}, err
 	}
 	var last Predecessor
 	if len(names) > 0 {
 		name := names[len(names)-1]
-		if _, err := fmt.Sscanf(filepath.Base(name), "%d", &w.seq); err != nil {
-			return Predecessor{}, fmt.Errorf("audit: %s: no number", name)
+		if _, err := fmt.Sscanf(filepath.Base(name), "%d", &w.fileNo); err != nil {
+			return Predecessor{}, fmt.Errorf("audit: %s: file name has no number", name)
 		}
-		if last, err = w.resume(name); err != nil {
+		if last, err = w.readLatestFile(name); err != nil {
 			return Predecessor{}, err
 		}
 	}
 	if last.Any {
 		w.held = &last.Versions
 	}
-	return last, w.next(last.Cut)
+	return last, w.startFile(last.Cut)
 }
 
-// filesOf lists a folder's files in their order.
-func filesOf(folder string) ([]string, error) {
-	names, err := filepath.Glob(filepath.Join(folder, "*"+ending))
+// listFiles returns a folder's files in order.
+func listFiles(folder string) ([]string, error) {
+	names, err := filepath.Glob(filepath.Join(folder, "*"+fileExt))
 	if err != nil {
 		return nil, fmt.Errorf("audit: %w", err)
 	}
@@ -147,8 +147,8 @@
 	return names, nil
 }
 
-// resume reads the newest file to its end.
-func (w *Writer) resume(name string) (last Predecessor, err error) {
+// readLatestFile reads the newest file to its end, and truncates a torn last record.
+func (w *Writer) readLatestFile(name string) (last Predecessor, err error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return last, fmt.Errorf("audit: %w", err)
@@ -157,21 +157,21 @@
 	cut := func(at int, why string) {
 		last.Cut = fmt.Sprintf("%s: %d bytes from byte %d on: %s", base, len(text)-at, at, why)
 	}
-	if len(text) < headSize || string(text[:len(head)]) != head {
+	if len(text) < headSize || string(text[:len(fileMagic)]) != fileMagic {
 		cut(0, "no head")
 		return last, nil
 	}
-	if text[len(head)] > FormatVersion {
-		return last, fmt.Errorf("%w: %s is of format %d, this program writes %d", ErrVersion, name, text[len(head)], FormatVersion)
+	if text[len(fileMagic)] > FormatVersion {
+		return last, fmt.Errorf("%w: %s is of format %d, this program writes %d", ErrVersion, name, text[len(fileMagic)], FormatVersion)
 	}
 	at := headSize
 	for at < len(text) {
-		r, sum, size, err := parse(text[at:], w.last, at == headSize)
+		r, sum, size, err := parseRecord(text[at:], w.last, at == headSize)
 		if errors.Is(err, ErrTorn) {
 			cut(at, "a torn last record")
 			return last, os.Truncate(name, int64(at))
 		} else if err != nil {
-			cut(at, err.Error()) // left as it stands, for whoever verifies
+			cut(at, err.Error()) // left unchanged for Verify to report
 			return last, nil
 		}
 		if r.Begin != nil {
@@ -196,13 +196,14 @@
 	return last, nil
 }
 
-// parse reads the record at the beginning of a text. first says that it is a file's first, which names the sum to go on from.
-func parse(text, last []byte, first bool) (r Record, sum []byte, size int, err error) {
+// parseRecord reads the record at the beginning of text; last is the previous checksum. The first record of a file contains the previous
+// checksum itself. It returns the record's checksum and its size in bytes, header included.
+func parseRecord(text, last []byte, first bool) (r Record, sum []byte, size int, err error) {
 	if len(text) < lengthSize {
 		return r, nil, 0, ErrTorn
 	}
 	n := int(binary.BigEndian.Uint32(text))
-	if n > mostRecord {
+	if n > maxRecordBytes {
 		return r, nil, 0, fmt.Errorf("%w: a record of %d bytes", ErrBroken, n)
 	}
 	size = lengthSize + n + sumSize
@@ -210,29 +211,30 @@
 		return r, nil, 0, ErrTorn
 	}
 	body, sum := text[lengthSize:lengthSize+n], text[lengthSize+n:size]
-	if err := reader.Unmarshal(body, &r); err != nil {
+	if err := decoder.Unmarshal(body, &r); err != nil {
 		return r, nil, 0, fmt.Errorf("%w: %w", ErrBroken, err)
 	}
 	if first && r.Begin != nil {
 		last = r.Begin.Last
 	}
-	if string(sumOf(last, body)) != string(sum) {
+	if string(chainSum(last, body)) != string(sum) {
 		return r, nil, 0, fmt.Errorf("%w: the sum does not match", ErrBroken)
 	}
 	return r, sum, size, nil
 }
 
-// Put hands a record over to be written. It never waits: what finds no place is counted, and said by the next that does.
+// Put queues a record for writing. It never blocks: if the queue is full, the record is dropped and counted, and a Gap is written before the
+// next one queued. clock is in seconds of the dispatcher's clock.
 func (w *Writer) Put(clock float64, r Record) {
 	r.Wall, r.Clock = w.wall(), clock
-	if w.missing > 0 {
-		gap := Record{Wall: r.Wall, Clock: clock, Gap: &Gap{Missing: w.missing, Why: "the disk did not keep up"}}
-		if len(w.queue) > mostQueued-2 {
-			w.missing++
+	if w.droppedCount > 0 {
+		gap := Record{Wall: r.Wall, Clock: clock, Gap: &Gap{Missing: w.droppedCount, Why: "the disk did not keep up"}}
+		if len(w.queue) > maxQueuedRecords-2 {
+			w.droppedCount++
 			return
 		}
-		w.queue <- gap // danger: only this goroutine posts, so there is room for both
-		w.missing = 0
+		w.queue <- gap // never blocks: only this goroutine sends, so there is room for both records
+		w.droppedCount = 0
 	}
 	if altered.Is("skips a record") && r.Span != nil && r.Span.No%3 == 2 {
 		return
@@ -240,16 +242,16 @@
 	select {
 	case w.queue <- r:
 	default:
-		w.missing++
+		w.droppedCount++
 	}
 }
 
-// Close writes what waits, for a time at the most, and ends.
-func (w *Writer) Close(most time.Duration) {
-	w.end.Do(func() { close(w.queue) })
+// Close writes the queued records and stops the writer. It returns after the timeout at the latest.
+func (w *Writer) Close(timeout time.Duration) {
+	w.closeOnce.Do(func() { close(w.queue) })
 	select {
 	case <-w.done:
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 }
 
@@ -269,53 +271,53 @@
 	w.lock.Close()
 }
 
-// write writes one record, after one that says what is missing before it.
+// write writes a record, preceded by a Gap if records were lost before it.
 func (w *Writer) write(r Record) {
 	if w.f == nil || w.size >= w.o.Bytes {
-		if err := w.next(""); err != nil {
-			w.lose(err)
+		if err := w.startFile(""); err != nil {
+			w.countLost(err)
 			return
 		}
 	}
-	if w.lost > 0 {
-		if err := w.append(Record{Wall: r.Wall, Clock: r.Clock, Gap: &Gap{Missing: w.lost, Why: w.why}}); err != nil {
-			w.lose(err)
+	if w.lostCount > 0 {
+		if err := w.append(Record{Wall: r.Wall, Clock: r.Clock, Gap: &Gap{Missing: w.lostCount, Why: w.lostReason}}); err != nil {
+			w.countLost(err)
 			return
 		}
-		w.lost = 0
+		w.lostCount = 0
 	}
 	if err := w.append(r); err != nil {
-		w.lose(err)
+		w.countLost(err)
 	}
 }
 
-func (w *Writer) lose(err error) {
-	if w.lost == 0 {
-		w.warn(fmt.Errorf("audit: records are missing from here on: %w", err))
+func (w *Writer) countLost(err error) {
+	if w.lostCount == 0 {
+		w.warn(fmt.Errorf("audit: cannot write records, the following are missing: %w", err))
 	}
-	w.lost++
-	if w.why = err.Error(); len(w.why) > 200 {
-		w.why = w.why[:200]
+	w.lostCount++
+	if w.lostReason = err.Error(); len(w.lostReason) > 200 {
+		w.lostReason = w.lostReason[:200]
 	}
 }
 
-// append writes a record behind the last. Where that fails the file is put back to where it stood, so that the next one can follow.
+// append appends a record. If that fails, it truncates the file to its previous size, so that the next record can follow.
 func (w *Writer) append(r Record) error {
 	r.No = w.no
 	body, err := cbor.Marshal(r)
 	if err != nil {
 		return err
 	}
-	if len(body) > mostRecord {
-		return fmt.Errorf("a record of %d bytes, %d at most", len(body), mostRecord)
+	if len(body) > maxRecordBytes {
+		return fmt.Errorf("a record of %d bytes, %d at most", len(body), maxRecordBytes)
 	}
-	sum := sumOf(w.last, body)
+	sum := chainSum(w.last, body)
 	text := binary.BigEndian.AppendUint32(make([]byte, 0, lengthSize+len(body)+sumSize), uint32(len(body)))
 	text = append(append(text, body...), sum...)
 	if _, err := w.f.Write(text); err != nil {
 		if e := w.f.Truncate(w.size); e != nil {
 			w.f.Close()
-			w.f = nil // danger: behind half a record nothing could be read any more
+			w.f = nil // nothing written after half a record could be read
 			return errors.Join(err, e)
 		}
 		if s, ok := w.f.(io.Seeker); ok {
@@ -331,21 +333,21 @@
 	return nil
 }
 
-// next begins a file, and drops the oldest beyond those that are kept.
-func (w *Writer) next(cut string) error {
+// startFile starts a new file and deletes the oldest ones beyond Options.Files.
+func (w *Writer) startFile(cut string) error {
 	if w.f != nil {
 		w.f.Sync()
 		w.f.Close()
 		w.f = nil
 	}
-	w.seq++
-	path := filepath.Join(w.o.Folder, fmt.Sprintf("%08d%s", w.seq, ending))
+	w.fileNo++
+	path := filepath.Join(w.o.Folder, fmt.Sprintf("%08d%s", w.fileNo, fileExt))
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
 	if err != nil {
 		return fmt.Errorf("audit: %w", err)
 	}
 	w.f, w.size = f, 0
-	n, err := f.Write(append([]byte(head), FormatVersion))
+	n, err := f.Write(append([]byte(fileMagic), FormatVersion))
 	if err != nil {
 		f.Close()
 		w.f = nil
@@ -364,7 +366,7 @@
 		os.Remove(path)
 		return err
 	}
-	names, err := filesOf(w.o.Folder)
+	names, err := listFiles(w.o.Folder)
 	for err == nil && len(names) > max(1, w.o.Files) {
 		if err = os.Remove(names[0]); err != nil {
 			w.warn(fmt.Errorf("audit: %w", err))
--- a/internal/routeset/list.go
+++ b/internal/routeset/list.go
@@ -14,7 +14,7 @@
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 // list is discovery's format of a route set. Keys it does not name are skipped.
-type list struct {
+type listResponse struct {
 	Version *int64 `json:"version"`
 	Full    bool   `json:"full"`
 	Servers []struct {
@@ -29,11 +29,11 @@
 	} `json:"servers"`
 }
 
-var states = map[string]core.WorkerState{"active": core.WorkerActive, "leaving": core.WorkerLeaving, "left": core.WorkerLeft}
+var workerStates = map[string]core.WorkerState{"active": core.WorkerActive, "leaving": core.WorkerLeaving, "left": core.WorkerLeft}
 
 // Parse reads a list. A list with one bad entry is refused whole: half a list would look like workers that left.
 func Parse(text []byte) (core.RouteSet, error) {
-	var l list
+	var l listResponse
 	if err := json.Unmarshal(text, &l); err != nil {
 		return core.RouteSet{}, fmt.Errorf("not a list of servers: %w", err)
 	}
@@ -43,7 +43,7 @@
 	set := core.RouteSet{Version: *l.Version, Full: l.Full}
 	seen := make(map[string]bool, len(l.Servers))
 	for i, s := range l.Servers {
-		state, ok := states[s.State]
+		state, ok := workerStates[s.State]
 		h := core.Worker{ID: core.WorkerID(s.ID), Addr: s.Addr, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, State: state,
 			Weight: 1, Started: s.Started / 1000}
 		if s.Weight != nil {
--- a/internal/routeset/watch.go
+++ b/internal/routeset/watch.go
@@ -21,30 +21,30 @@
 
 // When news count as told, whether they came or not: told within so long after discovery had them and could be reached, whatever became of
 // the calls before.
-const newsWithin = 6 * time.Second
+const maxUpdateDelay = 6 * time.Second
 
 // How long calls may take. Danger: a watch may fall silent at any moment and say nothing of that. From a change on that it does not tell, it goes
-// unnoticed for watchWait + watchGrace, and is opened anew at once: that has to be over within newsWithin.
+// unnoticed for longPollWait + longPollGrace, and is opened anew at once: that has to be over within maxUpdateDelay.
 const (
-	watchWait  = 4 * time.Second         // that a watch asks discovery to wait for news
-	watchGrace = time.Second             // beyond that, for an answer on its way and a discovery that handles calls in turn
-	firstWait  = 50 * time.Millisecond   // that the first call of a watch asks it to wait: what is new already is told at once, and that nothing is
-	answerWait = 2500 * time.Millisecond // for a call that does not wait: discovery gives a call up after 2 s
-	dialWait   = time.Second             // for a connection to it
+	longPollWait  = 4 * time.Second         // that a watch asks discovery to wait for news
+	longPollGrace = time.Second             // beyond that, for an answer on its way and a discovery that handles calls in turn
+	firstPollWait = 50 * time.Millisecond   // that the first call of a watch asks it to wait: what is new already is told at once, and that nothing is
+	replyTimeout  = 2500 * time.Millisecond // for a call that does not wait: discovery gives a call up after 2 s
+	dialTimeout   = time.Second             // for a connection to it
 )
 
 const (
-	mostList    = 8 << 20 // bytes of a list
-	listPath    = "/v1/servers"
-	serviceHost = "discovery"
+	maxListBytes = 8 << 20 // bytes of a list
+	listPath     = "/v1/servers"
+	serviceHost  = "discovery"
 )
 
 // noticed tells after what time a call is taken for lost that asks discovery to wait so long for news; 0 for one that does not wait.
-func noticed(wait time.Duration) time.Duration {
-	if wait <= firstWait {
-		return wait + answerWait
+func callTimeout(wait time.Duration) time.Duration {
+	if wait <= firstPollWait {
+		return wait + replyTimeout
 	}
-	return wait + watchGrace
+	return wait + longPollGrace
 }
 
 // Client reads and watches the lists of the sources that it is given. Its news go to post as events, with
@@ -56,7 +56,7 @@
 
 	gate *hold.Gate
 
-	asked, failed atomic.Uint64
+	callCount, failureCount atomic.Uint64
 
 	mu    sync.Mutex
 	stop  context.CancelFunc // ends the running watch
@@ -72,7 +72,7 @@
 
 // NewClient makes a client of discovery, with its connections behind the gate.
 func NewClient(gate *hold.Gate, post func(core.Event), log logrus.FieldLogger) *Client {
-	return &Client{gate: gate, post: post, log: log, wait: watchWait}
+	return &Client{gate: gate, post: post, log: log, wait: longPollWait}
 }
 
 // Watch follows a source's list, in place of any earlier watch, or ends that. It does not block.
@@ -87,7 +87,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		c.stop = stop
 		c.gate.Go(func() {
-			link, err := c.ask(ctx, nil, w.Source, w.Since, firstWait)
+			link, err := c.request(ctx, nil, w.Source, w.Since, firstPollWait)
 			c.follow(ctx, link, err, w.Source, w.Since)
 		})
 	}
@@ -96,24 +96,26 @@
 // Fetch asks a source for the whole list, once. It does not block.
 func (c *Client) Fetch(f core.FetchRouteSet) {
 	c.gate.Go(func() {
-		link, err := c.ask(context.Background(), nil, f.Source, core.VersionUnknown, 0)
+		link, err := c.request(context.Background(), nil, f.Source, core.VersionUnknown, 0)
 		if err == nil {
 			defer link.Close()
 			var set core.RouteSet
-			if set, err = link.answer(); err == nil {
+			if set, err = link.readResponse(); err == nil {
 				c.post(core.RouteSetTold{Source: f.Source, RouteSet: set})
 				return
 			}
 		}
-		c.refused(f.Source, err)
+		c.reportFailure(f.Source, err)
 	})
 }
 
 // Asked counts the calls written to discovery, and those of them and of the dials that failed.
-func (c *Client) CallCounts() (calls, failures uint64) { return c.asked.Load(), c.failed.Load() }
+func (c *Client) CallCounts() (calls, failures uint64) {
+	return c.callCount.Load(), c.failureCount.Load()
+}
 
-func (c *Client) refused(from core.Source, err error) {
-	c.failed.Add(1)
+func (c *Client) reportFailure(from core.Source, err error) {
+	c.failureCount.Add(1)
 	c.log.WithError(err).WithField("discovery", from.Addr).Warn("discovery refused")
 	c.post(core.RouteSetRefused{Source: from})
 }
@@ -124,39 +126,39 @@
 // that tells nothing at all is refused, and asked for again when the decision module says so.
 func (c *Client) follow(ctx context.Context, link *conn, err error, from core.Source, since int64) {
 	for {
-		var told bool
-		told, since, err = c.hear(ctx, link, err, from, since)
-		if !told || ctx.Err() != nil {
+		var received bool
+		received, since, err = c.readUpdates(ctx, link, err, from, since)
+		if !received || ctx.Err() != nil {
 			break
 		}
-		c.failed.Add(1)
+		c.failureCount.Add(1)
 		c.log.WithError(err).WithField("discovery", from.Addr).Warn("watch of discovery broken, opened anew")
-		link, err = c.ask(ctx, nil, from, since, firstWait)
+		link, err = c.request(ctx, nil, from, since, firstPollWait)
 	}
-	c.waits(ctx, nil)
+	c.setPending(ctx, nil)
 	if ctx.Err() == nil {
-		c.refused(from, err)
+		c.reportFailure(from, err)
 	}
 }
 
 // hear reads the answers of a watch until one fails, and returns whether there was one and the version that is held then.
-func (c *Client) hear(ctx context.Context, link *conn, err error, from core.Source, since int64) (told bool, _ int64, _ error) {
+func (c *Client) readUpdates(ctx context.Context, link *conn, err error, from core.Source, since int64) (received bool, _ int64, _ error) {
 	for err == nil {
-		c.waits(ctx, &watch{link, from, since})
+		c.setPending(ctx, &watch{link, from, since})
 		var set core.RouteSet
-		if set, err = link.answer(); err != nil {
+		if set, err = link.readResponse(); err != nil {
 			link.Close()
 			break
 		}
-		told, since = true, set.Version
-		link, err = c.ask(ctx, link, from, since, c.wait)
+		received, since = true, set.Version
+		link, err = c.request(ctx, link, from, since, c.wait)
 		c.post(core.RouteSetTold{Source: from, RouteSet: set})
 	}
-	return told, since, err
+	return received, since, err
 }
 
 // waits notes the call that a watch waits on, unless another watch has taken its place.
-func (c *Client) waits(ctx context.Context, w *watch) {
+func (c *Client) setPending(ctx context.Context, w *watch) {
 	c.mu.Lock()
 	if ctx.Err() == nil {
 		c.watch = w
@@ -165,7 +167,7 @@
 }
 
 // ask writes the next call, on a new connection where discovery has closed the last one. From an unknown version on it does not wait for news.
-func (c *Client) ask(ctx context.Context, link *conn, from core.Source, since int64, wait time.Duration) (*conn, error) {
+func (c *Client) request(ctx context.Context, link *conn, from core.Source, since int64, wait time.Duration) (*conn, error) {
 	if link == nil || link.closes {
 		if link != nil {
 			link.Close()
@@ -182,11 +184,11 @@
 	} else {
 		wait = 0
 	}
-	if err := link.ask(target, noticed(wait)); err != nil {
+	if err := link.request(target, callTimeout(wait)); err != nil {
 		link.Close()
 		return nil, err
 	}
-	c.asked.Add(1)
+	c.callCount.Add(1)
 	return link, nil
 }
 
@@ -203,7 +205,7 @@
 }
 
 func (c *Client) dial(ctx context.Context, addr string) (*conn, error) {
-	d := net.Dialer{Timeout: dialWait}
+	d := net.Dialer{Timeout: dialTimeout}
 	c.gate.Rest() // nothing is asked yet: where the gate is held the other process dials anew
 	nc, err := d.DialContext(ctx, "tcp", addr)
 	c.gate.Wake()
@@ -216,7 +218,7 @@
 func newConn(c *hold.Conn) *conn { return &conn{Conn: c, r: bufio.NewReader(c)} }
 
 // ask writes a call whose answer must be there within the wait.
-func (c *conn) ask(target string, wait time.Duration) error {
+func (c *conn) request(target string, wait time.Duration) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetHost(serviceHost)
@@ -237,10 +239,10 @@
 }
 
 // answer reads the answer to the last call.
-func (c *conn) answer() (core.RouteSet, error) {
+func (c *conn) readResponse() (core.RouteSet, error) {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	if err := resp.ReadLimitBody(c.r, mostList); err != nil {
+	if err := resp.ReadLimitBody(c.r, maxListBytes); err != nil {
 		return core.RouteSet{}, fmt.Errorf("discovery's answer: %w", err)
 	}
 	c.Mark(c.r.Buffered())
--- a/internal/routeset/watch_test.go
+++ b/internal/routeset/watch_test.go
@@ -19,23 +19,23 @@
 // of the call; and after a call's own wait, within the platform's 2 s.
 func TestNewsAreKnownInTime(t *testing.T) {
 	const afterWait, roundTrip = 2 * time.Second, 100 * time.Millisecond
-	if most := noticed(watchWait) + firstWait + roundTrip; most > newsWithin {
-		t.Errorf("a watch that falls silent at once is opened anew %v after its call, %v at most", most, newsWithin)
+	if most := callTimeout(longPollWait) + firstPollWait + roundTrip; most > maxUpdateDelay {
+		t.Errorf("a watch that falls silent at once is opened anew %v after its call, %v at most", most, maxUpdateDelay)
 	}
-	if late := noticed(watchWait) - watchWait + firstWait + roundTrip; late > afterWait {
+	if late := callTimeout(longPollWait) - longPollWait + firstPollWait + roundTrip; late > afterWait {
 		t.Errorf("a silent watch is opened anew %v after its wait, %v at most", late, afterWait)
 	}
 	// Discovery comes back right after a call was begun in vain: that ends, the longest pause follows, and one more call brings the news.
 	const longestPause = 1.6 * 1.5 * float64(time.Second)
-	for name, call := range map[string]time.Duration{"a dial": dialWait, "a call": noticed(firstWait), "a whole list": noticed(0)} {
-		if most := call + time.Duration(longestPause) + firstWait + roundTrip; most > newsWithin {
-			t.Errorf("%s in vain: the next one brings the news %v later, %v at most", name, most, newsWithin)
+	for name, call := range map[string]time.Duration{"a dial": dialTimeout, "a call": callTimeout(firstPollWait), "a whole list": callTimeout(0)} {
+		if most := call + time.Duration(longestPause) + firstPollWait + roundTrip; most > maxUpdateDelay {
+			t.Errorf("%s in vain: the next one brings the news %v later, %v at most", name, most, maxUpdateDelay)
 		}
 	}
 }
 
 // scripted is a discovery whose every connection the test plays.
-type scripted struct {
+type testDiscovery struct {
 	t      *testing.T
 	ln     net.Listener
 	events chan core.Event
@@ -43,7 +43,7 @@
 	from   core.Source
 }
 
-func script(t *testing.T) *scripted {
+func newTestDiscovery(t *testing.T) *testDiscovery {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,13 +53,13 @@
 	t.Cleanup(func() { ln.Close() })
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	d := &scripted{t: t, ln: ln, events: make(chan core.Event, 16), from: core.Source{Addr: ln.Addr().String(), No: 3}}
+	d := &testDiscovery{t: t, ln: ln, events: make(chan core.Event, 16), from: core.Source{Addr: ln.Addr().String(), No: 3}}
 	d.client = NewClient(hold.NewGate(), func(e core.Event) { d.events <- e }, log)
 	return d
 }
 
 // call takes the next call, on a new connection where c is nil, and returns its path.
-func (d *scripted) call(c *playedConn) (*playedConn, string) {
+func (d *testDiscovery) call(c *discoveryConn) (*discoveryConn, string) {
 	d.t.Helper()
 	if c == nil {
 		nc, err := d.ln.Accept()
@@ -68,7 +68,7 @@
 		}
 		d.t.Cleanup(func() { nc.Close() })
 		nc.SetDeadline(time.Now().Add(10 * time.Second))
-		c = &playedConn{nc, bufio.NewReader(nc)}
+		c = &discoveryConn{nc, bufio.NewReader(nc)}
 	}
 	req, err := http.ReadRequest(c.r)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return c, req.URL.RequestURI()
 }
 
-func (d *scripted) event() core.Event {
+func (d *testDiscovery) event() core.Event {
 	d.t.Helper()
 	select {
 	case e := <-d.events:
@@ -88,12 +88,12 @@
 	}
 }
 
-type playedConn struct {
+type discoveryConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func (c *playedConn) say(text string) { io.WriteString(c, text) }
+func (c *discoveryConn) say(text string) { io.WriteString(c, text) }
 
 func changes(version int) string {
 	return fmt.Sprintf("{\n  \"version\": %d,\n  \"full\": false,\n  \"servers\": [\n  ]\n}\n", version) // indented
@@ -104,15 +104,15 @@
 func TestBrokenWatchIsOpenedAnew(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		play func(c *playedConn)
+		play func(c *discoveryConn)
 	}{
-		{"silent", func(*playedConn) {}},
-		{"ends", func(c *playedConn) { c.Close() }},
-		{"reset", func(c *playedConn) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() }},
-		{"503", func(c *playedConn) { c.say("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") }},
-		{"half an answer, then nothing", func(c *playedConn) { c.say(ok(changes(9))[:40]) }},
-		{"half an answer and the end", func(c *playedConn) { c.say(ok(changes(9))[:40]); c.Close() }},
-		{"a trickle without end", func(c *playedConn) {
+		{"silent", func(*discoveryConn) {}},
+		{"ends", func(c *discoveryConn) { c.Close() }},
+		{"reset", func(c *discoveryConn) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() }},
+		{"503", func(c *discoveryConn) { c.say("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") }},
+		{"half an answer, then nothing", func(c *discoveryConn) { c.say(ok(changes(9))[:40]) }},
+		{"half an answer and the end", func(c *discoveryConn) { c.say(ok(changes(9))[:40]); c.Close() }},
+		{"a trickle without end", func(c *discoveryConn) {
 			go func() {
 				for c.say("H"); ; time.Sleep(20 * time.Millisecond) { // its pace; the watch's own clock ends it
 					if _, err := c.Write([]byte("T")); err != nil {
@@ -121,15 +121,15 @@
 				}
 			}()
 		}},
-		{"no list", func(c *playedConn) { c.say(ok("[]")) }},
+		{"no list", func(c *discoveryConn) { c.say(ok("[]")) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			d := script(t)
+			d := newTestDiscovery(t)
 			d.client.wait = 60 * time.Millisecond
 			d.client.Watch(core.Watch{On: true, Source: d.from, Since: 7})
 			c, path := d.call(nil)
-			if want := watchTarget(7, firstWait); path != want {
+			if want := watchTarget(7, firstPollWait); path != want {
 				t.Errorf("begins with %s, want %s", path, want)
 			}
 			c.say(ok(changes(8)))
@@ -138,7 +138,7 @@
 			}
 			tc.play(c)
 			c, path = d.call(nil)
-			if want := watchTarget(8, firstWait); path != want {
+			if want := watchTarget(8, firstPollWait); path != want {
 				t.Errorf("opened anew with %s, want %s", path, want)
 			}
 			c.say(ok(changes(9)))
@@ -153,7 +153,7 @@
 
 // TestAnswersInPieces: an answer counts when its last byte has come, however it comes.
 func TestAnswersInPieces(t *testing.T) {
-	d := script(t)
+	d := newTestDiscovery(t)
 	d.client.Watch(core.Watch{On: true, Source: d.from, Since: 7})
 	c, _ := d.call(nil)
 	for _, b := range []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(changes(8)), changes(8))) {
@@ -167,13 +167,13 @@
 // TestWatchThatTellsNothingIsRefused: one that never brings an answer ends as a refusal, and only then is asked for again when the decision
 // module says so.
 func TestWatchThatTellsNothingIsRefused(t *testing.T) {
-	for name, play := range map[string]func(c *playedConn){
-		"silent": func(*playedConn) {},
-		"ends":   func(c *playedConn) { c.Close() },
+	for name, play := range map[string]func(c *discoveryConn){
+		"silent": func(*discoveryConn) {},
+		"ends":   func(c *discoveryConn) { c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := script(t)
+			d := newTestDiscovery(t)
 			d.client.Watch(core.Watch{On: true, Source: d.from, Since: 7})
 			c, _ := d.call(nil)
 			play(c)
--- a/internal/snapshot/fuzz_test.go
+++ b/internal/snapshot/fuzz_test.go
@@ -11,7 +11,7 @@
 // FuzzDecode reads hostile snapshots: whatever comes is a named error or a reducer that can be stepped. The body
 // is sealed anew, since no mutation would ever get past the checksum.
 func FuzzDecode(f *testing.F) {
-	good := encode(f, busy(f))
+	good := encode(f, newBusyReducer(f))
 	f.Add(good, false)
 	f.Add(good[headerSize:], true)
 	f.Add([]byte{0xa0}, true)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -23,8 +23,8 @@
 const (
 	magic      = "FOLD"
 	headerSize = len(magic) + 2 + 8 + sha256.Size
-	mostItems  = 1 << 20 // elements of an array, pairs of a map
-	mostNested = 16
+	maxItems   = 1 << 20 // elements of an array, pairs of a map
+	maxNesting = 16
 )
 
 // The ways in which a snapshot can be refused.
@@ -51,8 +51,8 @@
 }
 
 func mustDecoder() cbor.DecMode {
-	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: mostItems, MaxMapPairs: mostItems,
-		MaxNestedLevels: mostNested, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
+	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: maxItems, MaxMapPairs: maxItems,
+		MaxNestedLevels: maxNesting, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
 		UTF8: cbor.UTF8DecodeInvalid}.DecMode()
 	if err != nil {
 		panic(err)
--- a/internal/snapshot/twin_test.go
+++ b/internal/snapshot/twin_test.go
@@ -25,14 +25,14 @@
 }
 
 // player draws events and remembers what the effects made possible.
-type player struct {
+type eventGenerator struct {
 	now      float64
 	calls    int
 	sent     []core.SendBranch
 	versions int64
 }
 
-func (p *player) workers(t *rapid.T) (list []core.Worker) {
+func (p *eventGenerator) workers(t *rapid.T) (list []core.Worker) {
 	for i := range rapid.IntRange(1, 6).Draw(t, "workers") {
 		h := core.Worker{ID: core.WorkerID(fmt.Sprint("s-", i)), Addr: fmt.Sprintf("127.0.0.1:%d", 9000+i), Zone: string(rune('a' + i%2)),
 			Kind: []string{"old-box", "new-blade"}[i%2], Cell: i % 3, Weight: 1,
@@ -45,7 +45,7 @@
 	return list
 }
 
-func (p *player) event(t *rapid.T) core.Event {
+func (p *eventGenerator) event(t *rapid.T) core.Event {
 	p.now += rapid.SampledFrom([]float64{0, 0.001, 0.01, 0.021, 0.3, 1.7}).Draw(t, "passes")
 	if len(p.sent) > 0 && rapid.Bool().Draw(t, "on a branch") {
 		b := rapid.SampledFrom(p.sent).Draw(t, "branch")
@@ -83,7 +83,7 @@
 	}
 }
 
-func (p *player) saw(effects []core.Effect) {
+func (p *eventGenerator) observe(effects []core.Effect) {
 	for _, e := range effects {
 		if b, ok := e.(core.SendBranch); ok {
 			p.sent = append(p.sent, b)
@@ -98,13 +98,13 @@
 // from there on, and is itself written down to the same bytes.
 func TestTwinDecidesAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &player{now: 100}
+		p := &eventGenerator{now: 100}
 		first, err := core.New(p.now, settings(), core.RouteSet{Version: 0, Workers: p.workers(t)}, "d:1")
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "before") {
-			p.saw(first.Step(p.now, p.event(t)))
+			p.observe(first.Step(p.now, p.event(t)))
 		}
 		second := roundTrip(t, first)
 		for i := range rapid.IntRange(1, 60).Draw(t, "after") {
@@ -113,7 +113,7 @@
 			if !reflect.DeepEqual(a, b) {
 				t.Fatalf("step %d, event %+v:\n%+v\nthe twin:\n%+v", i, ev, a, b)
 			}
-			p.saw(a)
+			p.observe(a)
 			da, oka := first.Due()
 			db, okb := second.Due()
 			if da != db || oka != okb {
@@ -126,9 +126,9 @@
 	})
 }
 
-type fatal interface{ Fatal(args ...any) }
+type fataler interface{ Fatal(args ...any) }
 
-func encode(t fatal, r *core.Reducer) []byte {
+func encode(t fataler, r *core.Reducer) []byte {
 	st, err := r.Export()
 	if err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 	return text
 }
 
-func roundTrip(t fatal, r *core.Reducer) *core.Reducer {
+func roundTrip(t fataler, r *core.Reducer) *core.Reducer {
 	st, err := Decode(encode(t, r))
 	if err != nil {
 		t.Fatal(err)
@@ -153,7 +153,7 @@
 }
 
 // busy is a reducer with open requests, for the tests of what is refused.
-func busy(t fatal) *core.Reducer {
+func newBusyReducer(t fataler) *core.Reducer {
 	r, err := core.New(1, settings(), core.RouteSet{Workers: []core.Worker{{ID: "a", Addr: "a:1", Zone: "a", Kind: "k"},
 		{ID: "b", Addr: "b:1", Zone: "b", Kind: "m"}}}, "d:1")
 	if err != nil {
@@ -170,7 +170,7 @@
 }
 
 func TestRefusedSnapshots(t *testing.T) {
-	good := encode(t, busy(t))
+	good := encode(t, newBusyReducer(t))
 	change := func(at int, to byte) []byte {
 		bad := append([]byte(nil), good...)
 		bad[at] ^= to
@@ -224,7 +224,7 @@
 			s.Decider.Moves = []choice.MoveState{{Token: 9, Attempt: choice.AttemptRef{Request: -1}}}
 		},
 	} {
-		st, err := Decode(encode(t, busy(t)))
+		st, err := Decode(encode(t, newBusyReducer(t)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -240,7 +240,7 @@
 
 // TestOtherSettings: a successor may be configured otherwise; what its settings still name goes on.
 func TestOtherSettings(t *testing.T) {
-	st, err := Decode(encode(t, busy(t)))
+	st, err := Decode(encode(t, newBusyReducer(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
