--- a/internal/routeset/faults_test.go
+++ b/internal/routeset/faults_test.go
@@ -24,8 +24,8 @@
 	return "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// TestFaultsOfDiscovery: whatever discovery does to a call, it ends as one refusal that names what is wrong, and nothing
-// of a bad answer is told. The next call, on a new connection, brings the list.
+// TestFaultsOfDiscovery checks that each fault of a call is reported as one refusal with a descriptive error, that nothing of an
+// invalid response is passed on, and that the next call, on a new connection, succeeds.
 func TestFaultsOfDiscovery(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestDiscoveryThatIsNotThere: a refused connection is one refusal.
+// TestDiscoveryThatIsNotThere checks that a refused connection is reported as one refusal.
 func TestDiscoveryThatIsNotThere(t *testing.T) {
 	gone, err := loopback.Unused()
 	if err != nil {
--- a/internal/routeset/list.go
+++ b/internal/routeset/list.go
@@ -1,4 +1,4 @@
-// Package routeset speaks discovery's protocol: it reads and watches the list of workers.
+// Package routeset is a client of the discovery service: it fetches and watches the list of workers.
 package routeset
 
 import (
@@ -13,7 +13,7 @@
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// list is discovery's format of a route set. Keys it does not name are skipped.
+// listResponse is the JSON format of a route set. Unknown keys are ignored.
 type listResponse struct {
 	Version *int64 `json:"version"`
 	Full    bool   `json:"full"`
@@ -31,7 +31,8 @@
 
 var workerStates = map[string]core.WorkerState{"active": core.WorkerActive, "leaving": core.WorkerLeaving, "left": core.WorkerLeft}
 
-// Parse reads a list. A list with one bad entry is refused whole: half a list would look like workers that left.
+// Parse parses a list. It returns an error for the whole list if one entry is invalid, since missing entries would look like workers that
+// left.
 func Parse(text []byte) (core.RouteSet, error) {
 	var l listResponse
 	if err := json.Unmarshal(text, &l); err != nil {
@@ -53,9 +54,9 @@
 		case s.ID == "":
 			return set, fmt.Errorf("servers[%d].id: is missing", i)
 		case seen[s.ID]:
-			return set, fmt.Errorf("servers[%d].id: %q is there twice", i, s.ID)
+			return set, fmt.Errorf("servers[%d].id: %q occurs twice", i, s.ID)
 		case !ok:
-			return set, fmt.Errorf("servers[%d].state: unknown word %q", i, s.State)
+			return set, fmt.Errorf("servers[%d].state: unknown state %q", i, s.State)
 		case h.Weight < 0:
 			return set, fmt.Errorf("servers[%d].weight: %v is below 0", i, h.Weight)
 		case h.Started < 0:
--- a/internal/routeset/state.go
+++ b/internal/routeset/state.go
@@ -8,20 +8,20 @@
 	"foldlb.example/foldlb/internal/hold"
 )
 
-// State is the watch that a held client's successor goes on with; nothing where none waits.
+// State is the state handed over to a successor. Watch is nil if no call is pending.
 type State struct {
 	Watch *WatchState `cbor:",omitempty"`
 }
 
-// WatchState is a call that waits for news, or whose answer has come in part.
+// WatchState is a pending call of a watch, whose response may have been received in part.
 type WatchState struct {
-	File  int // place of its descriptor
+	File  int // index of its descriptor
 	Conn  hold.ConnState
 	From  core.Source
-	Since int64
+	Since int64 // version after which changes are requested
 }
 
-// Export tells which watch waits. The gate must be held.
+// Export returns the pending watch. The gate must be held.
 func (c *Client) Export(files *hold.Files) (State, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,20 +30,20 @@
 	}
 	file, err := files.Add(c.watch.link)
 	if err != nil {
-		return State{}, nil // it has just been closed, and is asked for anew
+		return State{}, nil // it was just closed; the watch will be opened again
 	}
 	return State{&WatchState{File: file, Conn: c.watch.link.Conn.Export(), From: c.watch.from, Since: c.watch.since}}, nil
 }
 
-// Watching tells whether a watch runs, or was taken up.
+// Watching reports whether a watch is running, started here or imported.
 func (c *Client) Watching() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stop != nil
 }
 
-// Import takes a watch up, if there was one. The gate must be held; it goes on when that is let go.
-// Danger: news that had been written to the old connection would be lost with it, and they count as told.
+// Import resumes a watch, if there is one. The gate must be held; the watch continues when it is released. Without this, updates
+// already sent on the old connection would be lost, although discovery counts them as delivered.
 func (c *Client) Import(st State, files *hold.Received) error {
 	if st.Watch == nil {
 		return nil
--- a/internal/routeset/watch.go
+++ b/internal/routeset/watch.go
@@ -19,27 +19,27 @@
 	"foldlb.example/foldlb/internal/hold"
 )
 
-// When news count as told, whether they came or not: told within so long after discovery had them and could be reached, whatever became of
-// the calls before.
+// maxUpdateDelay is the time after which an update counts as delivered, from when discovery had it and was reachable, whatever happened to
+// earlier calls.
 const maxUpdateDelay = 6 * time.Second
 
-// How long calls may take. Danger: a watch may fall silent at any moment and say nothing of that. From a change on that it does not tell, it goes
-// unnoticed for longPollWait + longPollGrace, and is opened anew at once: that has to be over within maxUpdateDelay.
+// Time-outs of calls. A watch may stop responding at any moment without an error. This is detected longPollWait + longPollGrace after the call
+// at the latest, and a new watch is opened immediately: all of that must fit into maxUpdateDelay.
 const (
-	longPollWait  = 4 * time.Second         // that a watch asks discovery to wait for news
-	longPollGrace = time.Second             // beyond that, for an answer on its way and a discovery that handles calls in turn
-	firstPollWait = 50 * time.Millisecond   // that the first call of a watch asks it to wait: what is new already is told at once, and that nothing is
-	replyTimeout  = 2500 * time.Millisecond // for a call that does not wait: discovery gives a call up after 2 s
-	dialTimeout   = time.Second             // for a connection to it
+	longPollWait  = 4 * time.Second         // how long discovery is asked to hold a watch call until there is an update
+	longPollGrace = time.Second             // additional time for the response to arrive, also if discovery handles calls one after another
+	firstPollWait = 50 * time.Millisecond   // wait of the first call of a watch, which thus quickly returns existing updates or that there are none
+	replyTimeout  = 2500 * time.Millisecond // of a call that doesn't wait; discovery aborts a call after 2 s
+	dialTimeout   = time.Second             // to connect to discovery
 )
 
 const (
-	maxListBytes = 8 << 20 // bytes of a list
+	maxListBytes = 8 << 20 // of a response body
 	listPath     = "/v1/servers"
 	serviceHost  = "discovery"
 )
 
-// noticed tells after what time a call is taken for lost that asks discovery to wait so long for news; 0 for one that does not wait.
+// callTimeout returns the time-out of a call that asks discovery to wait for updates; wait is 0 for a call that doesn't wait.
 func callTimeout(wait time.Duration) time.Duration {
 	if wait <= firstPollWait {
 		return wait + replyTimeout
@@ -47,12 +47,12 @@
 	return wait + longPollGrace
 }
 
-// Client reads and watches the lists of the sources that it is given. Its news go to post as events, with
-// the source that told them.
+// Client fetches and watches the lists of the sources that it is given. It passes updates to post as events, with the
+// source.
 type Client struct {
 	post func(core.Event)
 	log  logrus.FieldLogger
-	wait time.Duration // that a watch is asked to wait for news
+	wait time.Duration // longPollWait, or shorter in tests
 
 	gate *hold.Gate
 
@@ -60,22 +60,22 @@
 
 	mu    sync.Mutex
 	stop  context.CancelFunc // ends the running watch
-	watch *watch             // the running one, once its call is written
+	watch *watch             // the pending call of the running watch, once written
 }
 
-// watch is a call that waits for news.
+// watch is a pending call of a watch.
 type watch struct {
 	link  *conn
 	from  core.Source
 	since int64
 }
 
-// NewClient makes a client of discovery, with its connections behind the gate.
+// NewClient returns a client whose connections and goroutines are controlled by the gate. post must not block.
 func NewClient(gate *hold.Gate, post func(core.Event), log logrus.FieldLogger) *Client {
 	return &Client{gate: gate, post: post, log: log, wait: longPollWait}
 }
 
-// Watch follows a source's list, in place of any earlier watch, or ends that. It does not block.
+// Watch stops the running watch and, if w.On is set, starts watching w.Source. It doesn't block.
 func (c *Client) Watch(w core.Watch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,7 +93,7 @@
 	}
 }
 
-// Fetch asks a source for the whole list, once. It does not block.
+// Fetch requests the whole list of a source once. It doesn't block.
 func (c *Client) Fetch(f core.FetchRouteSet) {
 	c.gate.Go(func() {
 		link, err := c.request(context.Background(), nil, f.Source, core.VersionUnknown, 0)
@@ -109,21 +109,21 @@
 	})
 }
 
-// Asked counts the calls written to discovery, and those of them and of the dials that failed.
+// CallCounts returns the number of calls sent to discovery, and of calls and connection attempts that failed.
 func (c *Client) CallCounts() (calls, failures uint64) {
 	return c.callCount.Load(), c.failureCount.Load()
 }
 
 func (c *Client) reportFailure(from core.Source, err error) {
 	c.failureCount.Add(1)
-	c.log.WithError(err).WithField("discovery", from.Addr).Warn("discovery refused")
+	c.log.WithError(err).WithField("discovery", from.Addr).Warn("call to discovery failed")
 	c.post(core.RouteSetRefused{Source: from})
 }
 
-// follow reads the answers of a watch and asks again and again, on one connection of its own. The next call is
-// written before the last answer is passed on: discovery takes a watch that is not renewed within 200 ms for a new
-// one. A watch that breaks or falls silent after it has told something is opened anew at once, since what it misses counts as told soon; one
-// that tells nothing at all is refused, and asked for again when the decision module says so.
+// follow runs a watch: it reads responses and sends further calls on a connection of its own. The next call is sent before the last response is
+// passed on, because discovery treats a watch that isn't renewed within 200 ms as a new one. A watch that fails or times out after it has
+// received a response is reopened immediately, since the updates that it misses count as delivered soon. One that has received none is reported
+// as refused, and opened again when the decision module requests it.
 func (c *Client) follow(ctx context.Context, link *conn, err error, from core.Source, since int64) {
 	for {
 		var received bool
@@ -132,7 +132,7 @@
 			break
 		}
 		c.failureCount.Add(1)
-		c.log.WithError(err).WithField("discovery", from.Addr).Warn("watch of discovery broken, opened anew")
+		c.log.WithError(err).WithField("discovery", from.Addr).Warn("watch of discovery failed; reopening it")
 		link, err = c.request(ctx, nil, from, since, firstPollWait)
 	}
 	c.setPending(ctx, nil)
@@ -141,7 +141,7 @@
 	}
 }
 
-// hear reads the answers of a watch until one fails, and returns whether there was one and the version that is held then.
+// readUpdates reads the responses of a watch until one fails, and returns whether any was received and the latest version.
 func (c *Client) readUpdates(ctx context.Context, link *conn, err error, from core.Source, since int64) (received bool, _ int64, _ error) {
 	for err == nil {
 		c.setPending(ctx, &watch{link, from, since})
@@ -157,7 +157,7 @@
 	return received, since, err
 }
 
-// waits notes the call that a watch waits on, unless another watch has taken its place.
+// setPending sets the pending call of a watch, unless the watch was replaced.
 func (c *Client) setPending(ctx context.Context, w *watch) {
 	c.mu.Lock()
 	if ctx.Err() == nil {
@@ -166,7 +166,7 @@
 	c.mu.Unlock()
 }
 
-// ask writes the next call, on a new connection where discovery has closed the last one. From an unknown version on it does not wait for news.
+// request sends the next call, on a new connection if discovery closed the last one. With an unknown version it doesn't wait for updates.
 func (c *Client) request(ctx context.Context, link *conn, from core.Source, since int64, wait time.Duration) (*conn, error) {
 	if link == nil || link.closes {
 		if link != nil {
@@ -201,12 +201,12 @@
 type conn struct {
 	*hold.Conn
 	r      *bufio.Reader
-	closes bool // discovery closes it after its last answer
+	closes bool // discovery closes it after its last response
 }
 
 func (c *Client) dial(ctx context.Context, addr string) (*conn, error) {
 	d := net.Dialer{Timeout: dialTimeout}
-	c.gate.Rest() // nothing is asked yet: where the gate is held the other process dials anew
+	c.gate.Rest() // no call is pending yet: if the gate is held, the other process connects itself
 	nc, err := d.DialContext(ctx, "tcp", addr)
 	c.gate.Wake()
 	if err != nil {
@@ -217,7 +217,7 @@
 
 func newConn(c *hold.Conn) *conn { return &conn{Conn: c, r: bufio.NewReader(c)} }
 
-// ask writes a call whose answer must be there within the wait.
+// request sends a call, whose response must arrive within the wait.
 func (c *conn) request(target string, wait time.Duration) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -226,7 +226,7 @@
 	if err := c.SetDeadline(time.Now().Add(wait)); err != nil {
 		return fmt.Errorf("ask discovery: %w", err)
 	}
-	// Danger: a call that went out in parts could not be finished by another process.
+	// The call is sent by a single write, since another process couldn't complete a partial one.
 	var text bytes.Buffer
 	w := bufio.NewWriter(&text)
 	if err := errors.Join(req.Write(w), w.Flush()); err != nil {
@@ -238,7 +238,7 @@
 	return nil
 }
 
-// answer reads the answer to the last call.
+// readResponse reads the response to the last call.
 func (c *conn) readResponse() (core.RouteSet, error) {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
--- a/internal/routeset/watch_test.go
+++ b/internal/routeset/watch_test.go
@@ -15,26 +15,27 @@
 	"foldlb.example/foldlb/internal/hold"
 )
 
-// TestNewsAreKnownInTime: from the moment on at which a watch falls silent, news reach the dispatcher before they count as told, whatever became
-// of the call; and after a call's own wait, within the platform's 2 s.
+// TestNewsAreKnownInTime checks by the time-outs that an update is received before it counts as delivered, whenever a watch stops responding, and
+// within the platform's 2 s after a call's own wait.
 func TestNewsAreKnownInTime(t *testing.T) {
 	const afterWait, roundTrip = 2 * time.Second, 100 * time.Millisecond
 	if most := callTimeout(longPollWait) + firstPollWait + roundTrip; most > maxUpdateDelay {
-		t.Errorf("a watch that falls silent at once is opened anew %v after its call, %v at most", most, maxUpdateDelay)
+		t.Errorf("a watch that never responds is reopened %v after its call, %v at most", most, maxUpdateDelay)
 	}
 	if late := callTimeout(longPollWait) - longPollWait + firstPollWait + roundTrip; late > afterWait {
-		t.Errorf("a silent watch is opened anew %v after its wait, %v at most", late, afterWait)
+		t.Errorf("a watch that stops responding is reopened %v after its wait, %v at most", late, afterWait)
 	}
-	// Discovery comes back right after a call was begun in vain: that ends, the longest pause follows, and one more call brings the news.
+	// Discovery recovers right after the start of a call that fails: that call times out, the longest pause follows, and the next call gets the
+	// update.
 	const longestPause = 1.6 * 1.5 * float64(time.Second)
 	for name, call := range map[string]time.Duration{"a dial": dialTimeout, "a call": callTimeout(firstPollWait), "a whole list": callTimeout(0)} {
 		if most := call + time.Duration(longestPause) + firstPollWait + roundTrip; most > maxUpdateDelay {
-			t.Errorf("%s in vain: the next one brings the news %v later, %v at most", name, most, maxUpdateDelay)
+			t.Errorf("%s failed: the next call gets the update %v later, %v at most", name, most, maxUpdateDelay)
 		}
 	}
 }
 
-// scripted is a discovery whose every connection the test plays.
+// testDiscovery is a discovery service whose connections are controlled by the test.
 type testDiscovery struct {
 	t      *testing.T
 	ln     net.Listener
@@ -58,7 +59,7 @@
 	return d
 }
 
-// call takes the next call, on a new connection where c is nil, and returns its path.
+// call reads the next call, on a new connection if c is nil, and returns its path.
 func (d *testDiscovery) call(c *discoveryConn) (*discoveryConn, string) {
 	d.t.Helper()
 	if c == nil {
@@ -96,11 +97,11 @@
 func (c *discoveryConn) say(text string) { io.WriteString(c, text) }
 
 func changes(version int) string {
-	return fmt.Sprintf("{\n  \"version\": %d,\n  \"full\": false,\n  \"servers\": [\n  ]\n}\n", version) // indented
+	return fmt.Sprintf("{\n  \"version\": %d,\n  \"full\": false,\n  \"servers\": [\n  ]\n}\n", version) // indented, as discovery sends it
 }
 
-// TestBrokenWatchIsOpenedAnew: whatever ends a watch that has told something, the next one is begun at once, from the version held, and
-// nobody is refused. Its first call waits shortly, so that news that were missed come at once.
+// TestBrokenWatchIsOpenedAnew checks that a watch that fails in any way after a response is reopened immediately from the version held, without
+// reporting a refusal. Its first call waits only briefly, so that missed updates arrive immediately.
 func TestBrokenWatchIsOpenedAnew(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -114,7 +115,7 @@
 		{"half an answer and the end", func(c *discoveryConn) { c.say(ok(changes(9))[:40]); c.Close() }},
 		{"a trickle without end", func(c *discoveryConn) {
 			go func() {
-				for c.say("H"); ; time.Sleep(20 * time.Millisecond) { // its pace; the watch's own clock ends it
+				for c.say("H"); ; time.Sleep(20 * time.Millisecond) { // until the watch times out
 					if _, err := c.Write([]byte("T")); err != nil {
 						return
 					}
@@ -130,16 +131,16 @@
 			d.client.Watch(core.Watch{On: true, Source: d.from, Since: 7})
 			c, path := d.call(nil)
 			if want := watchTarget(7, firstPollWait); path != want {
-				t.Errorf("begins with %s, want %s", path, want)
+				t.Errorf("first call %s, want %s", path, want)
 			}
 			c.say(ok(changes(8)))
 			if _, path = d.call(c); path != watchTarget(8, d.client.wait) {
-				t.Errorf("goes on with %s", path)
+				t.Errorf("second call %s", path)
 			}
 			tc.play(c)
 			c, path = d.call(nil)
 			if want := watchTarget(8, firstPollWait); path != want {
-				t.Errorf("opened anew with %s, want %s", path, want)
+				t.Errorf("reopened with %s, want %s", path, want)
 			}
 			c.say(ok(changes(9)))
 			for _, version := range []int64{8, 9} {
@@ -151,7 +152,7 @@
 	}
 }
 
-// TestAnswersInPieces: an answer counts when its last byte has come, however it comes.
+// TestAnswersInPieces checks that a response that arrives in parts is handled once complete.
 func TestAnswersInPieces(t *testing.T) {
 	d := newTestDiscovery(t)
 	d.client.Watch(core.Watch{On: true, Source: d.from, Since: 7})
@@ -164,8 +165,8 @@
 	}
 }
 
-// TestWatchThatTellsNothingIsRefused: one that never brings an answer ends as a refusal, and only then is asked for again when the decision
-// module says so.
+// TestWatchThatTellsNothingIsRefused checks that a watch that never gets a response is reported as refused, and isn't reopened by the client
+// itself.
 func TestWatchThatTellsNothingIsRefused(t *testing.T) {
 	for name, play := range map[string]func(c *discoveryConn){
 		"silent": func(*discoveryConn) {},
@@ -183,7 +184,7 @@
 			d.ln.(*net.TCPListener).SetDeadline(time.Now())
 			if c, err := d.ln.Accept(); err == nil {
 				c.Close()
-				t.Error("it is asked again unbidden")
+				t.Error("the client called again by itself")
 			}
 		})
 	}
