--- a/internal/snapshot/events.go
+++ b/internal/snapshot/events.go
@@ -6,8 +6,8 @@
 	"foldlb.example/foldlb/internal/core"
 )
 
-// Event carries one of the reducer's events; just one field is set. It is the format in which events that were
-// taken and not applied yet pass from one process to another.
+// Event contains one of the reducer's events; exactly one field is set. It is the format in which events that were received
+// but not yet applied are handed over to another process.
 type Event struct {
 	CallArrived     *core.CallArrived     `cbor:"1,keyasint,omitempty"`
 	CallerLeft      *core.CallerLeft      `cbor:"2,keyasint,omitempty"`
@@ -41,7 +41,7 @@
 	BranchReleased  *core.BranchReleased  `cbor:"30,keyasint,omitempty"`
 }
 
-// Pack puts an event into its carrier. An event of a type that is not known here is an error.
+// Pack wraps an event. It returns an error if the event has an unknown type. FiguresAsked is replaced by Tick.
 func Pack(ev core.Event) (Event, error) {
 	switch ev := ev.(type) {
 	case core.CallArrived:
@@ -69,7 +69,7 @@
 	case core.Tick:
 		return Event{Tick: &ev}, nil
 	case core.FiguresAsked:
-		return Event{Tick: &core.Tick{}}, nil // the successor counts for itself
+		return Event{Tick: &core.Tick{}}, nil // the successor has counters of its own
 	case core.BanOrdered:
 		return Event{BanOrdered: &ev}, nil
 	case core.DrainOrdered:
@@ -107,10 +107,10 @@
 	case core.RemoveOrdered:
 		return Event{RemoveOrdered: &ev}, nil
 	}
-	return Event{}, fmt.Errorf("snapshot: event %T can't be written down", ev)
+	return Event{}, fmt.Errorf("snapshot: cannot encode event of type %T", ev)
 }
 
-// Unpack takes the event out of its carrier. A carrier without one is an error that wraps ErrFormat.
+// Unpack returns the wrapped event. It returns an error that wraps ErrFormat if there is none.
 func (e Event) Unpack() (core.Event, error) {
 	switch {
 	case e.CallArrived != nil:
@@ -174,5 +174,5 @@
 	case e.RemoveOrdered != nil:
 		return *e.RemoveOrdered, nil
 	}
-	return nil, fmt.Errorf("%w: an event of no known kind", ErrFormat)
+	return nil, fmt.Errorf("%w: event without a known type", ErrFormat)
 }
--- a/internal/snapshot/fuzz_test.go
+++ b/internal/snapshot/fuzz_test.go
@@ -8,8 +8,8 @@
 	"foldlb.example/foldlb/internal/core"
 )
 
-// FuzzDecode reads hostile snapshots: whatever comes is a named error or a reducer that can be stepped. The body
-// is sealed anew, since no mutation would ever get past the checksum.
+// FuzzDecode checks that any input gives either one of the package's errors or a reducer that can be stepped. The body
+// is also tried with a new header, since otherwise no mutation would pass the checksum.
 func FuzzDecode(f *testing.F) {
 	good := encode(f, newBusyReducer(f))
 	f.Add(good, false)
@@ -27,12 +27,12 @@
 					return
 				}
 			}
-			t.Fatalf("an error without a name: %v", err)
+			t.Fatalf("unexpected error: %v", err)
 		}
 		r, err := core.Import(settings(), st)
 		if err != nil {
 			if !errors.Is(err, core.ErrState) && !errors.Is(err, choice.ErrState) {
-				t.Fatalf("an error without a name: %v", err)
+				t.Fatalf("unexpected error: %v", err)
 			}
 			return
 		}
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,6 +1,6 @@
-// Package snapshot writes a dispatcher's state down and reads it back: CBOR (RFC 8949) behind a header with a
-// magic word, a schema version, a length and a checksum. It has no I/O. Whatever is read is taken for hostile: a
-// truncated, altered, too large or unknown snapshot is a named error, never a panic.
+// Package snapshot encodes and decodes a dispatcher's state: CBOR (RFC 8949) after a header with a magic number,
+// a schema version, a length and a checksum. It has no I/O. Input is untrusted: a truncated, altered, oversized or
+// unknown snapshot gives one of the errors below, never a panic.
 package snapshot
 
 import (
@@ -14,10 +14,11 @@
 	"foldlb.example/foldlb/internal/core"
 )
 
-// Schema is the version of the format written here. It changes whenever a reader of the last one would misread it.
+// Schema is the version of the format written here. It must change whenever a reader of the previous version would misinterpret
+// the new one.
 const Schema uint16 = 2
 
-// MaxBytes bounds a snapshot: 4,096 open requests with full bodies of 64 KiB.
+// MaxBytes bounds a snapshot, header included: 4,096 open requests with bodies of 64 KiB, and the rest of the state.
 const MaxBytes = 272 << 20
 
 const (
@@ -27,14 +28,14 @@
 	maxNesting = 16
 )
 
-// The ways in which a snapshot can be refused.
+// Errors for which a snapshot is rejected. ErrFormat means that the content doesn't match the schema.
 var (
 	ErrTruncated = errors.New("snapshot: truncated")
 	ErrMagic     = errors.New("snapshot: not a snapshot")
-	ErrSchema    = errors.New("snapshot: schema version not known")
+	ErrSchema    = errors.New("snapshot: unknown schema version")
 	ErrTooLarge  = errors.New("snapshot: too large")
 	ErrChecksum  = errors.New("snapshot: checksum does not match")
-	ErrFormat    = errors.New("snapshot: not of the format that its schema names")
+	ErrFormat    = errors.New("snapshot: content does not match its schema")
 )
 
 var (
@@ -60,10 +61,10 @@
 	return m
 }
 
-// Marshal writes a value as CBOR, without a header.
+// Marshal encodes a value as CBOR, without a header.
 func Marshal(v any) ([]byte, error) { return encoder.Marshal(v) }
 
-// Unmarshal reads what Marshal wrote. Its errors wrap ErrFormat.
+// Unmarshal decodes CBOR encoded by Marshal. Errors wrap ErrFormat.
 func Unmarshal(text []byte, v any) error {
 	if err := decoder.Unmarshal(text, v); err != nil {
 		return fmt.Errorf("%w: %w", ErrFormat, err)
@@ -71,7 +72,8 @@
 	return nil
 }
 
-// Encode writes a reducer's state, with its header. The same state makes the same bytes; st is put in order.
+// Encode encodes a reducer's state with a header. Equal states give equal bytes; st is sorted for that. It returns an error that wraps
+// ErrTooLarge beyond MaxBytes.
 func Encode(st core.State) ([]byte, error) {
 	st.Sort()
 	body, err := Marshal(st)
@@ -84,7 +86,7 @@
 	return Seal(body), nil
 }
 
-// Seal puts a header before a body.
+// Seal returns the body with a header.
 func Seal(body []byte) []byte {
 	out := make([]byte, 0, headerSize+len(body))
 	out = append(out, magic...)
@@ -95,10 +97,10 @@
 	return append(out, body...)
 }
 
-// Open checks a header and returns the body behind it.
+// Open checks the header and checksum and returns the body.
 func Open(text []byte) ([]byte, error) {
 	if len(text) < headerSize {
-		return nil, fmt.Errorf("%w: %d bytes, a header has %d", ErrTruncated, len(text), headerSize)
+		return nil, fmt.Errorf("%w: %d bytes, header needs %d", ErrTruncated, len(text), headerSize)
 	}
 	if len(text) > MaxBytes {
 		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, len(text), MaxBytes)
@@ -112,7 +114,7 @@
 	}
 	length, sum, body := binary.BigEndian.Uint64(rest[2:]), rest[10:10+sha256.Size], rest[10+sha256.Size:]
 	if length != uint64(len(body)) {
-		return nil, fmt.Errorf("%w: %d bytes of %d", ErrTruncated, len(body), length)
+		return nil, fmt.Errorf("%w: body has %d of %d bytes", ErrTruncated, len(body), length)
 	}
 	if sha256.Sum256(body) != [sha256.Size]byte(sum) {
 		return nil, ErrChecksum
@@ -120,7 +122,7 @@
 	return body, nil
 }
 
-// Decode reads what Encode wrote. Whether the state fits together is core.Import's to tell.
+// Decode decodes a state encoded by Encode. core.Import checks its consistency.
 func Decode(text []byte) (core.State, error) {
 	var st core.State
 	body, err := Open(text)
--- a/internal/snapshot/twin_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -24,7 +24,7 @@
 			{Name: "keyed", Effect: choice.Deduplicated, Group: choice.GroupCell, Window: 2, Aim: 0.3, Stretch: 3, Deadline: 4, Worth: 2}}}
 }
 
-// player draws events and remembers what the effects made possible.
+// eventGenerator draws events that are possible after the effects seen so far.
 type eventGenerator struct {
 	now      float64
 	calls    int
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestTwinDecidesAlike: whenever a reducer is written down and read back, the twin does the same as the original
-// from there on, and is itself written down to the same bytes.
+// TestTwinDecidesAlike checks that a decoded copy of a reducer has the same effects as the original for all later events, and is
+// encoded to the same bytes.
 func TestTwinDecidesAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &eventGenerator{now: 100}
@@ -111,17 +111,17 @@
 			ev := p.event(t)
 			a, b := first.Step(p.now, ev), second.Step(p.now, ev)
 			if !reflect.DeepEqual(a, b) {
-				t.Fatalf("step %d, event %+v:\n%+v\nthe twin:\n%+v", i, ev, a, b)
+				t.Fatalf("step %d, event %+v:\n%+v\nthe copy:\n%+v", i, ev, a, b)
 			}
 			p.observe(a)
 			da, oka := first.Due()
 			db, okb := second.Due()
 			if da != db || oka != okb {
-				t.Fatalf("step %d: due at %v, the twin at %v", i, da, db)
+				t.Fatalf("step %d: next timer at %v, of the copy at %v", i, da, db)
 			}
 		}
 		if a, b := encode(t, first), encode(t, second); !reflect.DeepEqual(a, b) {
-			t.Fatal("the twin is written down to other bytes")
+			t.Fatal("the copy is encoded to different bytes")
 		}
 	})
 }
@@ -152,7 +152,7 @@
 	return twin
 }
 
-// busy is a reducer with open requests, for the tests of what is refused.
+// newBusyReducer returns a reducer with open requests.
 func newBusyReducer(t fataler) *core.Reducer {
 	r, err := core.New(1, settings(), core.RouteSet{Workers: []core.Worker{{ID: "a", Addr: "a:1", Zone: "a", Kind: "k"},
 		{ID: "b", Addr: "b:1", Zone: "b", Kind: "m"}}}, "d:1")
@@ -199,7 +199,7 @@
 	}
 }
 
-// TestStatesThatDoNotFit changes one thing in a good state; Import must refuse it by name.
+// TestStatesThatDoNotFit checks that core.Import rejects a valid state after one inconsistent change.
 func TestStatesThatDoNotFit(t *testing.T) {
 	for name, change := range map[string]func(*core.State){
 		"a request twice":             func(s *core.State) { s.Requests = append(s.Requests, s.Requests[0]) },
@@ -238,7 +238,7 @@
 	}
 }
 
-// TestOtherSettings: a successor may be configured otherwise; what its settings still name goes on.
+// TestOtherSettings checks that a successor with other settings continues the requests of the classes that it still has.
 func TestOtherSettings(t *testing.T) {
 	st, err := Decode(encode(t, newBusyReducer(t)))
 	if err != nil {
@@ -264,7 +264,7 @@
 	}
 }
 
-// TestEveryEventIsCarried: what Pack takes Unpack gives back.
+// TestEveryEventIsCarried checks that Unpack returns the event given to Pack, for the event types listed here.
 func TestEveryEventIsCarried(t *testing.T) {
 	for _, ev := range []core.Event{core.CallArrived{Call: core.Call{ID: "x", Message: core.Message{Body: []byte("b")}}}, core.CallerLeft{Exchange: 3},
 		core.HealthAsked{Exchange: 4}, core.BranchFailed{Branch: 1, Fault: core.Cut}, core.BranchTaken{Branch: 2}, core.BranchReleased{Branch: 3, Told: true},
@@ -283,7 +283,7 @@
 			t.Fatal(err)
 		}
 		if got, err := back.Unpack(); err != nil || !reflect.DeepEqual(got, ev) {
-			t.Errorf("%+v came back as %+v, %v", ev, got, err)
+			t.Errorf("%+v unpacked as %+v, %v", ev, got, err)
 		}
 	}
 	if _, err := (Event{}).Unpack(); !errors.Is(err, ErrFormat) {
