--- a/internal/gossip/config_server.go
+++ b/internal/gossip/config_server.go
@@ -40,9 +40,9 @@
 
 // enqueueConfigRequest queues a request, or drops it if the queue is full. Replies are rate-limited since after a change hundreds of
 // members may ask at once.
-func (n *Node) enqueueConfigRequest(w configRequest) {
+func (n *Node) enqueueConfigRequest(request configRequest) {
 	select {
-	case n.configServer.queue <- w:
+	case n.configServer.queue <- request:
 	default:
 		n.dropped.Add(1)
 	}
@@ -66,16 +66,16 @@
 	}
 }
 
-func (n *Node) sendConfig(w configRequest) {
+func (n *Node) sendConfig(request configRequest) {
 	held := n.held.Load()
-	if held == nil || len(held.Shared) == 0 || held.Config != w.Config {
+	if held == nil || len(held.Shared) == 0 || held.Config != request.Config {
 		return // this member applies another configuration by now; the other one will be notified
 	}
 	text, err := encodeConfigReply(configReply{Config: held.Config, Member: n.cfg.Load().Name, Text: held.Shared})
 	if err != nil {
 		return
 	}
-	if m := n.node(w.Process); m != nil {
+	if m := n.node(request.Process); m != nil {
 		if err := n.list.SendReliable(m, text); err != nil {
 			n.log.WithError(err).Debug("fleet: cannot send a requested configuration")
 		}
@@ -109,11 +109,11 @@
 }
 
 // configReply handles a configuration reply. Replies that weren't requested are dropped.
-func (n *Node) configReply(g configReply) {
-	taken := n.configServer.onConfig.Load()
-	if w := n.requestedConfig.Load(); w == nil || w.Config != g.Config || taken == nil {
+func (n *Node) configReply(reply configReply) {
+	handler := n.configServer.onConfig.Load()
+	if requested := n.requestedConfig.Load(); requested == nil || requested.Config != reply.Config || handler == nil {
 		n.dropped.Add(1)
 		return
 	}
-	(*taken)(core.ConfigHeld{Config: g.Config, Shared: g.Text, By: g.Member})
+	(*handler)(core.ConfigHeld{Config: reply.Config, Shared: reply.Text, By: reply.Member})
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -26,21 +26,21 @@
 )
 
 const (
-	reportInterval    = 500 * time.Millisecond
-	pollInterval      = time.Second
-	minSyncInterval   = time.Second     // between two full-state exchanges with a member
-	minRejoinInterval = time.Second     // first pause between attempts to reach unreachable members, doubled up to maxRejoinInterval
-	maxRejoinInterval = 5 * time.Second // bounds how long after a partition the two sides rejoin
-	rejoinBatch       = 3               // addresses tried per attempt
-	maxSuccessorDelay = 3 * time.Second // how long a successor waits to reach a member before it reports reachability
+	reportInterval    = 500 * time.Millisecond // between two reachability reports without changes
+	pollInterval      = time.Second            // between two lease queries to a member
+	minSyncInterval   = time.Second            // between two full-state exchanges with a member
+	minRejoinInterval = time.Second            // first pause between attempts to reach unreachable members, doubled up to maxRejoinInterval
+	maxRejoinInterval = 5 * time.Second        // bounds how long after a partition the two sides rejoin
+	rejoinBatch       = 3                      // addresses tried per attempt
+	maxSuccessorDelay = 3 * time.Second        // how long a successor waits to reach a member before it reports reachability
 	leaveTimeout      = 500 * time.Millisecond
 	maxLogBurst       = 50 // log lines in a burst
 	logLinesPerS      = 5  // sustained
 	silentProbes      = 10 // probe intervals without any datagram received, after which all members count as unreachable
 	leaveNotifyCount  = 3  // members that are notified of a leave directly
-	retransmitMult    = 4
+	retransmitMult    = 4  // memberlist's RetransmitMult
 	dialTimeout       = 2 * time.Second
-	processIDBits     = 62 // length of a process id
+	processIDBits     = 62 // of a process id
 )
 
 // Config configures a member.
@@ -71,10 +71,10 @@
 
 	picture         atomic.Pointer[membership.Picture]
 	hints           atomic.Pointer[[]core.Hint]
-	cachedState     atomic.Pointer[cachedState] // encoded full state
-	unreadable      atomic.Uint64               // undecodable messages
-	dropped         atomic.Uint64               // configuration requests and replies that were dropped
-	held            atomic.Pointer[core.ConfigHeld]
+	cachedState     atomic.Pointer[cachedState]      // encoded full state
+	unreadable      atomic.Uint64                    // undecodable messages
+	dropped         atomic.Uint64                    // configuration requests and replies that were dropped
+	held            atomic.Pointer[core.ConfigHeld]  // configuration that this member applies
 	requestedConfig atomic.Pointer[core.FetchConfig] // last configuration requested
 	configServer    configServer
 
@@ -82,7 +82,7 @@
 	peerDigests map[uint64]uint64 // digests received since the last report, by process
 	suspected   map[uint64]bool
 	syncedAt    map[uint64]time.Time
-	wake        chan struct{}
+	wake        chan struct{} // triggers a reachability report
 	sync        chan string   // addresses for full-state exchanges
 	left        chan struct{} // closed once the reducer is in state Left
 	leftClosed  bool          // left is closed; this and the fields below belong to the reducer's goroutine
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -75,14 +75,14 @@
 	b.performUpdates(looked)
 }
 
-func (b *testNode) performUpdates(looked bool) {
+func (b *testNode) performUpdates(reported bool) {
 	if floors := b.view.FloorUpdates(); len(floors) > 0 {
 		b.Perform(core.FloorsNews{Floors: floors})
 	}
-	if news := b.view.RecordUpdates(); len(news) > 0 {
-		b.Perform(core.FleetNews{Records: news})
+	if records := b.view.RecordUpdates(); len(records) > 0 {
+		b.Perform(core.FleetNews{Records: records})
 	}
-	if moved := b.view.ChangedSincePicture(); looked || moved {
+	if changed := b.view.ChangedSincePicture(); reported || changed {
 		b.Perform(core.FleetPictured{Picture: b.view.Picture(), Fresh: b.view.NewChanges(), Hints: b.hints})
 	}
 }
@@ -94,7 +94,7 @@
 // startMember starts a node; s and process are a predecessor's, or nil and 0.
 func startMember(t *testing.T, cfg Config, s *Sockets, process uint64, view *membership.View) *testNode {
 	t.Helper()
-	taken := s != nil
+	inherited := s != nil
 	if s == nil {
 		var err error
 		if s, err = Listen(cfg.Listen); err != nil {
@@ -102,7 +102,7 @@
 		}
 		process = NewProcessID()
 	}
-	return startNode(t, cfg, s, process, taken, view)
+	return startNode(t, cfg, s, process, inherited, view)
 }
 
 // startMemberOn starts a new node on the given sockets.
@@ -111,10 +111,10 @@
 	return startNode(t, cfg, s, NewProcessID(), false, nil)
 }
 
-func startNode(t *testing.T, cfg Config, s *Sockets, process uint64, taken bool, view *membership.View) *testNode {
+func startNode(t *testing.T, cfg Config, s *Sockets, process uint64, inherited bool, view *membership.View) *testNode {
 	t.Helper()
 	b := &testNode{view: view, done: make(chan struct{})}
-	b.Node = New(cfg, s, process, taken, seconds, b.post, silent())
+	b.Node = New(cfg, s, process, inherited, seconds, b.post, silent())
 	if b.view == nil {
 		var err error
 		if b.view, err = membership.New(seconds(), membership.Record{Key: b.Key(), Incarnation: uint64(time.Now().UnixMilli()), Process: process, Generation: 1}); err != nil {
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -69,6 +69,7 @@
 // Addr returns the address of the sockets.
 func (s *Sockets) Addr() netip.AddrPort { return s.addr }
 
+// Close closes both sockets.
 func (s *Sockets) Close() error { return errors.Join(s.packet.Close(), s.stream.Close()) }
 
 type udpFile struct{ c *net.UDPConn }
@@ -119,8 +120,8 @@
 
 func (t *transport) noteReceived() { t.lastReceivedAt.Store(int64(time.Since(t.startedAt))) }
 
-// silence returns the time since the last datagram from an allowed address. It uses the monotonic clock, so that setting the wall clock
-// doesn't change it.
+// silence returns the time since the last datagram from an allowed address. It uses the monotonic clock: if the wall clock
+// were used, setting it forward would make all peers look silent, and setting it back would hide that they are.
 func (t *transport) silence() time.Duration {
 	return time.Since(t.startedAt) - time.Duration(t.lastReceivedAt.Load())
 }
--- a/internal/membership/conflict.go
+++ b/internal/membership/conflict.go
@@ -17,8 +17,8 @@
 // maxConflicts bounds the conflicts that are reported.
 const maxConflicts = 16
 
-// findConflicts returns the version numbers that members hold with two different contents, in ascending order, maxConflicts at most. It
-// includes unreachable members, since they have already applied their version.
+// findConflicts returns the version numbers that members hold with two different contents, ordered by kind, source and number, maxConflicts at
+// most. It includes unreachable members, since they have already applied their version.
 func (v *View) findConflicts() (conflicts []VersionConflict) {
 	type number struct {
 		kind   Kind
--- a/internal/membership/exhaustive_test.go
+++ b/internal/membership/exhaustive_test.go
@@ -92,18 +92,18 @@
 
 // send sends one member's full state to another.
 func (w *world) send(from, to int) {
-	v, told := w.views[to], w.views[from].SyncRecords()
+	v, records := w.views[to], w.views[from].SyncRecords()
 	switch w.fault {
 	case "stale news wins":
-		for _, r := range told {
+		for _, r := range records {
 			if e := v.members[r.Key]; e != nil && r.Key != v.self {
 				e.Record = r
 			}
 		}
 	case "nobody refutes":
-		told = slices.DeleteFunc(told, func(r Record) bool { return r.Key == v.self })
+		records = slices.DeleteFunc(records, func(r Record) bool { return r.Key == v.self })
 	}
-	v.Merge(frozenNow, told)
+	v.Merge(frozenNow, records)
 }
 
 // updateReachability reports to a member which others it reaches, with the time-out for reaching new members expired.
@@ -123,7 +123,7 @@
 		}
 	}
 	v.UpdateReachability(frozenNow, s)
-	if w.fault == "out of reach is gone" {
+	if w.fault == "unreachable counts as gone" {
 		for k, e := range v.members {
 			if k != v.self && !e.reached {
 				v.ConnectionRefused(frozenNow, e.Process)
@@ -310,7 +310,7 @@
 
 // TestWalkFindsFaults checks that the search detects injected faults.
 func TestWalkFindsFaults(t *testing.T) {
-	for _, fault := range []string{"stale news wins", "nobody refutes", "out of reach is gone"} {
+	for _, fault := range []string{"stale news wins", "nobody refutes", "unreachable counts as gone"} {
 		states, err := walk(t, [4]int{1, 1, 0, 1}, fault)
 		if err == nil {
 			t.Errorf("%s: fault not found in %d states", fault, states)
--- a/internal/membership/floor.go
+++ b/internal/membership/floor.go
@@ -31,13 +31,13 @@
 type Floor struct {
 	Kind      Kind    `cbor:"1,keyasint"`
 	No        int64   `cbor:"2,keyasint"`
-	Source    string  `cbor:"3,keyasint"` // that assigned No; for a program, its name
-	Round     uint64  `cbor:"4,keyasint"` // increases with each floor of this kind
-	By        string  `cbor:"5,keyasint"` // name of the member that announced it
-	Why       string  `cbor:"6,keyasint,omitempty"`
-	Within    float64 `cbor:"7,keyasint"` // seconds from the announcement until the floor is in force
-	Age       float64 `cbor:"8,keyasint"` // seconds since the announcement, as known to the sender
-	Withdrawn bool    `cbor:"9,keyasint,omitempty"`
+	Source    string  `cbor:"3,keyasint"`           // that assigned No; for a program, its name
+	Round     uint64  `cbor:"4,keyasint"`           // increases with each floor of this kind
+	By        string  `cbor:"5,keyasint"`           // name of the member that announced it
+	Why       string  `cbor:"6,keyasint,omitempty"` // reason given by the operator
+	Within    float64 `cbor:"7,keyasint"`           // seconds from the announcement until the floor is in force
+	Age       float64 `cbor:"8,keyasint"`           // seconds since the announcement, as known to the sender
+	Withdrawn bool    `cbor:"9,keyasint,omitempty"` // withdraws all floors of the kind up to Round
 }
 
 // MaxWithinS bounds Floor.Within, in seconds.
@@ -87,7 +87,7 @@
 // which floors arrive; of two announced concurrently, both apply. A higher floor doesn't replace a lower one, since the lower one may be in
 // force earlier.
 type floors struct {
-	withdrawn floor // Seq is 0 for none
+	withdrawn floor // Round is 0 for none
 	active    []floor
 }
 
@@ -308,9 +308,9 @@
 // may not act now. configuredMembers is the fleet size in the settings, and leaseS how many seconds a member may act without contact with a
 // majority; 0 for no limit.
 //
-// Why the lease is safe: a floor counts as established once a majority of the members hold it (FloorsHeldByMajority). A member may act at
+// Why the lease is safe: a floor counts as replicated once a majority of the members hold it (FloorsHeldByMajority). A member may act at
 // time t only if a majority, itself included, replied to queries that it sent at t − leaseS or later and held exactly its own floors when
-// they replied. Two majorities share a member. If t is later than the establishment + leaseS, the shared member was queried and replied
+// they replied. Two majorities share a member. If t is later than the replication + leaseS, the shared member was queried and replied
 // after it held the floor, so the querying member holds the floor too and obeys it. This requires that both count the same members or more
 // (the greater of the configured number and of those that may be acting), that the clock of one process advances steadily, and that the
 // process isn't stopped between this check and the write that follows.
--- a/internal/membership/floor_exhaustive_test.go
+++ b/internal/membership/floor_exhaustive_test.go
@@ -117,10 +117,10 @@
 		all = append(all, n)
 	}
 	if s.budget.timeSteps > 0 {
-		add("passes", func(n leaseState) leaseState { n.now += timeStepS; n.budget.timeSteps--; return n })
+		add("step", func(n leaseState) leaseState { n.now += timeStepS; n.budget.timeSteps--; return n })
 	}
 	for k := range s.inFlight {
-		add(fmt.Sprint("comes", k), func(n leaseState) leaseState { n.deliver(k, false); return n })
+		add(fmt.Sprint("deliver", k), func(n leaseState) leaseState { n.deliver(k, false); return n })
 	}
 	for i := range s.n {
 		for j := range s.n {
@@ -128,20 +128,20 @@
 				continue
 			}
 			if s.budget.queries > 0 {
-				add(fmt.Sprint(i, "asks", j), func(n leaseState) leaseState { n.queries(i, j); n.budget.queries--; return n })
+				add(fmt.Sprint(i, "queries", j), func(n leaseState) leaseState { n.queries(i, j); n.budget.queries--; return n })
 			}
 			if i < j && (s.views[i].FloorDigest() != s.views[j].FloorDigest() || s.views[i].Digest() != s.views[j].Digest()) {
 				add(fmt.Sprint(i, "and", j, "exchange"), func(n leaseState) leaseState { n.exchange(i, j); return n })
 			}
 		}
 		if s.budget.floors > 0 {
-			add(fmt.Sprint(i, "tells"), func(n leaseState) leaseState { n.announce(t, i); n.budget.floors--; return n })
+			add(fmt.Sprint(i, "announces"), func(n leaseState) leaseState { n.announce(t, i); n.budget.floors--; return n })
 		}
 		if s.budget.upgrades > 0 && s.config[i] == 1 {
-			add(fmt.Sprint(i, "up"), func(n leaseState) leaseState { n.setConfig(i, 2); n.budget.upgrades--; return n })
+			add(fmt.Sprint(i, "upgrades"), func(n leaseState) leaseState { n.setConfig(i, 2); n.budget.upgrades--; return n })
 		}
 		if s.budget.cuts > 0 { // isolates a member, or reconnects it
-			add(fmt.Sprint(i, "cut"), func(n leaseState) leaseState {
+			add(fmt.Sprint(i, "isolated"), func(n leaseState) leaseState {
 				for j := range n.n {
 					if j != i {
 						n.cut[[2]int{i, j}] = !n.cut[[2]int{i, j}]
@@ -205,8 +205,8 @@
 // doesn't confirm leases, needs more steps than the budgets allow; TestLeasePlaysFindFaults covers it.
 func TestLeaseWalkFindsFaults(t *testing.T) {
 	for fault, b := range map[string]leaseBudget{
-		"answers count from their coming": {floors: 1, timeSteps: 3, queries: 2},
-		"floors need not be the same":     {floors: 1, timeSteps: 3, queries: 2},
+		"replies count from their arrival": {floors: 1, timeSteps: 3, queries: 2},
+		"floors may differ":                {floors: 1, timeSteps: 3, queries: 2},
 	} {
 		n, err := walkLeases(t, fault, b, 1<<22)
 		t.Logf("%s: after %d states: %v", fault, n, err)
--- a/internal/membership/floor_test.go
+++ b/internal/membership/floor_test.go
@@ -115,7 +115,7 @@
 func (l *leaseFleet) queries(i, j int) {
 	l.views[j].Fence(l.n, testLease)
 	l.inFlight = append(l.inFlight, reply{to: i, Contact: Contact{Process: l.process[j], Asker: l.process[i], Sent: l.now, Floors: l.views[j].FloorDigest(),
-		Established: l.views[j].Established() || l.fault == "one that has forgotten vouches"}})
+		Established: l.views[j].Established() || l.fault == "a restarted member confirms leases"}})
 }
 
 // deliver delivers or loses a reply in flight.
@@ -125,10 +125,10 @@
 	if l.views[a.to] == nil || lost {
 		return
 	}
-	if l.fault == "answers count from their coming" {
+	if l.fault == "replies count from their arrival" {
 		a.Sent = l.now
 	}
-	if l.fault == "floors need not be the same" {
+	if l.fault == "floors may differ" {
 		a.Floors = l.views[a.to].FloorDigest()
 	}
 	l.views[a.to].Contact(l.now, a.Contact)
@@ -233,7 +233,7 @@
 
 // TestLeasePlaysFindFaults checks that the random test above fails if one of the lease's rules is left out.
 func TestLeasePlaysFindFaults(t *testing.T) {
-	for _, fault := range []string{"one that has forgotten vouches", "answers count from their coming", "floors need not be the same"} {
+	for _, fault := range []string{"a restarted member confirms leases", "replies count from their arrival", "floors may differ"} {
 		var hit error
 		for seed := 0; seed < 20000 && hit == nil; seed++ {
 			hit = rapid.Custom(func(t *rapid.T) playResult { return playResult{play(t, fault)} }).Example(seed).err
--- a/internal/membership/picture.go
+++ b/internal/membership/picture.go
@@ -26,10 +26,10 @@
 	Members              []Member // ordered by key
 	Digest               uint64
 	ChangedAt            float64 // when a member, state or verdict last changed
-	Acting               int
+	Acting               int     // upper bound of the members that may be acting
 	Reached              int
 	Zones                map[string]int // number of live members by zone
-	Dropped              uint64
+	Dropped              uint64         // invalid records and floors, and records refused since the view was full
 	History              []Change
 	Floors               []Floor
 	FloorDigest          uint64
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -28,7 +28,7 @@
 	peerDigestAt     float64 // 0 for never
 
 	configAt, routesAt float64 // when it was first known to apply its configuration and its route set
-	contactAt          float64 // send time of the last lease query that it answered while holding the same floors; 0 for none
+	contactAt          float64 // send time of the last lease query that it answered, established and holding the same floors; 0 for none
 	answered           bool    // it answered such a query since this process's start
 }
 
@@ -46,15 +46,15 @@
 	members         map[Key]*entry
 	now             float64
 	reachabilityAt  float64 // time of the last reachability report
-	startedAt       float64
+	startedAt       float64 // when the view was created
 	noVerdictsUntil float64 // end of the delay of verdicts after this process was stopped
 	changedAt       float64 // when a member, state or verdict last changed
-	digest          uint64  // of all members that have not departed
+	digest          uint64  // of the floors and of all members that have not departed
 	pictureDigest   uint64  // digest as of the last call of ChangedSincePicture
 	sortedKeys      []Key   // sorted keys of members; nil if they must be sorted again
 	history         []Change
-	unreported      []Change // since the last call of NewChanges
-	pendingUpdates  map[Key]bool
+	unreported      []Change     // since the last call of NewChanges
+	pendingUpdates  map[Key]bool // members whose records must be sent to others
 	floors          map[Kind]*floors
 	floorsChanged   bool
 	conflicts       []VersionConflict // as of the last reachability report
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -31,10 +31,10 @@
 // TestMergeKnowsNoOrder checks that views converge whatever the order, batching and repetition of the records they receive.
 func TestMergeKnowsNoOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		news := rapid.SliceOfN(rapid.Custom(drawRecord), 1, 12).Draw(t, "news")
+		records := rapid.SliceOfN(rapid.Custom(drawRecord), 1, 12).Draw(t, "news")
 		one, other := newDrawnView(t), newDrawnView(t)
-		one.Merge(2, news)
-		for _, r := range rapid.Permutation(news).Draw(t, "order") {
+		one.Merge(2, records)
+		for _, r := range rapid.Permutation(records).Draw(t, "order") {
 			other.Merge(2, []Record{r})
 			other.Merge(2, []Record{r})
 		}
@@ -46,7 +46,7 @@
 		if one.Digest() != before {
 			t.Fatalf("records already known changed the view")
 		}
-		for _, r := range news {
+		for _, r := range records {
 			if held := one.members[r.Key]; held == nil || held.Record.compare(r) < 0 {
 				t.Fatalf("%+v was merged, %+v is held", r, held)
 			}
