--- a/cmd/foldlb/audit.go
+++ b/cmd/foldlb/audit.go
@@ -108,7 +108,7 @@
 		x.source, x.routes = f.Name, f.Routes
 	}
 	x.failed = s.trail.failed
-	held, process, kept := n.body.Reducer.Audited()
+	held, process, kept := n.body.Reducer.HeldVersions()
 	if kept {
 		x.process = process
 	} else if s.trail.writer != nil {
--- a/cmd/foldlb/fleet.go
+++ b/cmd/foldlb/fleet.go
@@ -70,7 +70,7 @@
 		n.workers.Fence(n.body.Reducer.Fence())
 		go n.member.run(ctx)
 	} else if _, was := n.body.Reducer.Fleet(); was {
-		n.loop.Precede([]core.Event{core.FleetEnded{}})
+		n.loop.Prepend([]core.Event{core.FleetEnded{}})
 	}
 }
 
--- a/cmd/foldlb/fleetcmd.go
+++ b/cmd/foldlb/fleetcmd.go
@@ -80,7 +80,7 @@
 						return err
 					}
 					err = control.Ask(path, "fleet-remove", map[string]string{"name": c.Args().First()}, func([]byte) error { return nil })
-					var fault control.Refused
+					var fault control.RemoteError
 					if errors.As(err, &fault) {
 						return cli.Exit("refused: "+err.Error(), exitNotRemoved)
 					}
--- a/coord/failover/checker_test.go
+++ b/coord/failover/checker_test.go
@@ -77,7 +77,7 @@
 		if !checker.holds(name) {
 			checker.violate("%s was acknowledged and is not in force", name)
 		}
-	case OutcomeUnknown:
+	case OutcomeUnknownError:
 		checker.unknown++
 	default:
 		checker.refused = append(checker.refused, name)
--- a/coord/failover/election.go
+++ b/coord/failover/election.go
@@ -55,7 +55,7 @@
 			Epoch:      machine.campaign.epoch,
 			StateEpoch: machine.record.Version.Epoch,
 			StateSeq:   machine.record.Version.Seq,
-			AskOnly:    machine.campaign.askOnly,
+			PreVote:    machine.campaign.askOnly,
 		}
 		machine.emit(sendVote{address: member.Address, request: request})
 	}
@@ -67,7 +67,7 @@
 	}
 	machine.highestEpoch = max(machine.highestEpoch, result.reply.Epoch)
 	current := machine.campaign
-	if current == nil || current.epoch != result.request.Epoch || current.askOnly != result.request.AskOnly {
+	if current == nil || current.epoch != result.request.Epoch || current.askOnly != result.request.PreVote {
 		return
 	}
 	if !result.reply.Granted {
@@ -109,13 +109,13 @@
 	}
 	granted := machine.mayVote(now, request)
 	switch {
-	case granted && request.AskOnly:
+	case granted && request.PreVote:
 		machine.yieldTo(now, request.Candidate)
 	case granted:
 		machine.vote(now, request)
 	}
 	reply := VoteReply{Granted: granted, Epoch: machine.record.VotedEpoch}
-	if !granted || request.AskOnly {
+	if !granted || request.PreVote {
 		machine.emit(answerVote{call: asked.call, reply: reply})
 		return
 	}
@@ -137,7 +137,7 @@
 		return true
 	}
 	isRepeated := request.Epoch == machine.record.VotedEpoch && request.Candidate == machine.record.VotedFor
-	return isRepeated && !request.AskOnly
+	return isRepeated && !request.PreVote
 }
 
 // yieldTo puts the own campaign off for a moment where another member's may succeed, so that votes are seldom split.
--- a/coord/failover/failover.go
+++ b/coord/failover/failover.go
@@ -66,7 +66,7 @@
 	Epoch      uint64
 	StateEpoch uint64 // version that the candidate holds
 	StateSeq   uint64
-	AskOnly    bool // asks whether the vote would be granted; nothing is recorded
+	PreVote    bool // asks whether the vote would be granted; nothing is recorded
 }
 
 // VoteReply answers a VoteRequest.
--- a/coord/failover/filestore.go
+++ b/coord/failover/filestore.go
@@ -47,7 +47,7 @@
 	return store, nil
 }
 
-// Load returns the newest record that was saved, or nothing where none ever was. It fails with CorruptRecord where
+// Load returns the newest record that was saved, or nothing where none ever was. It fails with CorruptRecordError where
 // both files hold something that can't be read back.
 func (store *FileStore) Load() ([]byte, error) {
 	var newest []byte
@@ -67,7 +67,7 @@
 		}
 	}
 	if broken == slotCount {
-		return nil, CorruptRecord{Reason: "neither file is whole"}
+		return nil, CorruptRecordError{Reason: "neither file is whole"}
 	}
 	return newest, nil
 }
--- a/coord/failover/formerterm.go
+++ b/coord/failover/formerterm.go
@@ -4,7 +4,7 @@
 
 const (
 	formerTermRetries       = 4  // campaigns in one CampaignTimeout
-	formerTermSpreadDivisor = 10 // of ElectionSpread
+	formerTermSpreadDivisor = 10 // of ElectionJitter
 )
 
 // formerTerm makes a member that led or campaigned before its restart campaign at once, and often at first, since the
--- a/coord/failover/leader.go
+++ b/coord/failover/leader.go
@@ -334,18 +334,18 @@
 	machine.leadership = nil
 	machine.planElection(now, machine.spread())
 	if lead.inFlight != nil && !lead.inFlight.isMemberChange() {
-		machine.emit(proposalDone{proposal: lead.inFlight.proposal, err: OutcomeUnknown{Reason: reason}})
+		machine.emit(proposalDone{proposal: lead.inFlight.proposal, err: OutcomeUnknownError{Reason: reason}})
 	}
 	for _, waiting := range lead.queue {
 		if !waiting.isMemberChange() {
-			machine.emit(proposalDone{proposal: waiting.proposal, err: NotLeader{}})
+			machine.emit(proposalDone{proposal: waiting.proposal, err: NotLeaderError{}})
 		}
 	}
 	if lead.change != nil {
-		machine.emit(proposalDone{proposal: lead.change.proposal, err: OutcomeUnknown{Reason: reason}})
+		machine.emit(proposalDone{proposal: lead.change.proposal, err: OutcomeUnknownError{Reason: reason}})
 	}
 	for _, waiting := range lead.reads {
-		machine.emit(waiting.ended(NotLeader{}))
+		machine.emit(waiting.ended(NotLeaderError{}))
 	}
 	machine.emit(steppedDown{epoch: lead.epoch, reason: reason})
 }
--- a/coord/failover/loop.go
+++ b/coord/failover/loop.go
@@ -140,16 +140,16 @@
 		newest = machine.record.Contents
 	}
 	return Status{
-		Leader:        machine.servesUntil(now) > now,
-		LeaderAddress: machine.leaderAddress(now),
-		Epoch:         machine.record.VotedEpoch,
-		StateEpoch:    machine.committedVersion.Epoch,
-		StateSeq:      machine.committedVersion.Seq,
-		State:         machine.committedContents.State,
-		Members:       newest.Members,
-		Exchanging:    newest.isJoint() || machine.record.Contents.isJoint(),
-		Identity:      machine.record.Identity,
-		Voter:         machine.isVoter(),
+		Leader:             machine.servesUntil(now) > now,
+		LeaderAddress:      machine.leaderAddress(now),
+		Epoch:              machine.record.VotedEpoch,
+		StateEpoch:         machine.committedVersion.Epoch,
+		StateSeq:           machine.committedVersion.Seq,
+		State:              machine.committedContents.State,
+		Members:            newest.Members,
+		MembershipChanging: newest.isJoint() || machine.record.Contents.isJoint(),
+		Identity:           machine.record.Identity,
+		Voter:              machine.isVoter(),
 	}
 }
 
@@ -160,7 +160,7 @@
 		one.Epoch == other.Epoch &&
 		one.StateEpoch == other.StateEpoch &&
 		one.StateSeq == other.StateSeq &&
-		one.Exchanging == other.Exchanging &&
+		one.MembershipChanging == other.MembershipChanging &&
 		one.Voter == other.Voter &&
 		slices.Equal(one.Members, other.Members)
 }
--- a/coord/failover/machine.go
+++ b/coord/failover/machine.go
@@ -207,7 +207,7 @@
 }
 
 func (machine *machine) spread() time.Duration {
-	return time.Duration(machine.config.random(int64(machine.config.timing.ElectionSpread)))
+	return time.Duration(machine.config.random(int64(machine.config.timing.ElectionJitter)))
 }
 
 func (machine *machine) emit(wanted effect) { machine.effects = append(machine.effects, wanted) }
--- a/coord/failover/machine_test.go
+++ b/coord/failover/machine_test.go
@@ -83,7 +83,7 @@
 		if askOnly {
 			bench.step(tick{})
 		}
-		request := VoteRequest{Member: otherID, Epoch: 1, AskOnly: askOnly}
+		request := VoteRequest{Member: otherID, Epoch: 1, PreVote: askOnly}
 		bench.step(voteResult{request: request, reply: VoteReply{Granted: true}})
 	}
 	bench.confirm()
@@ -141,7 +141,7 @@
 
 func TestAskOnlyRecordsNothing(t *testing.T) {
 	bench := newSeedBench(t)
-	answers := only[answerVote](bench.ask(VoteRequest{Member: selfID, Epoch: 7, AskOnly: true}))
+	answers := only[answerVote](bench.ask(VoteRequest{Member: selfID, Epoch: 7, PreVote: true}))
 	must.True(t, answers[0].reply.Granted)
 	must.Zero(t, bench.machine.record.VotedEpoch)
 	must.Nil(t, bench.newest)
@@ -252,8 +252,8 @@
 	must.SliceLen(t, 1, only[steppedDown](effects))
 	done := only[proposalDone](effects)
 	must.SliceLen(t, 2, done)
-	must.True(t, errors.As(done[0].err, &OutcomeUnknown{}))
-	must.True(t, errors.As(done[1].err, &NotLeader{}))
+	must.True(t, errors.As(done[0].err, &OutcomeUnknownError{}))
+	must.True(t, errors.As(done[1].err, &NotLeaderError{}))
 }
 
 func TestLeaseRunsFromSending(t *testing.T) {
@@ -296,14 +296,14 @@
 	bench.acknowledge(otherID, 0)
 	done := only[proposalDone](bench.acknowledge(thirdID, 0))
 	must.SliceLen(t, 1, done)
-	must.True(t, errors.As(done[0].err, &OutcomeUnknown{}))
+	must.True(t, errors.As(done[0].err, &OutcomeUnknownError{}))
 	must.Nil(t, bench.machine.leadership)
 	must.True(t, bench.machine.record.Contents.isJoint())
 }
 
 func TestLastMemberStays(t *testing.T) {
 	_, err := memberChange{removeID: selfID}.apply([]Member{{ID: selfID, Address: selfAddress}})
-	must.True(t, errors.As(err, &InvalidMembers{}))
+	must.True(t, errors.As(err, &InvalidMembersError{}))
 }
 
 func TestQueueIsBounded(t *testing.T) {
@@ -313,7 +313,7 @@
 		must.SliceEmpty(t, only[proposalDone](bench.step(propose{proposal: proposal, change: replaceBy("second")})))
 	}
 	done := only[proposalDone](bench.step(propose{proposal: 3, change: replaceBy("third")}))
-	must.Eq(t, []proposalDone{{proposal: 3, err: Overloaded{Limit: 2}}}, done)
+	must.Eq(t, []proposalDone{{proposal: 3, err: OverloadedError{Limit: 2}}}, done)
 }
 
 func TestAbandonedWhileWaiting(t *testing.T) {
@@ -324,7 +324,7 @@
 	cause := errors.New("given up")
 	must.Eq(t, []proposalDone{{proposal: 2, err: cause}}, only[proposalDone](bench.step(abandon{proposal: 2, cause: cause})))
 	begun := only[proposalDone](bench.step(abandon{proposal: 1, cause: cause}))
-	must.True(t, errors.As(begun[0].err, &OutcomeUnknown{}))
+	must.True(t, errors.As(begun[0].err, &OutcomeUnknownError{}))
 }
 
 func TestContentsTravelOnlyWhereMissing(t *testing.T) {
@@ -403,7 +403,7 @@
 	bench.confirm()
 	resigned := ReplicateRequest{Member: selfID, Leader: otherID, Epoch: 1, Resign: true}
 	bench.step(replicateCall{request: resigned})
-	must.True(t, only[answerVote](bench.ask(VoteRequest{Member: selfID, Epoch: 2, AskOnly: true}))[0].reply.Granted)
+	must.True(t, only[answerVote](bench.ask(VoteRequest{Member: selfID, Epoch: 2, PreVote: true}))[0].reply.Granted)
 }
 
 // Until the new list stands alone, the one before counts as well, and operators are told.
@@ -412,8 +412,8 @@
 	record := Record{Identity: "a", Contents: Contents{Members: members}}
 	config := machineConfig{address: "a:1", random: func(int64) int64 { return 0 }}
 	settled, _ := newMachine(config, record, startRestarted, 0)
-	must.False(t, settled.status(0).Exchanging)
+	must.False(t, settled.status(0).MembershipChanging)
 	record.Contents.OldMembers = append([]Member{{ID: "d", Address: "d:1"}}, members[1:]...)
 	joint, _ := newMachine(config, record, startRestarted, 0)
-	must.True(t, joint.status(0).Exchanging)
+	must.True(t, joint.status(0).MembershipChanging)
 }
--- a/coord/failover/memberchange.go
+++ b/coord/failover/memberchange.go
@@ -15,7 +15,7 @@
 func (machine *machine) handleMemberChange(now time.Duration, wanted propose) {
 	lead := machine.leadership
 	if lead.change != nil {
-		machine.emit(proposalDone{proposal: wanted.proposal, err: MembersChanging{}})
+		machine.emit(proposalDone{proposal: wanted.proposal, err: MemberChangePendingError{}})
 		return
 	}
 	members, err := wanted.members.apply(machine.record.Contents.Members)
@@ -111,9 +111,9 @@
 	if lead.change == nil || lead.change.proposal != abandoned.proposal {
 		return false
 	}
-	var err error = OutcomeUnknown{Reason: abandoned.cause.Error()}
+	var err error = OutcomeUnknownError{Reason: abandoned.cause.Error()}
 	if lead.change.learner != nil {
-		err = LearnerBehind{Learner: lead.change.learner.ID, Cause: abandoned.cause}
+		err = LearnerBehindError{Learner: lead.change.learner.ID, Cause: abandoned.cause}
 	}
 	lead.change = nil
 	lead.dropQueued(abandoned.proposal)
--- a/coord/failover/members.go
+++ b/coord/failover/members.go
@@ -40,7 +40,7 @@
 
 func addMember(members []Member, member Member) ([]Member, error) {
 	if member.ID == "" || member.Address == "" {
-		return nil, InvalidMembers{Reason: "a member needs an identity and an address"}
+		return nil, InvalidMembersError{Reason: "a member needs an identity and an address"}
 	}
 	if hasMember(members, member.ID) {
 		return members, nil
@@ -53,7 +53,7 @@
 		return members, nil
 	}
 	if len(members) == 1 {
-		return nil, InvalidMembers{Reason: "the last member can't be removed; add another one first"}
+		return nil, InvalidMembersError{Reason: "the last member can't be removed; add another one first"}
 	}
 	isRemoved := func(member Member) bool { return member.ID == identity }
 	return slices.DeleteFunc(slices.Clone(members), isRemoved), nil
--- a/coord/failover/modelactions_test.go
+++ b/coord/failover/modelactions_test.go
@@ -318,7 +318,7 @@
 	case message.replicated != nil:
 		return fmt.Sprintf("%s answer to replicate %+v", way, *message.replicated)
 	case message.vote != nil:
-		return fmt.Sprintf("%s vote epoch %d, ask only %t", way, message.vote.Epoch, message.vote.AskOnly)
+		return fmt.Sprintf("%s vote epoch %d, ask only %t", way, message.vote.Epoch, message.vote.PreVote)
 	}
 	return fmt.Sprintf("%s replicate epoch %d seq %d, resign %t", way, message.replicate.Epoch, message.replicate.StateSeq, message.replicate.Resign)
 }
--- a/coord/failover/modelkey_test.go
+++ b/coord/failover/modelkey_test.go
@@ -265,7 +265,7 @@
 	writer.text(request.Member)
 	writer.text(request.Candidate)
 	writer.numbers(request.Epoch, request.StateEpoch, request.StateSeq)
-	writer.flag(request.AskOnly)
+	writer.flag(request.PreVote)
 }
 
 func (writer *keyWriter) replicateRequest(request *ReplicateRequest) {
--- a/coord/failover/modelstate_test.go
+++ b/coord/failover/modelstate_test.go
@@ -19,7 +19,7 @@
 	Lease:           3 * modelStep,
 	Margin:          modelStep,
 	Heartbeat:       modelStep,
-	ElectionSpread:  1, // a candidate is free to wait anyway: each tick may come as late as it likes
+	ElectionJitter:  1, // a candidate is free to wait anyway: each tick may come as late as it likes
 	CampaignTimeout: modelStep,
 	ContentsTimeout: modelStep,
 }
--- a/coord/failover/node.go
+++ b/coord/failover/node.go
@@ -52,16 +52,16 @@
 
 // Status is what a member knows.
 type Status struct {
-	Leader        bool   // this member serves as the leader and its lease is valid
-	LeaderAddress string // empty where no leader is known
-	Epoch         uint64 // newest epoch that this member voted in or accepted
-	StateEpoch    uint64 // version of State; both 0 where no committed version is known yet
-	StateSeq      uint64
-	State         []byte   // committed; must not be modified
-	Members       []Member // voters of the committed version, or of the record on disk where none is known yet
-	Exchanging    bool     // Members are the coming list: the one before still counts, and bears no further loss of its own
-	Identity      string   // of this member
-	Voter         bool     // this member is in the newest list that it holds
+	Leader             bool   // this member serves as the leader and its lease is valid
+	LeaderAddress      string // empty where no leader is known
+	Epoch              uint64 // newest epoch that this member voted in or accepted
+	StateEpoch         uint64 // version of State; both 0 where no committed version is known yet
+	StateSeq           uint64
+	State              []byte   // committed; must not be modified
+	Members            []Member // voters of the committed version, or of the record on disk where none is known yet
+	MembershipChanging bool     // Members are the coming list: the one before still counts, and bears no further loss of its own
+	Identity           string   // of this member
+	Voter              bool     // this member is in the newest list that it holds
 }
 
 // Node is one member. Its methods are safe for concurrent use.
@@ -215,14 +215,14 @@
 // Propose replaces the state by what change makes of the committed one. It returns nil once that is committed. Where
 // change returned the same bytes, or an error, nothing is replaced; nil or that error is returned once a majority has
 // confirmed, as for Read, that the state which change was given was the newest. Other
-// errors are NotLeader, Overloaded, Closed, the context's (nothing was proposed) and OutcomeUnknown. change runs on
+// errors are NotLeaderError, Overloaded, Closed, the context's (nothing was proposed) and OutcomeUnknownError. change runs on
 // the goroutine that sends heartbeats: it must be quick, and must neither modify old nor keep what it returns.
 func (node *Node) Propose(ctx context.Context, change func(old []byte) ([]byte, error)) error {
 	return node.propose(ctx, propose{change: change})
 }
 
 // Read returns nil once the committed state (Status) holds all that was acknowledged, by whichever leader, before Read
-// was called. It asks a majority of the voters and rests on no clock. Errors are NotLeader, Overloaded, Closed and the
+// was called. It asks a majority of the voters and rests on no clock. Errors are NotLeaderError, Overloaded, Closed and the
 // context's.
 func (node *Node) Read(ctx context.Context) error {
 	number := node.lastID.Add(1)
@@ -232,7 +232,7 @@
 // ProposeMembers adds a voter, removes the one with the identity removeID, or exchanges one for the other in one step. A
 // nil add and an empty removeID stand for nothing. It returns nil once the new list is committed alone. Adding a voter
 // that is in the list and removing one that is not are done already, so a change that failed is repeated as it was.
-// Errors are those of Propose, InvalidMembers, MembersChanging and LearnerBehind.
+// Errors are those of Propose, InvalidMembersError, MemberChangePendingError and LearnerBehindError.
 func (node *Node) ProposeMembers(ctx context.Context, add *Member, removeID string) error {
 	change := memberChange{removeID: removeID}
 	if add != nil {
@@ -258,7 +258,7 @@
 	case err := <-answer:
 		return err
 	case <-node.ctx.Done():
-		return OutcomeUnknown{Reason: "the node was closed"}
+		return OutcomeUnknownError{Reason: "the node was closed"}
 	case <-ctx.Done():
 	}
 	return node.abandon(number, ctx.Err(), answer)
@@ -268,13 +268,13 @@
 func (node *Node) abandon(proposal uint64, cause error, answer chan error) error {
 	sent := command{input: abandon{proposal: proposal, cause: cause}}
 	if err := node.send(node.ctx, sent); err != nil {
-		return OutcomeUnknown{Reason: "the node was closed"}
+		return OutcomeUnknownError{Reason: "the node was closed"}
 	}
 	select {
 	case err := <-answer:
 		return err
 	case <-node.ctx.Done():
-		return OutcomeUnknown{Reason: "the node was closed"}
+		return OutcomeUnknownError{Reason: "the node was closed"}
 	}
 }
 
@@ -294,13 +294,13 @@
 
 func (node *Node) send(ctx context.Context, sent command) error {
 	if node.ctx.Err() != nil {
-		return Closed{}
+		return ClosedError{}
 	}
 	select {
 	case node.commands <- sent:
 		return nil
 	case <-node.ctx.Done():
-		return Closed{}
+		return ClosedError{}
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -312,7 +312,7 @@
 	case reply := <-answer:
 		return reply, nil
 	case <-node.ctx.Done():
-		return none, Closed{}
+		return none, ClosedError{}
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
--- a/coord/failover/node_test.go
+++ b/coord/failover/node_test.go
@@ -16,7 +16,7 @@
 	Lease:           200 * time.Millisecond,
 	Margin:          30 * time.Millisecond,
 	Heartbeat:       50 * time.Millisecond,
-	ElectionSpread:  40 * time.Millisecond,
+	ElectionJitter:  40 * time.Millisecond,
 	CampaignTimeout: 60 * time.Millisecond,
 }
 
@@ -202,7 +202,7 @@
 	leaderAddress := leader.Status().LeaderAddress
 	follower := group.await(func(status Status) bool { return !status.Leader && status.LeaderAddress == leaderAddress })
 	err := follower.Propose(t.Context(), replaceBy("other"))
-	var notLeader NotLeader
+	var notLeader NotLeaderError
 	must.True(t, errors.As(err, &notLeader))
 	must.EqOp(t, leaderAddress, notLeader.LeaderAddress)
 }
@@ -291,7 +291,7 @@
 		}
 	}
 	err := leader.Propose(t.Context(), replaceBy("lonely"))
-	must.True(t, errors.As(err, &OutcomeUnknown{}))
+	must.True(t, errors.As(err, &OutcomeUnknownError{}))
 	must.False(t, leader.LeaseValid())
 }
 
@@ -307,7 +307,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), testTiming.Lease/10)
 	defer cancel()
 	err := leader.Propose(ctx, replaceBy("lonely"))
-	must.True(t, errors.As(err, &OutcomeUnknown{}))
+	must.True(t, errors.As(err, &OutcomeUnknownError{}))
 }
 
 func TestNodeClosed(t *testing.T) {
@@ -315,9 +315,9 @@
 	group.startAll()
 	leader := group.awaitLeader()
 	group.stop(leader.Status().LeaderAddress)
-	must.True(t, errors.As(leader.Propose(t.Context(), replaceBy("late")), &Closed{}))
+	must.True(t, errors.As(leader.Propose(t.Context(), replaceBy("late")), &ClosedError{}))
 	_, err := leader.HandleVote(t.Context(), VoteRequest{})
-	must.True(t, errors.As(err, &Closed{}))
+	must.True(t, errors.As(err, &ClosedError{}))
 	must.False(t, leader.Status().Leader)
 }
 
--- a/coord/failover/proposal.go
+++ b/coord/failover/proposal.go
@@ -9,7 +9,7 @@
 func (machine *machine) handlePropose(now time.Duration, wanted propose) {
 	lead := machine.leadership
 	if lead == nil || !lead.isServing {
-		err := NotLeader{LeaderAddress: machine.leaderAddress(now)}
+		err := NotLeaderError{LeaderAddress: machine.leaderAddress(now)}
 		machine.emit(proposalDone{proposal: wanted.proposal, err: err})
 		return
 	}
@@ -18,7 +18,7 @@
 		return
 	}
 	if len(lead.queue) >= machine.config.queueLimit {
-		err := Overloaded{Limit: machine.config.queueLimit}
+		err := OverloadedError{Limit: machine.config.queueLimit}
 		machine.emit(proposalDone{proposal: wanted.proposal, err: err})
 		return
 	}
@@ -33,7 +33,7 @@
 		return
 	}
 	if lead.inFlight != nil && lead.inFlight.proposal == abandoned.proposal {
-		err := OutcomeUnknown{Reason: abandoned.cause.Error()}
+		err := OutcomeUnknownError{Reason: abandoned.cause.Error()}
 		machine.emit(proposalDone{proposal: abandoned.proposal, err: err})
 		return
 	}
--- a/coord/failover/read.go
+++ b/coord/failover/read.go
@@ -29,12 +29,12 @@
 func (machine *machine) handleRead(now time.Duration, wanted read) {
 	lead := machine.leadership
 	if lead == nil || !lead.isServing {
-		err := NotLeader{LeaderAddress: machine.leaderAddress(now)}
+		err := NotLeaderError{LeaderAddress: machine.leaderAddress(now)}
 		machine.emit(readDone{read: wanted.read, err: err})
 		return
 	}
 	if len(lead.reads) >= machine.config.queueLimit {
-		machine.emit(readDone{read: wanted.read, err: Overloaded{Limit: machine.config.queueLimit}})
+		machine.emit(readDone{read: wanted.read, err: OverloadedError{Limit: machine.config.queueLimit}})
 		return
 	}
 	machine.awaitRound(now, waitingRead{number: wanted.read, isRead: true})
--- a/coord/failover/read_test.go
+++ b/coord/failover/read_test.go
@@ -63,10 +63,10 @@
 
 func TestReadEndsWithTheLeadership(t *testing.T) {
 	bench := newSeedBench(t)
-	must.Eq(t, []readDone{{read: 1, err: NotLeader{}}}, only[readDone](bench.step(read{read: 1})))
+	must.Eq(t, []readDone{{read: 1, err: NotLeaderError{}}}, only[readDone](bench.step(read{read: 1})))
 	bench.lead()
 	bench.step(read{read: 2})
-	must.Eq(t, []readDone{{read: 2, err: NotLeader{}}}, only[readDone](bench.step(resign{})))
+	must.Eq(t, []readDone{{read: 2, err: NotLeaderError{}}}, only[readDone](bench.step(resign{})))
 }
 
 func TestReadsThatWaitAreBounded(t *testing.T) {
@@ -75,7 +75,7 @@
 	for number := range uint64(2) {
 		must.SliceEmpty(t, only[readDone](bench.step(read{read: number + 1})))
 	}
-	must.Eq(t, []readDone{{read: 3, err: Overloaded{Limit: 2}}}, only[readDone](bench.step(read{read: 3})))
+	must.Eq(t, []readDone{{read: 3, err: OverloadedError{Limit: 2}}}, only[readDone](bench.step(read{read: 3})))
 	cause := errors.New("given up")
 	must.Eq(t, []readDone{{read: 1, err: cause}}, only[readDone](bench.step(abandon{proposal: 1, cause: cause})))
 	must.SliceEmpty(t, only[readDone](bench.step(read{read: 3})))
@@ -102,7 +102,7 @@
 	group.startAll()
 	leaderAddress := group.awaitLeader().Status().LeaderAddress
 	follower := group.await(func(status Status) bool { return !status.Leader && status.LeaderAddress == leaderAddress })
-	must.True(t, errors.As(follower.Read(t.Context()), &NotLeader{}))
+	must.True(t, errors.As(follower.Read(t.Context()), &NotLeaderError{}))
 }
 
 // TestNodeKeepsItsVotersWhereALearnerIsBehind adds a member that nobody can reach.
@@ -113,7 +113,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), testTiming.Lease/2)
 	defer cancel()
 	err := leader.ProposeMembers(ctx, &Member{ID: "d:1#x", Address: "d:1"}, thirdID)
-	behind := LearnerBehind{}
+	behind := LearnerBehindError{}
 	must.True(t, errors.As(err, &behind))
 	must.EqOp(t, "d:1#x", behind.Learner)
 	must.ErrorIs(t, err, context.DeadlineExceeded)
@@ -129,10 +129,10 @@
 		return only[proposalDone](bench.step(propose{proposal: proposal, members: change}))
 	}
 	must.SliceEmpty(t, add(1, "d:1#0"))
-	must.Eq(t, []proposalDone{{proposal: 2, err: MembersChanging{}}}, add(2, "e:1#0"))
+	must.Eq(t, []proposalDone{{proposal: 2, err: MemberChangePendingError{}}}, add(2, "e:1#0"))
 	cause := errors.New("given up")
 	ended := only[proposalDone](bench.step(abandon{proposal: 1, cause: cause}))
-	must.Eq(t, []proposalDone{{proposal: 1, err: LearnerBehind{Learner: "d:1#0", Cause: cause}}}, ended)
+	must.Eq(t, []proposalDone{{proposal: 1, err: LearnerBehindError{Learner: "d:1#0", Cause: cause}}}, ended)
 	must.SliceEmpty(t, add(3, "e:1#0"))
 }
 
@@ -232,7 +232,7 @@
 	asked := only[sendVote](bench.step(tick{}))
 	must.SliceLen(t, 3, asked)
 	grant := func(identity string) []sendVote {
-		request := VoteRequest{Member: identity, Epoch: 1, AskOnly: true}
+		request := VoteRequest{Member: identity, Epoch: 1, PreVote: true}
 		return only[sendVote](bench.step(voteResult{request: request, reply: VoteReply{Granted: true}}))
 	}
 	must.SliceEmpty(t, grant(newcomerID)) // with its own vote a majority of the new list alone
--- a/coord/failover/record.go
+++ b/coord/failover/record.go
@@ -41,10 +41,10 @@
 	return encoded
 }
 
-// DecodeRecord reads what Encode returned. The error is a CorruptRecord.
+// DecodeRecord reads what Encode returned. The error is a CorruptRecordError.
 func DecodeRecord(encoded []byte) (Record, error) {
 	if len(encoded) == 0 || encoded[0] != recordFormat && encoded[0] != recordFormatSimple {
-		return Record{}, CorruptRecord{Reason: "unknown format"}
+		return Record{}, CorruptRecordError{Reason: "unknown format"}
 	}
 	reader := recordReader{rest: encoded[1:]}
 	record := Record{
@@ -59,7 +59,7 @@
 		record.Contents.OldMembers = reader.members()
 	}
 	if reader.broken {
-		return Record{}, CorruptRecord{Reason: "cut short"}
+		return Record{}, CorruptRecordError{Reason: "cut short"}
 	}
 	record.Contents.State = reader.rest
 	return record, nil
--- a/coord/failover/record_test.go
+++ b/coord/failover/record_test.go
@@ -31,7 +31,7 @@
 	header := len(encoded) - len(testRecord.Contents.State)
 	for length := range header {
 		_, err := DecodeRecord(encoded[:length])
-		must.True(t, errors.As(err, &CorruptRecord{}), must.Sprintf("length %d", length))
+		must.True(t, errors.As(err, &CorruptRecordError{}), must.Sprintf("length %d", length))
 	}
 }
 
@@ -85,5 +85,5 @@
 		must.NoError(t, os.WriteFile(filepath.Join(folder, name), []byte("not a record of any kind"), 0o600))
 	}
 	_, err := openStore(t, folder).Load()
-	must.True(t, errors.As(err, &CorruptRecord{}))
+	must.True(t, errors.As(err, &CorruptRecordError{}))
 }
--- a/coord/failover/restart_test.go
+++ b/coord/failover/restart_test.go
@@ -23,7 +23,7 @@
 	bench.now = defaultLease - 1
 	must.False(t, only[answerVote](bench.ask(VoteRequest{Member: selfID, Epoch: 5}))[0].reply.Granted)
 	bench.now = defaultLease
-	must.True(t, only[answerVote](bench.ask(VoteRequest{Member: selfID, Epoch: 5, AskOnly: true}))[0].reply.Granted)
+	must.True(t, only[answerVote](bench.ask(VoteRequest{Member: selfID, Epoch: 5, PreVote: true}))[0].reply.Granted)
 }
 
 func TestRestartedWitnessDoesNotCampaignEarly(t *testing.T) {
@@ -71,7 +71,7 @@
 	effects := bench.step(tick{})
 	asked := only[sendVote](effects)
 	must.SliceLen(t, 2, asked)
-	must.True(t, asked[0].request.AskOnly)
+	must.True(t, asked[0].request.PreVote)
 	must.EqOp(t, 4, asked[0].request.Epoch)
 	told := only[sendReplicate](effects)
 	must.SliceLen(t, 2, told)
@@ -84,7 +84,7 @@
 func TestFormerLeaderTellsOfItsOldEpochOnly(t *testing.T) {
 	bench := restartedBench(t, selfID)
 	bench.step(tick{})
-	request := VoteRequest{Member: otherID, Epoch: 4, AskOnly: true}
+	request := VoteRequest{Member: otherID, Epoch: 4, PreVote: true}
 	bench.step(voteResult{request: request, reply: VoteReply{Granted: true}})
 	bench.now = bench.machine.wakeAt(0)
 	must.EqOp(t, 3, only[sendReplicate](bench.step(tick{}))[0].request.Epoch)
@@ -107,7 +107,7 @@
 	running.confirm()
 	for _, bench := range []*bench{running, restartedBench(t, otherID)} {
 		over := ReplicateRequest{Member: selfID, Leader: otherID, Epoch: 3, Resign: true}
-		ask := VoteRequest{Member: selfID, Epoch: 4, AskOnly: true}
+		ask := VoteRequest{Member: selfID, Epoch: 4, PreVote: true}
 		must.False(t, only[answerVote](bench.ask(ask))[0].reply.Granted)
 		bench.step(replicateCall{request: over})
 		must.Zero(t, bench.machine.wakeAt(0))
@@ -121,6 +121,6 @@
 	bench.heartbeat(3)
 	bench.confirm()
 	bench.step(replicateCall{request: ReplicateRequest{Member: selfID, Leader: otherID, Epoch: 2, Resign: true}})
-	ask := VoteRequest{Member: selfID, Epoch: 4, AskOnly: true}
+	ask := VoteRequest{Member: selfID, Epoch: 4, PreVote: true}
 	must.False(t, only[answerVote](bench.ask(ask))[0].reply.Granted)
 }
--- a/coord/failover/simulation_test.go
+++ b/coord/failover/simulation_test.go
@@ -332,7 +332,7 @@
 }
 
 // hasty lets candidates begin soon, so that the end of a lease and the next election come close.
-var hasty = Timing{ElectionSpread: 20 * time.Millisecond}
+var hasty = Timing{ElectionJitter: 20 * time.Millisecond}
 
 func TestWalk(t *testing.T) {
 	checkWalks(t, 3, Timing{})
@@ -408,7 +408,7 @@
 		{"a witness forgets its grant", mutation{beforeStep: forgetGrant}},
 		{"a follower grants a lease of its own version's length", mutation{leases: twoVersions, timing: hasty, beforeStep: countOwnLease}},
 		{"the leader ignores the margin", mutation{
-			timing: Timing{Margin: time.Nanosecond, ElectionSpread: hasty.ElectionSpread},
+			timing: Timing{Margin: time.Nanosecond, ElectionJitter: hasty.ElectionJitter},
 		}},
 		{"a witness does not compare versions", mutation{beforeStep: pretendNewestVersion}},
 		{"votes and acknowledgements do not wait for the sync", mutation{unsynced: true}},
--- a/coord/failover/timing.go
+++ b/coord/failover/timing.go
@@ -13,7 +13,7 @@
 	LongestLease    time.Duration // the longest Lease of any member, and what those count on that do not tell theirs; default Lease
 	Margin          time.Duration // by how much the leader stops earlier; bounds the drift of clocks; default 120 ms
 	Heartbeat       time.Duration // between heartbeats; default 175 ms
-	ElectionSpread  time.Duration // bound of the random wait before a campaign; default 150 ms
+	ElectionJitter  time.Duration // bound of the random wait before a campaign; default 150 ms
 	CampaignTimeout time.Duration // a campaign without a majority begins anew after it; default 250 ms
 	ContentsTimeout time.Duration // contents not answered are sent again after it, doubled after each failure; default 2 s
 }
@@ -33,7 +33,7 @@
 	setDefault(&timing.LongestLease, timing.Lease)
 	setDefault(&timing.Margin, defaultMargin)
 	setDefault(&timing.Heartbeat, defaultHeartbeat)
-	setDefault(&timing.ElectionSpread, defaultElectionSpread)
+	setDefault(&timing.ElectionJitter, defaultElectionSpread)
 	setDefault(&timing.CampaignTimeout, defaultCampaignTimeout)
 	setDefault(&timing.ContentsTimeout, defaultContentsTimeout)
 	return timing
--- a/internal/controlplane/answers.go
+++ b/internal/controlplane/answers.go
@@ -79,7 +79,7 @@
 // replicatedState.newest and change); that the lease is valid now is a second guard.
 func (s *Server) answer(writer http.ResponseWriter, request *http.Request, outcome error, success any) {
 	var refusal *Refusal
-	var notLeader failover.NotLeader
+	var notLeader failover.NotLeaderError
 	switch {
 	case errors.As(outcome, &notLeader):
 		s.sendToLeader(writer, request)
--- a/internal/controlplane/lostrecord.go
+++ b/internal/controlplane/lostrecord.go
@@ -11,7 +11,7 @@
 // acknowledgements that it has forgotten are broken by nobody. It never founds a group in that case.
 func startNode(config failover.Config) (*failover.Node, error) {
 	node, err := failover.New(config)
-	var corrupt failover.CorruptRecord
+	var corrupt failover.CorruptRecordError
 	if !errors.As(err, &corrupt) {
 		return node, err
 	}
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -21,15 +21,15 @@
 type outsider struct{}
 
 func (outsider) Propose(context.Context, func([]byte) ([]byte, error)) error {
-	return failover.NotLeader{}
+	return failover.NotLeaderError{}
 }
 
 func (outsider) Read(context.Context) error {
-	return failover.NotLeader{}
+	return failover.NotLeaderError{}
 }
 
 func (outsider) ProposeMembers(context.Context, *failover.Member, string) error {
-	return failover.NotLeader{}
+	return failover.NotLeaderError{}
 }
 
 func (outsider) HandleVote(context.Context, failover.VoteRequest) (failover.VoteReply, error) {
--- a/internal/controlplane/sim_network_test.go
+++ b/internal/controlplane/sim_network_test.go
@@ -515,7 +515,7 @@
 			return false
 		}
 	}
-	return !status.Exchanging && len(status.Members) == simVoters
+	return !status.MembershipChanging && len(status.Members) == simVoters
 }
 
 // allAddresses lists where control processes, stores and dispatchers are.
--- a/internal/controlplane/transport.go
+++ b/internal/controlplane/transport.go
@@ -113,7 +113,7 @@
 		Epoch:      request.Epoch,
 		StateEpoch: request.StateEpoch,
 		StateSeq:   request.StateSeq,
-		AskOnly:    request.AskOnly,
+		AskOnly:    request.PreVote,
 	}
 }
 
@@ -124,7 +124,7 @@
 		Epoch:      request.Epoch,
 		StateEpoch: request.StateEpoch,
 		StateSeq:   request.StateSeq,
-		AskOnly:    request.AskOnly,
+		PreVote:    request.AskOnly,
 	}
 }
 
--- a/internal/controlplane/transport_test.go
+++ b/internal/controlplane/transport_test.go
@@ -56,7 +56,7 @@
 		Epoch:      3,
 		StateEpoch: 4,
 		StateSeq:   5,
-		AskOnly:    true,
+		PreVote:    true,
 	}
 	must.Eq(t, request, voteFromWire(voteToWire(request)))
 }
--- a/internal/controlplane/unconfirmed_test.go
+++ b/internal/controlplane/unconfirmed_test.go
@@ -50,7 +50,7 @@
 		return n.reads
 	}
 	if err == nil && string(after) != string(before) {
-		return failover.OutcomeUnknown{Reason: "no majority"}
+		return failover.OutcomeUnknownError{Reason: "no majority"}
 	}
 	return err
 }
--- a/internal/core/audit.go
+++ b/internal/core/audit.go
@@ -173,6 +173,6 @@
 }
 
 // Audited is what was acted on last, by which process; false where there is no account.
-func (r *Reducer) Audited() (v audit.Versions, process uint64, kept bool) {
+func (r *Reducer) HeldVersions() (v audit.Versions, process uint64, kept bool) {
 	return r.audited, r.auditNo, r.recorder != nil
 }
--- a/internal/core/bringup.go
+++ b/internal/core/bringup.go
@@ -11,8 +11,8 @@
 // A straggler is brought up: it hears from the view that others act on a newer configuration and asks one of them for its shared part.
 // docs/audit-design.md says what passes on, and what does not.
 
-// MostShared bounds the text of a configuration's shared part, in bytes.
-const MostShared = 64 << 10
+// MaxSharedBytes bounds the text of a configuration's shared part, in bytes.
+const MaxSharedBytes = 64 << 10
 
 // fetchEvery is the time between two questions for a configuration, in seconds.
 const fetchEvery = 1.0
--- a/internal/core/reducer.go
+++ b/internal/core/reducer.go
@@ -108,7 +108,7 @@
 }
 
 // Due tells when the reducer next wants a Tick.
-func (r *Reducer) Due() (float64, bool) {
+func (r *Reducer) NextTimer() (float64, bool) {
 	if len(r.timers) == 0 {
 		return 0, false
 	}
@@ -150,7 +150,7 @@
 		if ev.Exchange != 0 {
 			a := Answer{Exchange: ev.Exchange, Verdict: Served}
 			if r.requests[ev.Request] == nil && !r.spent[ev.Request] {
-				a.Verdict = Unowned
+				a.Verdict = UnknownRequest
 			}
 			r.emit(a)
 		}
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -100,8 +100,8 @@
 			return message{}, fmt.Errorf("%w: hint %d has no valid worker or source", ErrMessage, i)
 		}
 	}
-	if g := p.ConfigReply; g != nil && (len(g.Text) == 0 || len(g.Text) > core.MostShared || len(g.Member) > membership.MaxNameBytes || len(g.Config.Source) > membership.MaxSourceBytes) {
-		return message{}, fmt.Errorf("%w: configuration of %d bytes, must have 1 to %d, or its member or source is too long", ErrMessage, len(g.Text), core.MostShared)
+	if g := p.ConfigReply; g != nil && (len(g.Text) == 0 || len(g.Text) > core.MaxSharedBytes || len(g.Member) > membership.MaxNameBytes || len(g.Config.Source) > membership.MaxSourceBytes) {
+		return message{}, fmt.Errorf("%w: configuration of %d bytes, must have 1 to %d, or its member or source is too long", ErrMessage, len(g.Text), core.MaxSharedBytes)
 	}
 	if p.Version != protocolVersion {
 		return message{}, fmt.Errorf("%w: version %d, this program reads %d", ErrMessage, p.Version, protocolVersion)
--- a/internal/upgrade/body.go
+++ b/internal/upgrade/body.go
@@ -87,7 +87,7 @@
 	}
 	st, err := b.Reducer.Export()
 	if err == nil {
-		b.Loop.Watch(func(now float64, ev core.Event, effects []core.Effect) {
+		b.Loop.Observe(func(now float64, ev core.Event, effects []core.Effect) {
 			packed, err := snapshot.Pack(ev)
 			if err != nil {
 				packed = snapshot.Event{} // which the new process refuses
@@ -114,7 +114,7 @@
 // Unfollow ends the telling of steps.
 func (b *Body) Unfollow() {
 	if goOn, ok := b.Loop.Hold(); ok {
-		b.Loop.Watch(nil)
+		b.Loop.Observe(nil)
 		goOn()
 	}
 }
@@ -146,12 +146,12 @@
 	if !ok {
 		return fmt.Errorf("upgrade: the loop has ended")
 	}
-	if err := b.Gate.Hold(most, b.Loop.Drain); err != nil {
+	if err := b.Gate.Hold(most, b.Loop.DrainQueues); err != nil {
 		goOn()
 		return err
 	}
-	b.Loop.Watch(nil)
-	b.Loop.Drain()
+	b.Loop.Observe(nil)
+	b.Loop.DrainQueues()
 	b.goOn = goOn
 	return nil
 }
@@ -159,7 +159,7 @@
 // LetGo lets everything go on.
 func (b *Body) LetGo() {
 	if b.goOn != nil {
-		b.Reducer.StoodStill()
+		b.Reducer.ProcessStalled()
 		b.Gate.Release()
 		b.goOn()
 		b.goOn = nil
