--- a/internal/routeset/watch.go
+++ b/internal/routeset/watch.go
@@ -19,63 +19,63 @@
 	"foldlb.example/foldlb/internal/hold"
 )
 
-// When news count as told, whether they came or not: told within so long after discovery had them and could be reached, whatever became of
-// the calls before.
-const newsWithin = 6 * time.Second
+// maxUpdateDelay is the time after which an update counts as delivered, from when discovery had it and was reachable, whatever happened to
+// earlier calls.
+const maxUpdateDelay = 6 * time.Second
 
-// How long calls may take. Danger: a watch may fall silent at any moment and say nothing of that. From a change on that it does not tell, it goes
-// unnoticed for watchWait + watchGrace, and is opened anew at once: that has to be over within newsWithin.
+// Time-outs of calls. A watch may stop responding at any moment without an error. This is detected longPollWait + longPollGrace after the call
+// at the latest, and a new watch is opened immediately: all of that must fit into maxUpdateDelay.
 const (
-	watchWait  = 4 * time.Second         // that a watch asks discovery to wait for news
-	watchGrace = time.Second             // beyond that, for an answer on its way and a discovery that handles calls in turn
-	firstWait  = 50 * time.Millisecond   // that the first call of a watch asks it to wait: what is new already is told at once, and that nothing is
-	answerWait = 2500 * time.Millisecond // for a call that does not wait: discovery gives a call up after 2 s
-	dialWait   = time.Second             // for a connection to it
+	longPollWait  = 4 * time.Second         // how long discovery is asked to hold a watch call until there is an update
+	longPollGrace = time.Second             // additional time for the response to arrive, also if discovery handles calls one after another
+	firstPollWait = 50 * time.Millisecond   // wait of the first call of a watch, which thus quickly returns existing updates or that there are none
+	replyTimeout  = 2500 * time.Millisecond // of a call that doesn't wait; discovery aborts a call after 2 s
+	dialTimeout   = time.Second             // to connect to discovery
 )
 
 const (
-	mostList    = 8 << 20 // bytes of a list
-	listPath    = "/v1/servers"
-	serviceHost = "discovery"
+	maxListBytes = 8 << 20 // of a response body
+	listPath     = "/v1/servers"
+	serviceHost  = "discovery"
 )
 
-// noticed tells after what time a call is taken for lost that asks discovery to wait so long for news; 0 for one that does not wait.
-func noticed(wait time.Duration) time.Duration {
-	if wait <= firstWait {
-		return wait + answerWait
+// callTimeout returns the time-out of a call that asks discovery to wait for updates; wait is 0 for a call that doesn't wait.
+func callTimeout(wait time.Duration) time.Duration {
+	if wait <= firstPollWait {
+		return wait + replyTimeout
 	}
-	return wait + watchGrace
+	return wait + longPollGrace
 }
 
-// Client reads and watches the lists of the sources that it is given. Its news go to post as events, with
-// the source that told them.
+// Client fetches and watches the lists of the sources that it is given. It passes updates to post as events, with the
+// source.
 type Client struct {
 	post func(core.Event)
 	log  logrus.FieldLogger
-	wait time.Duration // that a watch is asked to wait for news
+	wait time.Duration // longPollWait, or shorter in tests
 
 	gate *hold.Gate
 
-	asked, failed atomic.Uint64
+	callCount, failureCount atomic.Uint64
 
 	mu    sync.Mutex
 	stop  context.CancelFunc // ends the running watch
-	watch *watch             // the running one, once its call is written
+	watch *watch             // the pending call of the running watch, once written
 }
 
-// watch is a call that waits for news.
+// watch is a pending call of a watch.
 type watch struct {
 	link  *conn
 	from  core.Source
 	since int64
 }
 
-// NewClient makes a client of discovery, with its connections behind the gate.
+// NewClient returns a client whose connections and goroutines are controlled by the gate. post must not block.
 func NewClient(gate *hold.Gate, post func(core.Event), log logrus.FieldLogger) *Client {
-	return &Client{gate: gate, post: post, log: log, wait: watchWait}
+	return &Client{gate: gate, post: post, log: log, wait: longPollWait}
 }
 
-// Watch follows a source's list, in place of any earlier watch, or ends that. It does not block.
+// Watch stops the running watch and, if w.On is set, starts watching w.Source. It doesn't block.
 func (c *Client) Watch(w core.Watch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,76 +87,78 @@
 		ctx, stop := context.WithCancel(context.Background())
 		c.stop = stop
 		c.gate.Go(func() {
-			link, err := c.ask(ctx, nil, w.Source, w.Since, firstWait)
+			link, err := c.request(ctx, nil, w.Source, w.Since, firstPollWait)
 			c.follow(ctx, link, err, w.Source, w.Since)
 		})
 	}
 }
 
-// Fetch asks a source for the whole list, once. It does not block.
+// Fetch requests the whole list of a source once. It doesn't block.
 func (c *Client) Fetch(f core.FetchRouteSet) {
 	c.gate.Go(func() {
-		link, err := c.ask(context.Background(), nil, f.Source, core.VersionUnknown, 0)
+		link, err := c.request(context.Background(), nil, f.Source, core.VersionUnknown, 0)
 		if err == nil {
 			defer link.Close()
 			var set core.RouteSet
-			if set, err = link.answer(); err == nil {
+			if set, err = link.readResponse(); err == nil {
 				c.post(core.RouteSetTold{Source: f.Source, RouteSet: set})
 				return
 			}
 		}
-		c.refused(f.Source, err)
+		c.reportFailure(f.Source, err)
 	})
 }
 
-// Asked counts the calls written to discovery, and those of them and of the dials that failed.
-func (c *Client) Asked() (calls, failures uint64) { return c.asked.Load(), c.failed.Load() }
+// CallCounts returns the number of calls sent to discovery, and of calls and connection attempts that failed.
+func (c *Client) CallCounts() (calls, failures uint64) {
+	return c.callCount.Load(), c.failureCount.Load()
+}
 
-func (c *Client) refused(from core.Source, err error) {
-	c.failed.Add(1)
-	c.log.WithError(err).WithField("discovery", from.Addr).Warn("discovery refused")
+func (c *Client) reportFailure(from core.Source, err error) {
+	c.failureCount.Add(1)
+	c.log.WithError(err).WithField("discovery", from.Addr).Warn("call to discovery failed")
 	c.post(core.RouteSetRefused{Source: from})
 }
 
-// follow reads the answers of a watch and asks again and again, on one connection of its own. The next call is
-// written before the last answer is passed on: discovery takes a watch that is not renewed within 200 ms for a new
-// one. A watch that breaks or falls silent after it has told something is opened anew at once, since what it misses counts as told soon; one
-// that tells nothing at all is refused, and asked for again when the decision module says so.
+// follow runs a watch: it reads responses and sends further calls on a connection of its own. The next call is sent before the last response is
+// passed on, because discovery treats a watch that isn't renewed within 200 ms as a new one. A watch that fails or times out after it has
+// received a response is reopened immediately, since the updates that it misses count as delivered soon. One that has received none is reported
+// as refused, and opened again when the decision module requests it.
 func (c *Client) follow(ctx context.Context, link *conn, err error, from core.Source, since int64) {
 	for {
-		var told bool
-		told, since, err = c.hear(ctx, link, err, from, since)
-		if !told || ctx.Err() != nil {
+		var received bool
+		received, since, err = c.readUpdates(ctx, link, err, from, since)
+		if !received || ctx.Err() != nil {
 			break
 		}
-		c.failed.Add(1)
-		c.log.WithError(err).WithField("discovery", from.Addr).Warn("watch of discovery broken, opened anew")
-		link, err = c.ask(ctx, nil, from, since, firstWait)
+		c.failureCount.Add(1)
+		c.log.WithError(err).WithField("discovery", from.Addr).Warn("watch of discovery failed; reopening it")
+		link, err = c.request(ctx, nil, from, since, firstPollWait)
 	}
-	c.waits(ctx, nil)
+	c.setPending(ctx, nil)
 	if ctx.Err() == nil {
-		c.refused(from, err)
+		c.reportFailure(from, err)
 	}
 }
 
-// hear reads the answers of a watch until one fails, and returns whether there was one and the version that is held then.
-func (c *Client) hear(ctx context.Context, link *conn, err error, from core.Source, since int64) (told bool, _ int64, _ error) {
+// readUpdates reads the responses of a watch until one fails, and returns whether any was received and the latest version.
+func (c *Client) readUpdates(ctx context.Context, link *conn, err error, from core.Source, since int64) (received bool, _ int64, _ error) {
 	for err == nil {
-		c.waits(ctx, &watch{link, from, since})
+		c.setPending(ctx, &watch{link, from, since})
 		var set core.RouteSet
-		if set, err = link.answer(); err != nil {
+		if set, err = link.readResponse(); err != nil {
 			link.Close()
 			break
 		}
-		told, since = true, set.Version
-		link, err = c.ask(ctx, link, from, since, c.wait)
+		received, since = true, set.Version
+		link, err = c.request(ctx, link, from, since, c.wait)
 		c.post(core.RouteSetTold{Source: from, RouteSet: set})
 	}
-	return told, since, err
+	return received, since, err
 }
 
-// waits notes the call that a watch waits on, unless another watch has taken its place.
-func (c *Client) waits(ctx context.Context, w *watch) {
+// setPending sets the pending call of a watch, unless the watch was replaced.
+func (c *Client) setPending(ctx context.Context, w *watch) {
 	c.mu.Lock()
 	if ctx.Err() == nil {
 		c.watch = w
@@ -164,8 +166,8 @@
 	c.mu.Unlock()
 }
 
-// ask writes the next call, on a new connection where discovery has closed the last one. From an unknown version on it does not wait for news.
-func (c *Client) ask(ctx context.Context, link *conn, from core.Source, since int64, wait time.Duration) (*conn, error) {
+// request sends the next call, on a new connection if discovery closed the last one. With an unknown version it doesn't wait for updates.
+func (c *Client) request(ctx context.Context, link *conn, from core.Source, since int64, wait time.Duration) (*conn, error) {
 	if link == nil || link.closes {
 		if link != nil {
 			link.Close()
@@ -182,11 +184,11 @@
 	} else {
 		wait = 0
 	}
-	if err := link.ask(target, noticed(wait)); err != nil {
+	if err := link.request(target, callTimeout(wait)); err != nil {
 		link.Close()
 		return nil, err
 	}
-	c.asked.Add(1)
+	c.callCount.Add(1)
 	return link, nil
 }
 
@@ -199,12 +201,12 @@
 type conn struct {
 	*hold.Conn
 	r      *bufio.Reader
-	closes bool // discovery closes it after its last answer
+	closes bool // discovery closes it after its last response
 }
 
 func (c *Client) dial(ctx context.Context, addr string) (*conn, error) {
-	d := net.Dialer{Timeout: dialWait}
-	c.gate.Rest() // nothing is asked yet: where the gate is held the other process dials anew
+	d := net.Dialer{Timeout: dialTimeout}
+	c.gate.Rest() // no call is pending yet: if the gate is held, the other process connects itself
 	nc, err := d.DialContext(ctx, "tcp", addr)
 	c.gate.Wake()
 	if err != nil {
@@ -215,8 +217,8 @@
 
 func newConn(c *hold.Conn) *conn { return &conn{Conn: c, r: bufio.NewReader(c)} }
 
-// ask writes a call whose answer must be there within the wait.
-func (c *conn) ask(target string, wait time.Duration) error {
+// request sends a call, whose response must arrive within the wait.
+func (c *conn) request(target string, wait time.Duration) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetHost(serviceHost)
@@ -224,7 +226,7 @@
 	if err := c.SetDeadline(time.Now().Add(wait)); err != nil {
 		return fmt.Errorf("ask discovery: %w", err)
 	}
-	// Danger: a call that went out in parts could not be finished by another process.
+	// The call is sent by a single write, since another process couldn't complete a partial one.
 	var text bytes.Buffer
 	w := bufio.NewWriter(&text)
 	if err := errors.Join(req.Write(w), w.Flush()); err != nil {
@@ -236,11 +238,11 @@
 	return nil
 }
 
-// answer reads the answer to the last call.
-func (c *conn) answer() (core.RouteSet, error) {
+// readResponse reads the response to the last call.
+func (c *conn) readResponse() (core.RouteSet, error) {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	if err := resp.ReadLimitBody(c.r, mostList); err != nil {
+	if err := resp.ReadLimitBody(c.r, maxListBytes); err != nil {
 		return core.RouteSet{}, fmt.Errorf("discovery's answer: %w", err)
 	}
 	c.Mark(c.r.Buffered())
--- a/internal/snapshot/twin_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -24,15 +24,15 @@
 			{Name: "keyed", Effect: choice.Deduplicated, Group: choice.GroupCell, Window: 2, Aim: 0.3, Stretch: 3, Deadline: 4, Worth: 2}}}
 }
 
-// player draws events and remembers what the effects made possible.
-type player struct {
+// eventGenerator draws events that are possible after the effects seen so far.
+type eventGenerator struct {
 	now      float64
 	calls    int
 	sent     []core.SendBranch
 	versions int64
 }
 
-func (p *player) workers(t *rapid.T) (list []core.Worker) {
+func (p *eventGenerator) workers(t *rapid.T) (list []core.Worker) {
 	for i := range rapid.IntRange(1, 6).Draw(t, "workers") {
 		h := core.Worker{ID: core.WorkerID(fmt.Sprint("s-", i)), Addr: fmt.Sprintf("127.0.0.1:%d", 9000+i), Zone: string(rune('a' + i%2)),
 			Kind: []string{"old-box", "new-blade"}[i%2], Cell: i % 3, Weight: 1,
@@ -45,7 +45,7 @@
 	return list
 }
 
-func (p *player) event(t *rapid.T) core.Event {
+func (p *eventGenerator) event(t *rapid.T) core.Event {
 	p.now += rapid.SampledFrom([]float64{0, 0.001, 0.01, 0.021, 0.3, 1.7}).Draw(t, "passes")
 	if len(p.sent) > 0 && rapid.Bool().Draw(t, "on a branch") {
 		b := rapid.SampledFrom(p.sent).Draw(t, "branch")
@@ -83,7 +83,7 @@
 	}
 }
 
-func (p *player) saw(effects []core.Effect) {
+func (p *eventGenerator) observe(effects []core.Effect) {
 	for _, e := range effects {
 		if b, ok := e.(core.SendBranch); ok {
 			p.sent = append(p.sent, b)
@@ -94,41 +94,41 @@
 	}
 }
 
-// TestTwinDecidesAlike: whenever a reducer is written down and read back, the twin does the same as the original
-// from there on, and is itself written down to the same bytes.
+// TestTwinDecidesAlike checks that a decoded copy of a reducer has the same effects as the original for all later events, and is
+// encoded to the same bytes.
 func TestTwinDecidesAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &player{now: 100}
+		p := &eventGenerator{now: 100}
 		first, err := core.New(p.now, settings(), core.RouteSet{Version: 0, Workers: p.workers(t)}, "d:1")
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "before") {
-			p.saw(first.Step(p.now, p.event(t)))
+			p.observe(first.Step(p.now, p.event(t)))
 		}
 		second := roundTrip(t, first)
 		for i := range rapid.IntRange(1, 60).Draw(t, "after") {
 			ev := p.event(t)
 			a, b := first.Step(p.now, ev), second.Step(p.now, ev)
 			if !reflect.DeepEqual(a, b) {
-				t.Fatalf("step %d, event %+v:\n%+v\nthe twin:\n%+v", i, ev, a, b)
+				t.Fatalf("step %d, event %+v:\n%+v\nthe copy:\n%+v", i, ev, a, b)
 			}
-			p.saw(a)
+			p.observe(a)
 			da, oka := first.NextTimer()
 			db, okb := second.NextTimer()
 			if da != db || oka != okb {
-				t.Fatalf("step %d: due at %v, the twin at %v", i, da, db)
+				t.Fatalf("step %d: next timer at %v, of the copy at %v", i, da, db)
 			}
 		}
 		if a, b := encode(t, first), encode(t, second); !reflect.DeepEqual(a, b) {
-			t.Fatal("the twin is written down to other bytes")
+			t.Fatal("the copy is encoded to different bytes")
 		}
 	})
 }
 
-type fatal interface{ Fatal(args ...any) }
+type fataler interface{ Fatal(args ...any) }
 
-func encode(t fatal, r *core.Reducer) []byte {
+func encode(t fataler, r *core.Reducer) []byte {
 	st, err := r.Export()
 	if err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 	return text
 }
 
-func roundTrip(t fatal, r *core.Reducer) *core.Reducer {
+func roundTrip(t fataler, r *core.Reducer) *core.Reducer {
 	st, err := Decode(encode(t, r))
 	if err != nil {
 		t.Fatal(err)
@@ -152,8 +152,8 @@
 	return twin
 }
 
-// busy is a reducer with open requests, for the tests of what is refused.
-func busy(t fatal) *core.Reducer {
+// newBusyReducer returns a reducer with open requests.
+func newBusyReducer(t fataler) *core.Reducer {
 	r, err := core.New(1, settings(), core.RouteSet{Workers: []core.Worker{{ID: "a", Addr: "a:1", Zone: "a", Kind: "k"},
 		{ID: "b", Addr: "b:1", Zone: "b", Kind: "m"}}}, "d:1")
 	if err != nil {
@@ -170,7 +170,7 @@
 }
 
 func TestRefusedSnapshots(t *testing.T) {
-	good := encode(t, busy(t))
+	good := encode(t, newBusyReducer(t))
 	change := func(at int, to byte) []byte {
 		bad := append([]byte(nil), good...)
 		bad[at] ^= to
@@ -199,7 +199,7 @@
 	}
 }
 
-// TestStatesThatDoNotFit changes one thing in a good state; Import must refuse it by name.
+// TestStatesThatDoNotFit checks that core.Import rejects a valid state after one inconsistent change.
 func TestStatesThatDoNotFit(t *testing.T) {
 	for name, change := range map[string]func(*core.State){
 		"a request twice":             func(s *core.State) { s.Requests = append(s.Requests, s.Requests[0]) },
@@ -224,7 +224,7 @@
 			s.Decider.Moves = []choice.MoveState{{Token: 9, Attempt: choice.AttemptRef{Request: -1}}}
 		},
 	} {
-		st, err := Decode(encode(t, busy(t)))
+		st, err := Decode(encode(t, newBusyReducer(t)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -238,9 +238,9 @@
 	}
 }
 
-// TestOtherSettings: a successor may be configured otherwise; what its settings still name goes on.
+// TestOtherSettings checks that a successor with other settings continues the requests of the classes that it still has.
 func TestOtherSettings(t *testing.T) {
-	st, err := Decode(encode(t, busy(t)))
+	st, err := Decode(encode(t, newBusyReducer(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -264,7 +264,7 @@
 	}
 }
 
-// TestEveryEventIsCarried: what Pack takes Unpack gives back.
+// TestEveryEventIsCarried checks that Unpack returns the event given to Pack, for the event types listed here.
 func TestEveryEventIsCarried(t *testing.T) {
 	for _, ev := range []core.Event{core.CallArrived{Call: core.Call{ID: "x", Message: core.Message{Body: []byte("b")}}}, core.CallerLeft{Exchange: 3},
 		core.HealthAsked{Exchange: 4}, core.BranchFailed{Branch: 1, Fault: core.BrokenBeforeSend}, core.BranchTaken{Branch: 2}, core.BranchReleased{Branch: 3, Told: true},
@@ -283,7 +283,7 @@
 			t.Fatal(err)
 		}
 		if got, err := back.Unpack(); err != nil || !reflect.DeepEqual(got, ev) {
-			t.Errorf("%+v came back as %+v, %v", ev, got, err)
+			t.Errorf("%+v unpacked as %+v, %v", ev, got, err)
 		}
 	}
 	if _, err := (Event{}).Unpack(); !errors.Is(err, ErrFormat) {
