--- a/cmd/foldlb/node.go
+++ b/cmd/foldlb/node.go
@@ -32,8 +32,8 @@
 	clients *clientconn.Server
 	workers *workerconn.Sender
 	routes  *routeset.Client
-	body    *upgrade.Body
-	giver   *upgrade.Giver    // nil where upgrades are off
+	body    *upgrade.Runtime
+	giver   *upgrade.Sender   // nil where upgrades are off
 	lines   chan string       // of the reducer's log
 	tallies chan core.Figures // asked for by logFigures, which waits for one at a time
 	door    *ops.Door         // nil where there is none
@@ -65,13 +65,13 @@
 		Present:     n.clients.Present,
 	}, n.gate, clock.Now, n.loop.Post, log)
 	n.routes = routeset.NewClient(n.gate, n.loop.Post, log)
-	n.body = &upgrade.Body{Loop: n.loop, Reducer: reducer, Gate: n.gate, Clock: clock, Generation: 1, Started: time.Now(),
+	n.body = &upgrade.Runtime{Loop: n.loop, Reducer: reducer, Gate: n.gate, Clock: clock, Generation: 1, Started: time.Now(),
 		Parts: []upgrade.Part{
 			upgrade.NewPart("callers", n.clients.Export, n.clients.Import),
 			upgrade.NewPart("next hops", n.workers.Export, n.workers.Import),
 			upgrade.NewPart("routes", n.routes.Export, n.routes.Import),
 			upgrade.NewPart("door", n.exportDoor, n.importDoor),
-			upgrade.NewPart("fleet", n.exportFleet, n.importFleet).OrNone(),
+			upgrade.NewPart("fleet", n.exportFleet, n.importFleet).AsOptional(),
 		}}
 	return n
 }
@@ -141,19 +141,19 @@
 
 // take takes everything up that another process hands over, and returns when it is this one's own. The gate is held
 // until the node serves.
-func (n *node) take(t *upgrade.Taken) error {
+func (n *node) take(t *upgrade.Received) error {
 	n.loop.Precede(t.Backlog)
 	n.body.Generation, n.body.Started = t.Parcel.Generation, t.Started()
 	if err := t.Import(n.body.Parts); err != nil {
 		return err
 	}
 	beforeGo()
-	return t.Go()
+	return t.Commit()
 }
 
 // serve runs the parts until the word to stop, and until all that was taken is answered.
 func (n *node) serve(ctx context.Context, ln *net.TCPListener, reload <-chan os.Signal, hup bool) error {
-	held := n.gate.Listen(ln)
+	held := n.gate.WrapListener(ln)
 	n.body.Listener = held
 	background, end := context.WithCancel(context.Background())
 	defer end()
@@ -222,7 +222,7 @@
 		if n.giver == nil {
 			n.reload()
 		} else {
-			n.giver.Order(syscall.SIGHUP, n.reload)
+			n.giver.RunAsOwner(syscall.SIGHUP, n.reload)
 		}
 	}
 }
--- a/cmd/foldlb/replacement.go
+++ b/cmd/foldlb/replacement.go
@@ -65,7 +65,7 @@
 	if folder == "" {
 		return "", errors.New("TMPDIR: not set")
 	}
-	return upgrade.MeetPath(folder)
+	return upgrade.RendezvousPath(folder)
 }
 
 // replaceRunning serves on the listener that the platform holds: from where a running process stands if there is one, else, or
@@ -76,7 +76,7 @@
 	path, err := meetingPath()
 	for met, pause := false, meetAgain; err == nil; pause *= 2 {
 		var pipe *upgrade.Pipe
-		if pipe, err = upgrade.Meet(ctx, path, until); err == nil {
+		if pipe, err = upgrade.DialRendezvous(ctx, path, until); err == nil {
 			met = true
 			var t *takeover
 			if t, err = s.takeOver(pipe, door); err == nil {
@@ -109,9 +109,9 @@
 		return
 	}
 	path, err := meetingPath()
-	var m *upgrade.Meeting
+	var m *upgrade.RendezvousListener
 	if err == nil {
-		m, err = upgrade.Listen(path)
+		m, err = upgrade.ListenRendezvous(path)
 	}
 	if err != nil {
 		n.log.WithError(err).Warn("no process can take over from this one")
@@ -120,10 +120,10 @@
 	}
 	limits := upgrade.Limits{Start: meetStart, Probation: meetFollow, Hold: meetHold, Offer: meetOffer, Commit: meetCommit}
 	if n.giver == nil {
-		n.giver = upgrade.NewGiver(n.body, limits, false, nil, func(int) { n.leaveDoor() }, n.log)
+		n.giver = upgrade.NewSender(n.body, limits, false, nil, func(int) { n.leaveDoor() }, n.log)
 	}
-	n.giver.Shed = n.shed
-	n.giver.Apart = func() {
+	n.giver.ShedConns = n.shed
+	n.giver.OnSeparateStart = func() {
 		n.clients.Shares(overlapMost)
 		time.AfterFunc(overlapMost, func() { wholeMachine(n.limits()) })
 	}
@@ -132,7 +132,7 @@
 		if begins != nil {
 			begins()
 		}
-		go n.giver.Meet(m, limits)
+		go n.giver.AcceptReplacements(m, limits)
 	}
 }
 
--- a/cmd/foldlb/serve.go
+++ b/cmd/foldlb/serve.go
@@ -144,7 +144,7 @@
 	}
 	gate := hold.NewGate()
 	if s.operator.Control.Socket == "" && os.Getenv(envInherited) == "" {
-		gate.Forget() // there will be no upgrade
+		gate.DisableHandover() // there will be no upgrade
 	}
 	n := build(s.cfg, reducer, gate, clock, log)
 	n.open(door)
@@ -167,7 +167,7 @@
 type takeover struct {
 	node  *node
 	ln    *net.TCPListener
-	taken *upgrade.Taken
+	taken *upgrade.Received
 	end   func()
 }
 
@@ -175,7 +175,7 @@
 // is told, nothing is this one's own and nothing is left open.
 func (s setup) takeOver(pipe *upgrade.Pipe, door *ops.Door) (_ *takeover, err error) {
 	gate := hold.NewGate()
-	var taken *upgrade.Taken
+	var taken *upgrade.Received
 	defer func() {
 		if err == nil {
 			return
@@ -191,7 +191,7 @@
 	if err = gate.Hold(time.Second, nil); err != nil { // nothing may act before the word to go
 		return nil, err
 	}
-	if taken, err = upgrade.Take(pipe, s.under, version, gate); err != nil {
+	if taken, err = upgrade.Receive(pipe, s.under, version, gate); err != nil {
 		return nil, err
 	}
 	if err = s.goOn(taken.Reducer.Config()); err != nil { // what came into force while this process followed
@@ -226,7 +226,7 @@
 // serve goes on where the other process stood.
 func (t *takeover) serve(ctx context.Context, reload <-chan os.Signal) error {
 	defer t.end()
-	read, place, words := t.taken.Times()
+	read, place, words := t.taken.Durations()
 	t.node.log.WithFields(logrus.Fields{"read": read.String(), "place": place.String(), "words": words.String()}).Info("taken over")
 	return t.node.serve(ctx, t.ln, reload, t.taken.Parcel.Reload)
 }
--- a/internal/clientconn/yield.go
+++ b/internal/clientconn/yield.go
@@ -35,8 +35,8 @@
 	if err != nil {
 		return
 	}
-	s.gate.Rest()
-	defer s.gate.Wake()
+	s.gate.Exit()
+	defer s.gate.Enter()
 	for s.yields() {
 		if !hasConnection(raw, yieldPoll) {
 			continue
--- a/internal/gossip/handover.go
+++ b/internal/gossip/handover.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	pc, err := files.Packets(st.Packet)
+	pc, err := files.PacketConn(st.Packet)
 	if err != nil {
 		ln.Close()
 		return nil, fmt.Errorf("fleet: %w", err)
--- a/internal/hold/hold.go
+++ b/internal/hold/hold.go
@@ -58,7 +58,7 @@
 // Forget says that nothing behind the gate will ever be handed over, so that connections need not keep what was read
 // of a request in case another process must read it again. It is called before anything is behind the gate. Danger:
 // without it large requests that come slowly would be held twice, which a small machine's memory can't bear.
-func (g *Gate) Forget() { g.forgets = true }
+func (g *Gate) DisableHandover() { g.forgets = true }
 
 // Go runs f on a goroutine of its own that counts as active, once the gate is open.
 func (g *Gate) Go(f func()) {
@@ -75,13 +75,13 @@
 func (g *Gate) run(f func()) {
 	g.active++
 	go func() {
-		defer g.Rest()
+		defer g.Exit()
 		f()
 	}()
 }
 
 // Wake makes the caller active. It waits while the gate is held.
-func (g *Gate) Wake() {
+func (g *Gate) Enter() {
 	g.mu.Lock()
 	for g.held.Load() {
 		g.let.Wait()
@@ -102,7 +102,7 @@
 }
 
 // Rest ends the caller's activity, or says that it waits for what no held part can bring about.
-func (g *Gate) Rest() {
+func (g *Gate) Exit() {
 	g.mu.Lock()
 	g.active--
 	if g.active == 0 && g.quiet != nil {
@@ -217,7 +217,7 @@
 }
 
 // Listen puts a listener behind a gate.
-func (g *Gate) Listen(ln *net.TCPListener) *Listener {
+func (g *Gate) WrapListener(ln *net.TCPListener) *Listener {
 	l := &Listener{TCPListener: ln, gate: g}
 	l.cond = sync.NewCond(&l.mu)
 	if raw, err := ln.SyscallConn(); err == nil {
@@ -247,7 +247,7 @@
 		l.mu.Lock()
 		if l.gate.held.Load() {
 			l.parked = true
-			l.gate.Rest()
+			l.gate.Exit()
 			for l.parked {
 				l.cond.Wait()
 			}
--- a/internal/hold/hold_test.go
+++ b/internal/hold/hold_test.go
@@ -173,7 +173,7 @@
 		written := rapid.IntRange(0, len(text)).Draw(t, "written before")
 		far.Write(text[:written])
 		read, marked := 0, 0 // of the text, by the first one; done with for good
-		first.Wake()
+		first.Enter()
 		for read < written && rapid.Bool().Draw(t, "read more") {
 			b := make([]byte, rapid.IntRange(1, 700).Draw(t, "room"))
 			n, err := near.Read(b)
@@ -183,7 +183,7 @@
 			read += n
 			if rapid.Bool().Draw(t, "mark") {
 				left := rapid.IntRange(0, read-marked).Draw(t, "left")
-				near.Mark(left)
+				near.MarkConsumed(left)
 				marked = read - left
 			}
 			if left := rapid.IntRange(0, read-marked).Draw(t, "unread"); left > 0 && rapid.Bool().Draw(t, "does") {
@@ -191,7 +191,7 @@
 				read, marked = read-left, read-left
 			}
 		}
-		first.Rest()
+		first.Exit()
 		if err := first.Hold(patience, nil); err != nil {
 			t.Fatal(err)
 		}
@@ -199,7 +199,7 @@
 		second := NewGate()
 		next := second.Wrap(near.Conn)
 		next.adopt(near.Export())
-		second.Wake()
+		second.Enter()
 		next.SetReadDeadline(time.Now().Add(patience))
 		got := make([]byte, len(text)-marked)
 		if _, err := io.ReadFull(next, got); err != nil || string(got) != string(text[marked:]) {
@@ -211,11 +211,11 @@
 // TestForget: where nothing is ever handed over, nothing is kept, and what is unread comes again all the same.
 func TestForget(t *testing.T) {
 	g := NewGate()
-	g.Forget()
+	g.DisableHandover()
 	near, far := pair(t, g)
 	defer far.Close()
 	io.WriteString(far, "one two")
-	g.Wake()
+	g.Enter()
 	b := make([]byte, 7)
 	if _, err := io.ReadFull(near, b); err != nil {
 		t.Fatal(err)
@@ -227,7 +227,7 @@
 	if n, err := near.Read(b); err != nil || string(b[:n]) != "two" {
 		t.Errorf("%q, %v", b[:n], err)
 	}
-	g.Rest()
+	g.Exit()
 }
 
 // TestHoldRestsThoughTheSocketWasSetToBlocking: whoever shares the listening socket may set it to blocking, for all processes.
@@ -237,7 +237,7 @@
 		t.Fatal(err)
 	}
 	g := NewGate()
-	ln := g.Listen(inner.(*net.TCPListener))
+	ln := g.WrapListener(inner.(*net.TCPListener))
 	defer ln.Close()
 	accepted := make(chan net.Conn)
 	g.Go(func() {
--- a/internal/ops/door.go
+++ b/internal/ops/door.go
@@ -182,7 +182,7 @@
 func (d *Door) yielding() (out *caller, found bool) {
 	reading := false
 	for c := range d.conns {
-		silent := c.awaits && tcp.Silent(c.TCPConn)
+		silent := c.awaits && tcp.OpenWithoutData(c.TCPConn)
 		reading = reading || !c.heard && !silent
 		if !c.heard && !silent {
 			continue
--- a/internal/ops/door_test.go
+++ b/internal/ops/door_test.go
@@ -246,7 +246,7 @@
 		return c
 	}
 	first := take(post("/ops/drain/start", ""))
-	for tcp.Silent(first.TCPConn) {
+	for tcp.OpenWithoutData(first.TCPConn) {
 		runtime.Gosched()
 	}
 	d.admit(first)
--- a/internal/routeset/watch.go
+++ b/internal/routeset/watch.go
@@ -204,9 +204,9 @@
 
 func (c *Client) dial(ctx context.Context, addr string) (*conn, error) {
 	d := net.Dialer{Timeout: dialWait}
-	c.gate.Rest() // nothing is asked yet: where the gate is held the other process dials anew
+	c.gate.Exit() // nothing is asked yet: where the gate is held the other process dials anew
 	nc, err := d.DialContext(ctx, "tcp", addr)
-	c.gate.Wake()
+	c.gate.Enter()
 	if err != nil {
 		return nil, fmt.Errorf("connect to discovery: %w", err)
 	}
@@ -243,7 +243,7 @@
 	if err := resp.ReadLimitBody(c.r, mostList); err != nil {
 		return core.RouteSet{}, fmt.Errorf("discovery's answer: %w", err)
 	}
-	c.Mark(c.r.Buffered())
+	c.MarkConsumed(c.r.Buffered())
 	c.closes = resp.ConnectionClose()
 	if code := resp.StatusCode(); code != fasthttp.StatusOK {
 		return core.RouteSet{}, fmt.Errorf("discovery's answer: status %d", code)
--- a/internal/upgrade/pipe.go
+++ b/internal/upgrade/pipe.go
@@ -200,7 +200,7 @@
 func (p *Pipe) Close() error { return errors.Join(p.words.Close(), p.files.Close()) }
 
 // Raw writes bytes that need not be a message: for those who test what a giver makes of them.
-func (p *Pipe) Raw(text []byte) error {
+func (p *Pipe) WriteRaw(text []byte) error {
 	_, err := p.words.Write(text)
 	return err
 }
--- a/internal/upgrade/taker.go
+++ b/internal/upgrade/taker.go
@@ -42,7 +42,7 @@
 var ErrCancelled = errors.New("the running process goes on")
 
 // Taken is everything that was handed over, before the word to go.
-type Taken struct {
+type Received struct {
 	Parcel  Parcel
 	Reducer *core.Reducer
 	Backlog []core.Event
@@ -58,20 +58,20 @@
 
 // Times tells how long the parts of taking up took: reading what was written down, putting everything in its place,
 // and the last words.
-func (t *Taken) Times() (read, place, words time.Duration) {
+func (t *Received) Durations() (read, place, words time.Duration) {
 	return t.opened.Sub(t.begun), t.imported.Sub(t.opened), time.Since(t.imported)
 }
 
 // Settings tells under which settings a process goes on with a state.
-type Settings func(core.State) (choice.Settings, error)
+type SettingsFunc func(core.State) (choice.Settings, error)
 
 // Take rehearses with the old process and receives everything from it. settings are the new process's own, unless the state says that newer
 // ones are in force; what passes on gets behind the gate.
-func Take(p *Pipe, settings Settings, version string, gate *hold.Gate) (*Taken, error) {
+func Receive(p *Pipe, settings SettingsFunc, version string, gate *hold.Gate) (*Received, error) {
 	if err := p.Send(Hello{Protocol: Protocol, Schema: ownSchema, Version: version, PID: os.Getpid()}); err != nil {
 		return nil, err
 	}
-	t := &Taken{pipe: p, Files: gate.Receive()}
+	t := &Received{pipe: p, Files: gate.Receive()}
 	var twin *core.Reducer
 	for {
 		m, err := p.Receive(snapshot.MostBytes)
@@ -106,7 +106,7 @@
 	}
 }
 
-func restore(text []byte, settings Settings) (*core.Reducer, error) {
+func restore(text []byte, settings SettingsFunc) (*core.Reducer, error) {
 	st, err := snapshot.Decode(text)
 	if err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 }
 
 // follow takes the old process's step and compares. After the first difference there is nothing to compare with.
-func (t *Taken) follow(twin *core.Reducer, f Followed) error {
+func (t *Received) follow(twin *core.Reducer, f Followed) error {
 	if twin == nil {
 		return fmt.Errorf("%w: a step before the first snapshot", snapshot.ErrFormat)
 	}
@@ -140,7 +140,7 @@
 }
 
 // takeAhead takes descriptors that pass on ahead; none says that these were all.
-func (t *Taken) takeAhead(a Ahead) error {
+func (t *Received) takeAhead(a Ahead) error {
 	if a.Files == 0 {
 		if t.collect == nil {
 			t.collect = pauseCollector()
@@ -151,12 +151,12 @@
 	if err != nil {
 		return err
 	}
-	return t.Files.Early(fds)
+	return t.Files.ReceiveAhead(fds)
 }
 
 // open takes the rest of the descriptors and what was written down. A twin that has followed every step, and always
 // did the same, stands where the old process's reducer stands; any other is dropped for that one's state.
-func (t *Taken) open(p Parcel, twin *core.Reducer, settings Settings) error {
+func (t *Received) open(p Parcel, twin *core.Reducer, settings SettingsFunc) error {
 	t.begun = time.Now()
 	fds, err := t.pipe.ReceiveFiles(p.Files)
 	if err != nil {
@@ -179,7 +179,7 @@
 	return nil
 }
 
-func (t *Taken) askState(settings Settings) (*core.Reducer, error) {
+func (t *Received) askState(settings SettingsFunc) (*core.Reducer, error) {
 	if err := t.pipe.Send(NeedState{}); err != nil {
 		return nil, err
 	}
@@ -195,10 +195,10 @@
 }
 
 // Started tells when the first generation was started.
-func (t *Taken) Started() time.Time { return time.Unix(0, t.Parcel.Started) }
+func (t *Received) Started() time.Time { return time.Unix(0, t.Parcel.Started) }
 
 // Import hands the parts their state. The gate must be held.
-func (t *Taken) Import(parts []Part) error {
+func (t *Received) Import(parts []Part) error {
 	for _, part := range parts {
 		raw, ok := t.Parcel.Parts[part.Name]
 		if !ok && part.Optional {
@@ -216,7 +216,7 @@
 
 // Go says that this process is ready, waits for the word to go, and says that it acts. When it returns nil
 // everything is this process's own; on an error nothing is.
-func (t *Taken) Go() error {
+func (t *Received) Commit() error {
 	if t.collect != nil {
 		defer func() { go t.collect() }()
 	}
--- a/internal/workerconn/sender.go
+++ b/internal/workerconn/sender.go
@@ -104,9 +104,9 @@
 		case <-ctx.Done():
 			return
 		case now := <-t.C:
-			s.gate.Wake()
+			s.gate.Enter()
 			s.pool.retire(now)
-			s.gate.Rest()
+			s.gate.Exit()
 		}
 	}
 }
@@ -315,9 +315,9 @@
 	x := &giving{what: g}
 	s.givingUp[key] = x
 	s.gate.Go(func() {
-		s.gate.Rest()
+		s.gate.Exit()
 		s.slots <- struct{}{}
-		s.gate.Wake()
+		s.gate.Enter()
 		s.giveUp(x, s.delete(x))
 	})
 }
--- a/internal/workerconn/state.go
+++ b/internal/workerconn/state.go
@@ -69,7 +69,7 @@
 	var st State
 	for _, id := range slices.Sorted(maps.Keys(s.exchanges)) {
 		switch x := s.exchanges[id]; {
-		case x.conn != nil && !x.conn.Untouched():
+		case x.conn != nil && !x.conn.WriteNotStarted():
 			l, err := linkOf(x.conn, files)
 			if err != nil {
 				return st, fmt.Errorf("workerconn: branch %d: %w", id, err)
@@ -154,9 +154,9 @@
 		s.givingUp[job{g.What.Addr, g.What.Request}] = x
 		rest := g.Link.Conn.Rest
 		s.gate.Go(func() {
-			s.gate.Rest()
+			s.gate.Exit()
 			s.slots <- struct{}{}
-			s.gate.Wake()
+			s.gate.Enter()
 			s.giveUp(x, s.finishTelling(x, c, rest))
 		})
 	}
