--- a/internal/hold/conn.go
+++ b/internal/hold/conn.go
@@ -14,70 +14,70 @@
 	"foldlb.example/foldlb/internal/tcp"
 )
 
-// place is where a goroutine is parked in a connection.
-type place uint8
+// parkState is the operation in which a goroutine is parked on a connection.
+type parkState uint8
 
 const (
-	nowhere place = iota
-	inRead
-	inWrite
+	notParked parkState = iota
+	parkedInRead
+	parkedInWrite
 )
 
 // Conn is a connection that can be held. One goroutine at a time may read and write it; Interrupt, the deadlines
 // and Close may be called by others.
 //
-// What has been read since the last Mark is kept, so that whoever takes the connection up reads it again.
+// Bytes read since the last MarkConsumed are retained, so that the process that resumes the connection reads them again.
 type Conn struct {
 	net.Conn
 	gate *Gate
 
-	mu          sync.Mutex
-	cond        *sync.Cond
-	parked      place
-	waiting     bool // a reader rests in the kernel, and may take nothing before it is active again
-	missed      bool // something came for it while the gate was held
-	nudged      bool // the read deadline in force is only to wake it
-	writing     bool // somebody is in the kernel's write, or about to be
-	kicked      bool // the write deadline in force is the gate's
-	interrupted bool
-	ahead       []byte // to be read before anything from the kernel
-	taken       []byte // read since the last Mark
-	rest        []byte // not written yet, while parked in a Write
-	begun       bool   // part of what that Write was given is written
-	readUntil   time.Time
-	writeUntil  time.Time
-
-	// Of the reader's goroutine.
-	raw   syscall.RawConn
-	try   func(fd uintptr) bool // tryRead, bound once
-	into  []byte
-	got   int
-	fault error
+	mu               sync.Mutex
+	cond             *sync.Cond
+	parked           parkState
+	readerWaiting    bool // a reader waits for readiness, and must become active again before it consumes anything
+	missedReadiness  bool // the kernel reported readiness to the reader while the gate was held
+	readWakeup       bool // the read deadline in force only wakes the reader
+	writing          bool // a goroutine is in the kernel's write, or about to enter it
+	writeInterrupted bool // the write deadline in force was set by the gate
+	interrupted      bool
+	readBuffer       []byte // returned by Read before anything from the kernel
+	unconsumed       []byte // read since the last MarkConsumed
+	unwritten        []byte // the unwritten rest of a Write that is parked
+	writeStarted     bool   // the kernel has taken part of that Write's bytes
+	readDeadline     time.Time
+	writeDeadline    time.Time
+
+	// Used by the reader's goroutine only.
+	rawConn     syscall.RawConn
+	tryReadFunc func(fd uintptr) bool // tryRead, bound once to avoid an allocation per read
+	readInto    []byte
+	readCount   int
+	readErr     error
 }
 
 // Wrap puts a connection behind the gate.
 func (g *Gate) Wrap(c net.Conn) *Conn {
 	h := &Conn{Conn: c, gate: g}
 	h.cond = sync.NewCond(&h.mu)
-	h.try = h.tryRead
+	h.tryReadFunc = h.tryRead
 	if sc, ok := c.(syscall.Conn); ok {
-		h.raw, _ = sc.SyscallConn()
+		h.rawConn, _ = sc.SyscallConn()
 	}
 	g.add(h)
 	return h
 }
 
-// Read reads what is ahead first.
+// Read returns buffered bytes first, and then reads from the kernel.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	if len(c.ahead) > 0 && len(p) > 0 {
-		n := copy(p, c.ahead)
-		if n == len(c.ahead) {
-			c.ahead = c.ahead[:0]
+	if len(c.readBuffer) > 0 && len(p) > 0 {
+		n := copy(p, c.readBuffer)
+		if n == len(c.readBuffer) {
+			c.readBuffer = c.readBuffer[:0]
 		} else {
-			c.ahead = c.ahead[n:]
+			c.readBuffer = c.readBuffer[n:]
 		}
-		c.keep(p[:n])
+		c.recordRead(p[:n])
 		c.mu.Unlock()
 		return n, nil
 	}
@@ -86,91 +86,91 @@
 		n, err := c.readKernel(p)
 		if n > 0 {
 			c.mu.Lock()
-			c.keep(p[:n])
+			c.recordRead(p[:n])
 			c.mu.Unlock()
 			return n, err
 		}
-		if !timedOut(err) || !c.park(inRead) {
+		if !timedOut(err) || !c.parkIfHeld(parkedInRead) {
 			return n, err
 		}
 	}
 }
 
-// keep notes what was read, for whoever takes the connection up; c.mu is held.
-func (c *Conn) keep(p []byte) {
-	if !c.gate.forgets {
-		c.taken = append(c.taken, p...)
+// recordRead retains bytes that were read, for the process that resumes the connection. Callers hold c.mu.
+func (c *Conn) recordRead(p []byte) {
+	if !c.gate.handoverDisabled {
+		c.unconsumed = append(c.unconsumed, p...)
 	}
 }
 
-// readKernel reads what the kernel has, and rests while that is nothing. Danger: what arrives while the gate is held
-// must stay in the kernel, for whoever takes the connection up; so the reader makes itself active, which a held gate
-// does not allow, before it takes anything. Nobody need be woken for a hold: silent connections are many.
+// readKernel reads what the kernel has, and waits while that is nothing. Bytes that arrive while the gate is held must
+// stay in the kernel for the process that resumes the connection; so the reader becomes active before it consumes any,
+// which a held gate does not permit. A hold need not wake waiting readers: there are many silent connections.
 func (c *Conn) readKernel(p []byte) (int, error) {
 	if c.gate.held.Load() {
 		return 0, os.ErrDeadlineExceeded // the caller parks
 	}
-	c.into, c.got, c.fault = p, 0, nil
-	err := c.raw.Read(c.try)
-	c.into = nil
+	c.readInto, c.readCount, c.readErr = p, 0, nil
+	err := c.rawConn.Read(c.tryReadFunc)
+	c.readInto = nil
 	c.mu.Lock()
-	was := c.waiting
-	c.waiting = false
-	if err != nil && c.nudged {
-		c.nudged = false
-		c.setRead()
+	wasWaiting := c.readerWaiting
+	c.readerWaiting = false
+	if err != nil && c.readWakeup {
+		c.readWakeup = false
+		c.applyReadDeadline()
 	}
 	c.mu.Unlock()
-	if was {
+	if wasWaiting {
 		c.gate.Enter()
 	}
 	if err == nil {
-		err = c.fault
+		err = c.readErr
 	}
-	return c.got, err
+	return c.readCount, err
 }
 
-// tryRead takes what there is, and tells whether the reader has something, or an end.
+// tryRead reads what is available, and returns true once the reader has bytes, an end of file or an error.
 func (c *Conn) tryRead(fd uintptr) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.waiting {
-		if !c.gate.tryWake() {
-			c.missed = true
+	if c.readerWaiting {
+		if !c.gate.tryEnter() {
+			c.missedReadiness = true
 			return false
 		}
-		c.waiting = false
+		c.readerWaiting = false
 	}
 	for {
-		if len(c.into) == 0 {
+		if len(c.readInto) == 0 {
 			if tcp.PeerClosed(int(fd)) {
-				c.fault = io.EOF
+				c.readErr = io.EOF
 				return true
 			}
-			c.waiting = true // the kernel tells of whatever else comes, too
+			c.readerWaiting = true // the kernel reports further arrivals, too
 			c.gate.Exit()
 			return false
 		}
-		n, err := syscall.Read(int(fd), c.into)
+		n, err := syscall.Read(int(fd), c.readInto)
 		switch {
 		case err == syscall.EINTR:
 			continue
 		case err == syscall.EAGAIN:
-			c.waiting = true
+			c.readerWaiting = true
 			c.gate.Exit()
 			return false
 		case err != nil:
-			c.fault = os.NewSyscallError("read", err)
+			c.readErr = os.NewSyscallError("read", err)
 		case n == 0:
-			c.fault = io.EOF
+			c.readErr = io.EOF
 		default:
-			c.got = n
+			c.readCount = n
 		}
 		return true
 	}
 }
 
-// writeKernel is for writing what readKernel is for reading.
+// writeKernel writes to the kernel so that a hold can interrupt it. If the gate is held it writes nothing.
 func (c *Conn) writeKernel(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.gate.held.Load() {
@@ -186,137 +186,137 @@
 	return n, err
 }
 
-// park waits while the gate is held, and tells whether it was.
-func (c *Conn) park(at place) bool {
+// parkIfHeld waits while the gate is held. It returns true if the operation is to be repeated.
+func (c *Conn) parkIfHeld(at parkState) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.gate.held.Load() {
-		// Let go between the deadline's passing and now; or it was the caller's own deadline. Danger: a
-		// deadline that the gate had set, and has taken back, must not reach the caller as its own.
-		return !c.ended(at)
+		// Released between the expiry of the deadline and now, or the caller's own deadline has passed. A deadline
+		// that the gate had set and reset must not be reported to the caller as its own.
+		return !c.deadlinePassed(at)
 	}
 	c.waitAt(at)
 	return true
 }
 
-// ended tells whether the caller's own deadline has passed; c.mu is held.
-func (c *Conn) ended(at place) bool {
-	until := c.readUntil
-	if at == inWrite {
-		until = c.writeUntil
+// deadlinePassed reports whether the caller's own deadline has passed. Callers hold c.mu.
+func (c *Conn) deadlinePassed(at parkState) bool {
+	deadline := c.readDeadline
+	if at == parkedInWrite {
+		deadline = c.writeDeadline
 	}
-	return !until.IsZero() && !time.Now().Before(until)
+	return !deadline.IsZero() && !time.Now().Before(deadline)
 }
 
-// waitAt parks until letGo or Interrupt; c.mu is held.
-func (c *Conn) waitAt(at place) {
+// waitAt parks until release or Interrupt. Callers hold c.mu.
+func (c *Conn) waitAt(at parkState) {
 	c.parked = at
 	c.gate.Exit()
-	for c.parked != nowhere {
+	for c.parked != notParked {
 		c.cond.Wait()
 	}
 }
 
-// wake ends a park; c.mu is held. Whoever was parked counts as active from here on.
-func (c *Conn) wake() {
-	c.parked = nowhere
-	c.gate.stir()
+// unpark ends a park. The parked goroutine counts as active from here on. Callers hold c.mu.
+func (c *Conn) unpark() {
+	c.parked = notParked
+	c.gate.addActive()
 	c.cond.Broadcast()
 }
 
-// Write writes all of p. An error may leave part of it written, and means that the kernel has not taken all of it.
+// Write writes all of p. If it returns an error, part of p may have been written, but not all of it.
 func (c *Conn) Write(p []byte) (int, error) { return c.WriteIf(p, nil) }
 
-// WriteIf writes all of p, where may allows it; nil for always. It is asked in the last moment before the first byte, anew where the gate was
-// held in between, and its error is returned as it is.
-func (c *Conn) WriteIf(p []byte, may func() error) (int, error) {
-	done := 0
+// WriteIf writes all of p if allowed returns nil, or is nil. allowed is called immediately before the first byte is written, and again if
+// the gate was held in between; its error is returned unchanged.
+func (c *Conn) WriteIf(p []byte, allowed func() error) (int, error) {
+	written := 0
 	for {
-		if done == 0 && may != nil {
-			if err := may(); err != nil {
+		if written == 0 && allowed != nil {
+			if err := allowed(); err != nil {
 				return 0, err
 			}
 		}
-		n, err := c.writeKernel(p[done:])
-		done += n
-		if done == len(p) {
-			return done, nil
+		n, err := c.writeKernel(p[written:])
+		written += n
+		if written == len(p) {
+			return written, nil
 		}
 		c.mu.Lock()
-		c.rest, c.begun = p[done:], done > 0
+		c.unwritten, c.writeStarted = p[written:], written > 0
 		c.mu.Unlock()
-		on := timedOut(err) && c.park(inWrite)
+		resumed := timedOut(err) && c.parkIfHeld(parkedInWrite)
 		c.mu.Lock()
-		c.rest = nil
+		c.unwritten = nil
 		c.mu.Unlock()
-		if !on {
-			return done, err
+		if !resumed {
+			return written, err
 		}
 	}
 }
 
-// Untouched tells whether a Write is parked of which the kernel has not taken a byte. The gate must be held.
+// WriteNotStarted reports whether a Write is parked of which the kernel has taken no byte. The gate must be held.
 func (c *Conn) WriteNotStarted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.rest != nil && !c.begun
+	return c.unwritten != nil && !c.writeStarted
 }
 
-// firstBytes is how much First reads at once: a usual request whole, without much memory for silent connections.
-const firstBytes = 512
+// initialReadBytes is the read size of WaitForData: enough for a usual request, with little memory for silent connections.
+const initialReadBytes = 512
 
-// First waits until something is ahead: the beginning of what the other side says next.
+// WaitForData waits until the buffer holds bytes: the beginning of the peer's next message. It returns an error if the connection ends.
 func (c *Conn) WaitForData() error {
 	c.mu.Lock()
-	some, buf := len(c.ahead) > 0, c.ahead
+	buffered, buffer := len(c.readBuffer) > 0, c.readBuffer
 	c.mu.Unlock()
-	if some {
+	if buffered {
 		return nil
 	}
-	if cap(buf) < firstBytes {
-		buf = make([]byte, firstBytes)
+	if cap(buffer) < initialReadBytes {
+		buffer = make([]byte, initialReadBytes)
 	}
 	for {
-		n, err := c.readKernel(buf[:firstBytes])
+		n, err := c.readKernel(buffer[:initialReadBytes])
 		if n > 0 {
 			c.mu.Lock()
-			c.ahead = buf[:n]
+			c.readBuffer = buffer[:n]
 			c.mu.Unlock()
 			return nil
 		}
-		if !timedOut(err) || !c.park(inRead) {
+		if !timedOut(err) || !c.parkIfHeld(parkedInRead) {
 			return err
 		}
 	}
 }
 
-// mostAhead bounds the bytes that a ReadAhead takes; what comes beyond that stays in the kernel, whose buffer bounds it.
-const mostAhead = 16 << 10
+// maxReadAheadBytes bounds the bytes that ReadAhead buffers; further bytes stay in the kernel's receive buffer, which has its own bound.
+const maxReadAheadBytes = 16 << 10
 
-// readAheadBytes is how much a ReadAhead reads at once. Connections that wait are many, and nearly all say nothing.
-const readAheadBytes = 64
+// readAheadChunkBytes is the read size of ReadAhead. It is small since many connections wait, and nearly all of them are silent.
+const readAheadChunkBytes = 64
 
-// ReadAhead reads ahead until Interrupt is called (nil), or the connection ends (its error). Bytes that come meanwhile
-// stay ahead for the next Read, mostAhead of them at the most. A read deadline ends it as a Read. Danger: the end stands behind all
-// bytes that came before it, so a wait that stopped at the first byte would never see the other side leave.
+// ReadAhead reads into the buffer until Interrupt is called (it returns nil) or the connection ends (it returns the error). The bytes
+// stay buffered for the next Read, at most maxReadAheadBytes. An expired read deadline ends it as it ends a Read. The end of the
+// connection follows all bytes that came before it, so a wait that stopped at the first byte would never see the peer disconnect.
 func (c *Conn) ReadAhead() error {
-	var b [readAheadBytes]byte
+	var b [readAheadChunkBytes]byte
 	for {
 		c.mu.Lock()
 		if c.interrupted {
 			c.interrupted = false
-			c.setRead()
+			c.applyReadDeadline()
 			c.mu.Unlock()
 			return nil
 		}
-		room := min(readAheadBytes, mostAhead-len(c.ahead))
+		room := min(readAheadChunkBytes, maxReadAheadBytes-len(c.readBuffer))
 		c.mu.Unlock()
-		n, err := c.readKernel(b[:max(0, room)]) // without room it waits for the end alone
+		n, err := c.readKernel(b[:max(0, room)]) // with no room left it waits for the end of the connection only
 		c.mu.Lock()
-		c.ahead = append(c.ahead, b[:n]...)
+		c.readBuffer = append(c.readBuffer, b[:n]...)
 		interrupted := c.interrupted
 		c.mu.Unlock()
-		if n == 0 && !interrupted && (!timedOut(err) || !c.park(inRead)) {
+		if n == 0 && !interrupted && (!timedOut(err) || !c.parkIfHeld(parkedInRead)) {
 			return err
 		}
 	}
@@ -327,108 +327,108 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.interrupted = true
-	if c.parked == inRead {
-		c.wake()
+	if c.parked == parkedInRead {
+		c.unpark()
 		return
 	}
-	if c.waiting {
-		// Danger: until the reader runs it counts as resting, and a hold in between would lose what it is woken for.
-		c.waiting = false
-		c.gate.stir()
+	if c.readerWaiting {
+		// Until the reader runs it counts as inactive, and a hold in between would lose this interrupt.
+		c.readerWaiting = false
+		c.gate.addActive()
 	}
-	c.Conn.SetReadDeadline(past)
+	c.Conn.SetReadDeadline(pastDeadline)
 }
 
-// Mark says that what was read is done with, but for its last n bytes.
-func (c *Conn) MarkConsumed(n int) {
+// MarkConsumed declares the bytes read so far as processed, except for the last unconsumed ones.
+func (c *Conn) MarkConsumed(unconsumed int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if n == 0 && cap(c.taken) > 1024 {
-		c.taken = nil // silent connections are many
+	if unconsumed == 0 && cap(c.unconsumed) > 1024 {
+		c.unconsumed = nil // frees memory: there are many silent connections
 		return
 	}
-	c.taken = append(c.taken[:0], c.taken[max(0, len(c.taken)-n):]...)
+	c.unconsumed = append(c.unconsumed[:0], c.unconsumed[max(0, len(c.unconsumed)-unconsumed):]...)
 }
 
-// Unread says that what was read is done with, but for rest, its end, which is to be read again.
-func (c *Conn) Unread(rest []byte) {
+// Unread declares the bytes read so far as processed, except for unread, their end, which the next Read returns again.
+func (c *Conn) Unread(unread []byte) {
 	c.MarkConsumed(0)
 	c.mu.Lock()
-	c.ahead = slices.Concat(rest, c.ahead)
+	c.readBuffer = slices.Concat(unread, c.readBuffer)
 	c.mu.Unlock()
 }
 
-// Silent tells whether nothing has come on the connection that is not read yet.
+// OpenWithoutData reports whether the connection is open and no received byte is unread, in the buffer or in the kernel.
 func (c *Conn) OpenWithoutData() bool {
 	c.mu.Lock()
-	ahead := len(c.ahead) > 0
+	ahead := len(c.readBuffer) > 0
 	c.mu.Unlock()
 	return !ahead && tcp.OpenWithoutData(c.Conn)
 }
 
-// Ended tells whether the other side has closed its end or reset the connection, whatever it sent before and nobody has read.
+// PeerClosed reports whether the peer has closed its end or reset the connection, even if unread bytes precede that.
 func (c *Conn) PeerClosed() bool { return tcp.Closed(c.Conn) }
 
-// SetDeadline sets both deadlines.
+// SetDeadline sets the read and the write deadline.
 func (c *Conn) SetDeadline(t time.Time) error {
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-// SetReadDeadline sets the time at which reading fails. It runs on while the gate is held, and is told afterwards.
+// SetReadDeadline sets the time at which reading fails. It keeps running while the gate is held; its expiry is reported after the release.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readUntil = t
-	return c.setRead()
+	c.readDeadline = t
+	return c.applyReadDeadline()
 }
 
-// SetWriteDeadline sets the time at which writing fails.
+// SetWriteDeadline sets the time at which writing fails. While a hold interrupts a Write it takes effect at the release.
 func (c *Conn) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.writeUntil = t
-	if c.kicked {
+	c.writeDeadline = t
+	if c.writeInterrupted {
 		return nil
 	}
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// setRead puts the read deadline in force; c.mu is held. Danger: while an Interrupt has not been taken, it must stay
-// in the past.
-func (c *Conn) setRead() error {
+// applyReadDeadline puts the read deadline in force. While an Interrupt is pending, the deadline must stay in the
+// past. Callers hold c.mu.
+func (c *Conn) applyReadDeadline() error {
 	if c.interrupted {
-		return c.Conn.SetReadDeadline(past)
+		return c.Conn.SetReadDeadline(pastDeadline)
 	}
-	return c.Conn.SetReadDeadline(c.readUntil)
+	return c.Conn.SetReadDeadline(c.readDeadline)
 }
 
-func (c *Conn) kick() {
+func (c *Conn) interrupt() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.writing {
-		c.kicked = true
-		c.Conn.SetWriteDeadline(past)
+		c.writeInterrupted = true
+		c.Conn.SetWriteDeadline(pastDeadline)
 	}
 }
 
-func (c *Conn) letGo() {
+func (c *Conn) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.kicked {
-		c.kicked = false
-		c.Conn.SetWriteDeadline(c.writeUntil)
+	if c.writeInterrupted {
+		c.writeInterrupted = false
+		c.Conn.SetWriteDeadline(c.writeDeadline)
 	}
-	if c.missed {
-		// Danger: the kernel tells of what has come only once, and the reader was told while it could not take it.
-		c.missed, c.nudged = false, true
-		c.Conn.SetReadDeadline(past)
+	if c.missedReadiness {
+		// The kernel reports readiness only once, and it did so while the reader could not consume anything.
+		c.missedReadiness, c.readWakeup = false, true
+		c.Conn.SetReadDeadline(pastDeadline)
 	}
-	if c.parked == inRead || c.parked == inWrite {
-		c.wake()
+	if c.parked == parkedInRead || c.parked == parkedInWrite {
+		c.unpark()
 	}
 }
 
-// CloseWrite ends what this side says; the other side's may still be read.
+// CloseWrite shuts down the writing side; the peer's bytes can still be read.
 func (c *Conn) CloseWrite() error {
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return w.CloseWrite()
@@ -436,39 +436,39 @@
 	return nil
 }
 
-// Close closes the connection.
+// Close closes the connection and removes it from the gate.
 func (c *Conn) Close() error {
-	c.gate.drop(c)
+	c.gate.remove(c)
 	return c.Conn.Close()
 }
 
-// ConnState is a held connection as a value, but for its descriptor.
+// ConnState is the exported state of a held connection, without its descriptor. It is encoded as a CBOR array.
 type ConnState struct {
 	_       struct{} `cbor:",toarray"`
 	Ahead   []byte   // to be read before anything from the kernel
 	Rest    []byte   // to be written before anything else
 	ReadIn  float64  // seconds to the read deadline; 0 for none
-	WriteIn float64
+	WriteIn float64  // seconds to the write deadline; 0 for none
 }
 
-// Export tells how far a connection has come. The gate must be held.
+// Export returns the state of the connection. The gate must be held.
 func (c *Conn) Export() ConnState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return ConnState{Ahead: slices.Concat(c.taken, c.ahead), Rest: slices.Clone(c.rest), ReadIn: in(c.readUntil), WriteIn: in(c.writeUntil)}
+	return ConnState{Ahead: slices.Concat(c.unconsumed, c.readBuffer), Rest: slices.Clone(c.unwritten), ReadIn: secondsUntil(c.readDeadline), WriteIn: secondsUntil(c.writeDeadline)}
 }
 
-// in tells the seconds to a deadline; one that has passed is due at once.
-func in(t time.Time) float64 {
+// secondsUntil returns the seconds to a deadline: 0 for none, and 1 µs for one that has passed.
+func secondsUntil(t time.Time) float64 {
 	if t.IsZero() {
 		return 0
 	}
 	return max(1e-6, time.Until(t).Seconds())
 }
 
-// adopt puts a connection that nobody uses yet where another one stood.
-func (c *Conn) adopt(st ConnState) {
-	c.ahead = st.Ahead
+// restore applies an exported state to a connection that is not in use yet.
+func (c *Conn) restore(st ConnState) {
+	c.readBuffer = st.Ahead
 	if st.ReadIn > 0 {
 		c.SetReadDeadline(time.Now().Add(time.Duration(st.ReadIn * float64(time.Second))))
 	}
@@ -477,17 +477,17 @@
 	}
 }
 
-// FD calls f with the connection's descriptor, which stays the connection's own.
+// FD calls f with the connection's descriptor, which stays owned by the connection.
 func (c *Conn) FD(f func(fd int)) error { return FD(c.Conn, f) }
 
-// FD calls f with the listener's descriptor, which stays the listener's own.
+// FD calls f with the listener's descriptor, which stays owned by the listener.
 func (l *Listener) FD(f func(fd int)) error { return FD(l.TCPListener, f) }
 
-// FD calls f with the descriptor of a connection or listener, which stays its own and is good until f returns.
+// FD calls f with the descriptor of a connection or listener. x keeps it, and f must not use it after it returns.
 func FD(x any, f func(fd int)) error {
 	sc, ok := x.(syscall.Conn)
 	if !ok {
-		return fmt.Errorf("hold: %T has no descriptor", x)
+		return fmt.Errorf("hold: %T has no file descriptor", x)
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
--- a/internal/hold/files.go
+++ b/internal/hold/files.go
@@ -7,18 +7,18 @@
 	"syscall"
 )
 
-// Files lists the descriptors of held connections in the order in which they are passed on. They stay their
-// connections' own, and are good for as long as those are held.
+// Files collects the descriptors of held connections in the order in which they are sent. The connections keep
+// owning them, and they are valid while the gate is held.
 type Files struct {
 	FDs       []int
-	SentAhead map[*Conn]int // those whose descriptors were passed on ahead, while they were at work
+	SentAhead map[*Conn]int // indexes of descriptors sent before the hold, while the connections were in use
 }
 
-// Add lists the descriptor of a connection or listener and returns its place: below 0 for one that was passed on
-// ahead.
+// Add appends the descriptor of a connection or listener and returns its index. For a descriptor that was sent ahead
+// at index n it returns -1-n.
 func (f *Files) Add(x interface{ FD(func(fd int)) error }) (int, error) {
-	if c, ok := x.(interface{ held() *Conn }); ok {
-		if n, ahead := f.SentAhead[c.held()]; ahead {
+	if c, ok := x.(interface{ heldConn() *Conn }); ok {
+		if n, ahead := f.SentAhead[c.heldConn()]; ahead {
 			return -1 - n, nil
 		}
 	}
@@ -28,54 +28,54 @@
 	return len(f.FDs) - 1, nil
 }
 
-// Received are descriptors that were passed on to this process. Each is taken once.
+// Received are descriptors sent to this process. Each can be taken once.
 type Received struct {
-	FDs []int // -1 where taken
+	FDs []int // -1 once taken
 
-	gate  *Gate
-	ahead []*Conn // that came ahead; nil where taken
+	gate          *Gate
+	receivedAhead []*Conn // of descriptors received ahead of the rest; nil once taken
 }
 
-// Receive makes a place for what comes: connections get behind the gate.
+// Receive returns an empty Received whose connections are put behind the gate.
 func (g *Gate) Receive() *Received { return &Received{gate: g} }
 
-// held makes a connection known to Files, also inside those that embed it.
-func (c *Conn) held() *Conn { return c }
+// heldConn identifies a connection to Files, also if another type embeds it.
+func (c *Conn) heldConn() *Conn { return c }
 
-// take returns a descriptor as a file; whoever uses it closes it.
-func (r *Received) take(place int) (*os.File, error) {
-	if place < 0 || place >= len(r.FDs) || r.FDs[place] < 0 {
-		return nil, fmt.Errorf("hold: no descriptor at place %d of %d", place, len(r.FDs))
+// takeFile returns a descriptor as a file, which the caller must close.
+func (r *Received) takeFile(index int) (*os.File, error) {
+	if index < 0 || index >= len(r.FDs) || r.FDs[index] < 0 {
+		return nil, fmt.Errorf("hold: no descriptor at index %d of %d", index, len(r.FDs))
 	}
-	f := os.NewFile(uintptr(r.FDs[place]), "passed on")
-	r.FDs[place] = -1
+	f := os.NewFile(uintptr(r.FDs[index]), "received")
+	r.FDs[index] = -1
 	return f, nil
 }
 
-// Conn takes the connection at a place, and puts it where the state says that it stood. What was left to be written
-// is the caller's to write first.
-func (r *Received) Conn(place int, st ConnState) (*Conn, error) {
-	if n := -1 - place; place < 0 && n < len(r.ahead) && r.ahead[n] != nil {
-		c := r.ahead[n]
-		r.ahead[n] = nil
-		c.adopt(st)
+// Conn takes the connection at an index, negative for one received ahead, and restores its state. The caller must write
+// st.Rest before anything else.
+func (r *Received) Conn(index int, st ConnState) (*Conn, error) {
+	if n := -1 - index; index < 0 && n < len(r.receivedAhead) && r.receivedAhead[n] != nil {
+		c := r.receivedAhead[n]
+		r.receivedAhead[n] = nil
+		c.restore(st)
 		return c, nil
 	}
-	c, err := r.wrap(place)
+	c, err := r.wrapConn(index)
 	if err != nil {
 		return nil, err
 	}
-	c.adopt(st)
+	c.restore(st)
 	return c, nil
 }
 
-// wrap makes a connection of a descriptor.
-func (r *Received) wrap(place int) (*Conn, error) {
-	f, err := r.take(place)
+// wrapConn makes a connection behind the gate from a descriptor.
+func (r *Received) wrapConn(index int) (*Conn, error) {
+	f, err := r.takeFile(index)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close() // the connection has a descriptor of its own
+	defer f.Close() // the connection has duplicated the descriptor
 	nc, err := net.FileConn(f)
 	if err != nil {
 		return nil, err
@@ -83,23 +83,24 @@
 	return r.gate.Wrap(nc), nil
 }
 
-// Early makes connections of descriptors that came ahead, in their order: it is what takes longest.
+// ReceiveAhead makes connections, in order, from descriptors received before the hold. This is the slowest part of a
+// handover, so it runs while the old process still serves.
 func (r *Received) ReceiveAhead(fds []int) error {
-	early := Received{FDs: fds, gate: r.gate}
+	ahead := Received{FDs: fds, gate: r.gate}
 	for i := range fds {
-		c, err := early.wrap(i)
+		c, err := ahead.wrapConn(i)
 		if err != nil {
-			early.Close()
+			ahead.Close()
 			return err
 		}
-		r.ahead = append(r.ahead, c)
+		r.receivedAhead = append(r.receivedAhead, c)
 	}
 	return nil
 }
 
-// Listener takes the listener at a place.
-func (r *Received) Listener(place int) (net.Listener, error) {
-	f, err := r.take(place)
+// Listener takes the listener at an index.
+func (r *Received) Listener(index int) (net.Listener, error) {
+	f, err := r.takeFile(index)
 	if err != nil {
 		return nil, err
 	}
@@ -107,9 +108,9 @@
 	return net.FileListener(f)
 }
 
-// Packets takes the socket for datagrams at a place.
-func (r *Received) PacketConn(place int) (net.PacketConn, error) {
-	f, err := r.take(place)
+// PacketConn takes the datagram socket at an index.
+func (r *Received) PacketConn(index int) (net.PacketConn, error) {
+	f, err := r.takeFile(index)
 	if err != nil {
 		return nil, err
 	}
@@ -117,12 +118,12 @@
 	return net.FilePacketConn(f)
 }
 
-// Close closes what nobody has taken: what came ahead and has ended since, above all.
+// Close closes whatever was not taken, above all connections received ahead that have ended since.
 func (r *Received) Close() {
-	for i, c := range r.ahead {
+	for i, c := range r.receivedAhead {
 		if c != nil {
 			c.Close()
-			r.ahead[i] = nil
+			r.receivedAhead[i] = nil
 		}
 	}
 	for i, fd := range r.FDs {
--- a/internal/hold/hold.go
+++ b/internal/hold/hold.go
@@ -1,11 +1,10 @@
-// Package hold lets all of a process's connections be held still at one moment, however far each has come with
-// reading or writing, so that they can be written down and taken up by another process, or let go on as if nothing
-// had been. It knows descriptors and bytes, no protocol.
+// Package hold pauses all connections of a process at one moment, whatever part of a read or write each has completed,
+// so that their state can be exported and resumed by another process, or the connections released as if they had
+// never been paused. It handles descriptors and bytes, and knows no protocol.
 //
-// Every goroutine that may read, write or pass something on counts as active at its Gate. Hold interrupts what
-// waits to write or accept, and returns when nothing is active: each goroutine is then parked inside a Write or an
-// Accept, waits in the kernel for something to read, which it may not take while the gate is held, or has said that
-// it rests.
+// Every goroutine that may read, write or pass on data counts as active at its Gate. Hold interrupts blocked writes
+// and accepts, and returns once no goroutine is active: each is then parked inside a Write or an Accept, waits in the
+// kernel for readable data, which it must not consume while the gate is held, or has called Exit.
 package hold
 
 import (
@@ -21,58 +20,58 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrBusy says that something was still active when the time for a Hold was over.
-var ErrBusy = errors.New("hold: not all came to rest in time")
+// ErrBusy is returned by Hold if a goroutine was still active at the time limit.
+var ErrBusy = errors.New("hold: goroutines still active at the time limit")
 
-// ErrHeld says that a gate is held already.
-var ErrHeld = errors.New("hold: is held already")
+// ErrHeld is returned by Hold if the gate is already held.
+var ErrHeld = errors.New("hold: gate is already held")
 
-var past = time.Unix(1, 0) // a deadline that wakes whoever waits
+var pastDeadline = time.Unix(1, 0) // a deadline that interrupts any blocked operation
 
-// Gate holds connections, and lets them go. Its zero value is not ready for use: see NewGate.
+// Gate pauses and releases connections. Its zero value is not usable; create one with NewGate.
 type Gate struct {
-	held    atomic.Bool // written under mu
-	forgets bool        // set before anything is behind the gate
+	held             atomic.Bool // written under mu
+	handoverDisabled bool        // set before anything is added to the gate
 
-	mu      sync.Mutex
-	let     *sync.Cond // told when the gate is let go
-	active  int
-	quiet   chan struct{} // closed when active comes to 0 while held; nil otherwise
-	later   []func()      // to be run on goroutines of their own when the gate is let go
-	members map[member]struct{}
+	mu       sync.Mutex
+	released *sync.Cond // signalled when the gate is released
+	active   int
+	idle     chan struct{} // closed when active reaches 0 while held; nil otherwise
+	deferred []func()      // started on goroutines of their own when the gate is released
+	members  map[member]struct{}
 }
 
-// member is a connection or a listener.
+// member is a connection or a listener behind the gate.
 type member interface {
-	kick()  // wake it where it waits in the kernel
-	letGo() // let it go on
+	interrupt() // interrupts its blocking operation in the kernel
+	release()   // lets it continue after a hold
 }
 
-// NewGate makes a gate that is open.
+// NewGate returns an open gate.
 func NewGate() *Gate {
 	g := &Gate{members: map[member]struct{}{}}
-	g.let = sync.NewCond(&g.mu)
+	g.released = sync.NewCond(&g.mu)
 	return g
 }
 
-// Forget says that nothing behind the gate will ever be handed over, so that connections need not keep what was read
-// of a request in case another process must read it again. It is called before anything is behind the gate. Danger:
-// without it large requests that come slowly would be held twice, which a small machine's memory can't bear.
-func (g *Gate) DisableHandover() { g.forgets = true }
+// DisableHandover declares that nothing behind the gate will ever be handed over, so that connections need not retain
+// the bytes read of an incomplete request for another process to read again. It must be called before anything is added
+// to the gate. Without it, large requests that arrive slowly occupy memory twice, which a small machine can't provide.
+func (g *Gate) DisableHandover() { g.handoverDisabled = true }
 
-// Go runs f on a goroutine of its own that counts as active, once the gate is open.
+// Go runs f on a goroutine of its own that counts as active, as soon as the gate is open.
 func (g *Gate) Go(f func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.held.Load() {
-		g.later = append(g.later, f)
+		g.deferred = append(g.deferred, f)
 		return
 	}
-	g.run(f)
+	g.startActive(f)
 }
 
-// run runs f on a goroutine that counts as active; g.mu is held.
-func (g *Gate) run(f func()) {
+// startActive runs f on a goroutine that counts as active. Callers hold g.mu.
+func (g *Gate) startActive(f func()) {
 	g.active++
 	go func() {
 		defer g.Exit()
@@ -80,18 +79,18 @@
 	}()
 }
 
-// Wake makes the caller active. It waits while the gate is held.
+// Enter makes the calling goroutine active. It blocks while the gate is held.
 func (g *Gate) Enter() {
 	g.mu.Lock()
 	for g.held.Load() {
-		g.let.Wait()
+		g.released.Wait()
 	}
 	g.active++
 	g.mu.Unlock()
 }
 
-// tryWake makes the caller active, unless the gate is held.
-func (g *Gate) tryWake() bool {
+// tryEnter makes the calling goroutine active and returns true, unless the gate is held.
+func (g *Gate) tryEnter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.held.Load() {
@@ -101,142 +100,142 @@
 	return true
 }
 
-// Rest ends the caller's activity, or says that it waits for what no held part can bring about.
+// Exit ends the calling goroutine's activity, also while it waits for an event that nothing behind the gate can cause.
 func (g *Gate) Exit() {
 	g.mu.Lock()
 	g.active--
-	if g.active == 0 && g.quiet != nil {
-		close(g.quiet)
-		g.quiet = nil
+	if g.active == 0 && g.idle != nil {
+		close(g.idle)
+		g.idle = nil
 	}
 	g.mu.Unlock()
 }
 
-// stir counts somebody as active who was woken by the caller, who is active itself or stands in for that.
-func (g *Gate) stir() {
+// addActive counts a goroutine as active that the caller wakes. The caller is active itself or acts for the gate.
+func (g *Gate) addActive() {
 	g.mu.Lock()
 	g.active++
 	g.mu.Unlock()
 }
 
-// Hold holds everything, and returns when nothing is active. After most it lets go again and returns ErrBusy.
-// Meanwhile it calls busy every now and then, where that is set: what holds up an activity may be the caller's
-// to clear.
-func (g *Gate) Hold(most time.Duration, busy func()) error {
+// Hold pauses everything behind the gate, and returns nil once nothing is active. After maxWait it releases the gate and
+// returns an error that wraps ErrBusy. Until then it calls whileBusy, if not nil, every 500 µs: an active goroutine may
+// be blocked on work that the caller has to do.
+func (g *Gate) Hold(maxWait time.Duration, whileBusy func()) error {
 	g.mu.Lock()
 	if g.held.Load() {
 		g.mu.Unlock()
 		return ErrHeld
 	}
 	g.held.Store(true)
-	quiet := make(chan struct{})
+	idle := make(chan struct{})
 	if g.active == 0 {
-		close(quiet)
+		close(idle)
 	} else {
-		g.quiet = quiet
+		g.idle = idle
 	}
-	all := g.list()
+	members := g.listMembers()
 	g.mu.Unlock()
-	// Danger: members take their own locks, and call back here under them.
-	for _, m := range all {
-		m.kick()
+	// Without g.mu: members take their own locks, and call the gate while they hold them.
+	for _, m := range members {
+		m.interrupt()
 	}
-	limit, poll := time.NewTimer(most), time.NewTicker(500*time.Microsecond)
+	limit, poll := time.NewTimer(maxWait), time.NewTicker(500*time.Microsecond)
 	defer limit.Stop()
 	defer poll.Stop()
 	for {
 		select {
-		case <-quiet:
+		case <-idle:
 			return nil
 		case <-poll.C:
-			if busy != nil {
-				busy()
+			if whileBusy != nil {
+				whileBusy()
 			}
 		case <-limit.C:
 			g.mu.Lock()
 			n := g.active
 			g.mu.Unlock()
 			g.Release()
-			return fmt.Errorf("%w: %d active after %v", ErrBusy, n, most)
+			return fmt.Errorf("%w: %d active after %v", ErrBusy, n, maxWait)
 		}
 	}
 }
 
-// Release lets everything go on.
+// Release lets everything behind the gate continue.
 func (g *Gate) Release() {
 	g.mu.Lock()
 	g.held.Store(false)
-	g.quiet = nil
-	for _, f := range g.later {
-		g.run(f)
+	g.idle = nil
+	for _, f := range g.deferred {
+		g.startActive(f)
 	}
-	g.later = nil
-	all := g.list()
-	g.let.Broadcast()
+	g.deferred = nil
+	members := g.listMembers()
+	g.released.Broadcast()
 	g.mu.Unlock()
-	for _, m := range all {
-		m.letGo()
+	for _, m := range members {
+		m.release()
 	}
 }
 
-func (g *Gate) list() []member {
-	all := make([]member, 0, len(g.members))
+func (g *Gate) listMembers() []member {
+	members := make([]member, 0, len(g.members))
 	for m := range g.members {
-		all = append(all, m)
+		members = append(members, m)
 	}
-	return all
+	return members
 }
 
 func (g *Gate) add(m member) {
 	g.mu.Lock()
 	g.members[m] = struct{}{}
 	g.mu.Unlock()
-	if g.held.Load() { // either Hold has listed it, or this sees that it holds
-		m.kick()
+	if g.held.Load() { // either Hold has listed the member, or the hold is visible here
+		m.interrupt()
 	}
 }
 
-func (g *Gate) drop(m member) {
+func (g *Gate) remove(m member) {
 	g.mu.Lock()
 	delete(g.members, m)
 	g.mu.Unlock()
 }
 
-// timedOut tells whether an error is a deadline's.
+// timedOut reports whether an error is an expired deadline.
 func timedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// Listener accepts connections that can be held. What arrives while it is held waits in the kernel's backlog.
+// Listener accepts connections that can be held. Connections that arrive while it is held wait in the kernel's backlog.
 type Listener struct {
 	*net.TCPListener
-	gate *Gate
-	raw  syscall.RawConn // nil where the descriptor can't be had
+	gate    *Gate
+	rawConn syscall.RawConn // nil if the descriptor is not accessible
 
 	mu     sync.Mutex
 	cond   *sync.Cond
 	parked bool
 }
 
-// Listen puts a listener behind a gate.
+// WrapListener puts a listener behind the gate.
 func (g *Gate) WrapListener(ln *net.TCPListener) *Listener {
 	l := &Listener{TCPListener: ln, gate: g}
 	l.cond = sync.NewCond(&l.mu)
 	if raw, err := ln.SyscallConn(); err == nil {
-		l.raw = raw
+		l.rawConn = raw
 	}
 	g.add(l)
 	return l
 }
 
-// keepNonBlocking sets the descriptor to non-blocking again. Danger: where the socket came from another process, that may set it to blocking
-// at any time, for both, as some runtimes do when they pass it on once more. An accept would then wait in the kernel, where no deadline
-// wakes it, and no hold would ever come to rest.
+// keepNonBlocking sets the descriptor to non-blocking again. A process that shares the socket may set it to blocking for both at any time, as
+// some runtimes do when they pass a socket on. An accept would then block in the kernel, where no deadline interrupts it, and Hold would
+// never succeed.
 func (l *Listener) keepNonBlocking() {
-	if l.raw != nil {
-		_ = l.raw.Control(func(fd uintptr) { _ = unix.SetNonblock(int(fd), true) }) // a closed one is told of by the accept
+	if l.rawConn != nil {
+		_ = l.rawConn.Control(func(fd uintptr) { _ = unix.SetNonblock(int(fd), true) }) // on a closed descriptor the accept returns the error
 	}
 }
 
-// Accept waits for a connection. It must be called by one goroutine, which is active.
+// Accept waits for a connection. It must be called by one goroutine, which must be active.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		l.keepNonBlocking()
@@ -256,34 +255,34 @@
 	}
 }
 
-func (l *Listener) kick() { l.SetDeadline(past) }
+func (l *Listener) interrupt() { l.SetDeadline(pastDeadline) }
 
-func (l *Listener) letGo() {
+func (l *Listener) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.SetDeadline(time.Time{})
 	if l.parked {
 		l.parked = false
-		l.gate.stir()
+		l.gate.addActive()
 		l.cond.Broadcast()
 	}
 }
 
-// Close closes the listener.
+// Close closes the listener and removes it from the gate.
 func (l *Listener) Close() error {
-	l.gate.drop(l)
+	l.gate.remove(l)
 	return l.TCPListener.Close()
 }
 
-// Conns lists the connections behind the gate.
+// Conns returns the connections behind the gate, in no particular order.
 func (g *Gate) Conns() []*Conn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	all := make([]*Conn, 0, len(g.members))
+	conns := make([]*Conn, 0, len(g.members))
 	for m := range g.members {
 		if c, ok := m.(*Conn); ok {
-			all = append(all, c)
+			conns = append(conns, c)
 		}
 	}
-	return all
+	return conns
 }
--- a/internal/hold/hold_test.go
+++ b/internal/hold/hold_test.go
@@ -12,9 +12,9 @@
 	"pgregory.net/rapid"
 )
 
-const patience = 10 * time.Second
+const holdTimeout = 10 * time.Second
 
-// pair is both ends of a TCP connection, one behind a gate.
+// pair returns both ends of a TCP connection; the first is behind the gate.
 func pair(t interface{ Fatal(...any) }, g *Gate) (*Conn, net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,8 +32,8 @@
 	return g.Wrap(near), far
 }
 
-// TestNothingIsTakenWhileHeld: what arrives during a hold stays in the kernel, and is read after it.
-func TestNothingIsTakenWhileHeld(t *testing.T) {
+// TestNoBytesReadWhileHeld checks that bytes which arrive during a hold stay in the kernel, and are read after it.
+func TestNoBytesReadWhileHeld(t *testing.T) {
 	g := NewGate()
 	near, far := pair(t, g)
 	defer far.Close()
@@ -54,7 +54,7 @@
 		if s := <-got; s != "a" {
 			t.Fatal(s)
 		}
-		if err := g.Hold(patience, nil); err != nil {
+		if err := g.Hold(holdTimeout, nil); err != nil {
 			t.Fatal(err)
 		}
 		io.WriteString(far, "b")
@@ -67,8 +67,8 @@
 			if s != "b" {
 				t.Fatal(s)
 			}
-		case <-time.After(patience):
-			t.Fatal("what came during the hold is never read")
+		case <-time.After(holdTimeout):
+			t.Fatal("bytes that arrived during the hold were not read after it")
 		}
 	}
 	far.Close()
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestDeadlinesOutliveAHold: a reader's own deadline is its own before and after a hold, also one that passes
-// meanwhile; a hold's end is none.
-func TestDeadlinesOutliveAHold(t *testing.T) {
+// TestReadDeadlineSurvivesHold checks that a reader's deadline takes effect across several holds, also if it expires
+// during one, and that the release of a hold does not look like an expired deadline.
+func TestReadDeadlineSurvivesHold(t *testing.T) {
 	g := NewGate()
 	near, far := pair(t, g)
 	defer far.Close()
@@ -91,7 +91,7 @@
 		ended <- err
 	})
 	for range 3 {
-		if err := g.Hold(patience, nil); err != nil {
+		if err := g.Hold(holdTimeout, nil); err != nil {
 			t.Fatal(err)
 		}
 		g.Release()
@@ -101,7 +101,7 @@
 	}
 }
 
-// TestInterrupt ends a ReadAhead whatever it is doing, and no byte that came is lost.
+// TestInterrupt checks that Interrupt ends a ReadAhead in each of its states, and that no received byte is lost.
 func TestInterrupt(t *testing.T) {
 	g := NewGate()
 	near, far := pair(t, g)
@@ -118,14 +118,14 @@
 		t.Fatal(err)
 	}
 	io.WriteString(far, "xyz")
-	near.Interrupt() // before or after the first byte is taken ahead
+	near.Interrupt() // before or after the first byte is read
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	if err := g.Hold(patience, nil); err != nil {
+	if err := g.Hold(holdTimeout, nil); err != nil {
 		t.Fatal(err)
 	}
-	near.Interrupt() // while held: it is active now, and not at rest any more
+	near.Interrupt() // while held: the reader counts as active from here on
 	g.Release()
 	if err := <-ended; err != nil {
 		t.Fatal(err)
@@ -140,30 +140,30 @@
 	}
 }
 
-// TestHoldTellsOfWhatKeepsWorking: a hold that can't come about lets everything go on.
-func TestHoldTellsOfWhatKeepsWorking(t *testing.T) {
+// TestHoldTimesOutWhileActive checks that a hold which reaches its time limit releases the gate, and that a gate can't be held twice.
+func TestHoldTimesOutWhileActive(t *testing.T) {
 	g := NewGate()
 	stop, called := make(chan struct{}), 0
 	g.Go(func() { <-stop })
 	if err := g.Hold(20*time.Millisecond, func() { called++ }); !errors.Is(err, ErrBusy) || called == 0 {
-		t.Errorf("%v, called %d times meanwhile", err, called)
+		t.Errorf("%v, whileBusy called %d times", err, called)
 	}
 	done := make(chan struct{})
 	g.Go(func() { close(done) })
 	<-done
 	close(stop)
-	if err := g.Hold(patience, nil); err != nil {
+	if err := g.Hold(holdTimeout, nil); err != nil {
 		t.Error(err)
 	}
-	if err := g.Hold(patience, nil); !errors.Is(err, ErrHeld) {
+	if err := g.Hold(holdTimeout, nil); !errors.Is(err, ErrHeld) {
 		t.Errorf("held twice: %v", err)
 	}
 	g.Release()
 }
 
-// TestBytesPassOnInOrder: whatever was read, marked and left by one connection, and written in whatever pieces, its
-// successor reads on from the same byte.
-func TestBytesPassOnInOrder(t *testing.T) {
+// TestExportedBytesResumeInOrder checks that a connection restored from an exported state continues with the first
+// unconsumed byte, however the bytes were written, read, consumed as consumed and unread before the hold.
+func TestExportedBytesResumeInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOfN(rapid.Byte(), 1, 3000).Draw(t, "text")
 		first := NewGate()
@@ -172,7 +172,7 @@
 		defer near.Close()
 		written := rapid.IntRange(0, len(text)).Draw(t, "written before")
 		far.Write(text[:written])
-		read, marked := 0, 0 // of the text, by the first one; done with for good
+		read, consumed := 0, 0 // bytes of the text that the first connection read, and consumed as consumed
 		first.Enter()
 		for read < written && rapid.Bool().Draw(t, "read more") {
 			b := make([]byte, rapid.IntRange(1, 700).Draw(t, "room"))
@@ -182,34 +182,34 @@
 			}
 			read += n
 			if rapid.Bool().Draw(t, "mark") {
-				left := rapid.IntRange(0, read-marked).Draw(t, "left")
+				left := rapid.IntRange(0, read-consumed).Draw(t, "left")
 				near.MarkConsumed(left)
-				marked = read - left
+				consumed = read - left
 			}
-			if left := rapid.IntRange(0, read-marked).Draw(t, "unread"); left > 0 && rapid.Bool().Draw(t, "does") {
+			if left := rapid.IntRange(0, read-consumed).Draw(t, "unread"); left > 0 && rapid.Bool().Draw(t, "does") {
 				near.Unread(text[read-left : read])
-				read, marked = read-left, read-left
+				read, consumed = read-left, read-left
 			}
 		}
 		first.Exit()
-		if err := first.Hold(patience, nil); err != nil {
+		if err := first.Hold(holdTimeout, nil); err != nil {
 			t.Fatal(err)
 		}
 		far.Write(text[written:])
 		second := NewGate()
 		next := second.Wrap(near.Conn)
-		next.adopt(near.Export())
+		next.restore(near.Export())
 		second.Enter()
-		next.SetReadDeadline(time.Now().Add(patience))
-		got := make([]byte, len(text)-marked)
-		if _, err := io.ReadFull(next, got); err != nil || string(got) != string(text[marked:]) {
-			t.Fatalf("%d bytes of %d, %v", len(got), len(text)-marked, err)
+		next.SetReadDeadline(time.Now().Add(holdTimeout))
+		got := make([]byte, len(text)-consumed)
+		if _, err := io.ReadFull(next, got); err != nil || string(got) != string(text[consumed:]) {
+			t.Fatalf("%d bytes of %d, %v", len(got), len(text)-consumed, err)
 		}
 	})
 }
 
-// TestForget: where nothing is ever handed over, nothing is kept, and what is unread comes again all the same.
-func TestForget(t *testing.T) {
+// TestDisableHandover checks that read bytes are not retained without handover, and that Unread works all the same.
+func TestDisableHandover(t *testing.T) {
 	g := NewGate()
 	g.DisableHandover()
 	near, far := pair(t, g)
@@ -220,8 +220,8 @@
 	if _, err := io.ReadFull(near, b); err != nil {
 		t.Fatal(err)
 	}
-	if kept := near.Export().Ahead; len(kept) != 0 {
-		t.Errorf("%q is kept", kept)
+	if retained := near.Export().Ahead; len(retained) != 0 {
+		t.Errorf("%q is retained", retained)
 	}
 	near.Unread(b[4:])
 	if n, err := near.Read(b); err != nil || string(b[:n]) != "two" {
@@ -230,8 +230,9 @@
 	g.Exit()
 }
 
-// TestHoldRestsThoughTheSocketWasSetToBlocking: whoever shares the listening socket may set it to blocking, for all processes.
-func TestHoldRestsThoughTheSocketWasSetToBlocking(t *testing.T) {
+// TestHoldSucceedsAfterSocketWasSetToBlocking: a process that shares the listening socket may set it to blocking for all processes. An
+// accept then blocks in the kernel, where Hold can't interrupt it, unless the listener sets the socket to non-blocking again.
+func TestHoldSucceedsAfterSocketWasSetToBlocking(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -261,8 +262,8 @@
 		}
 		(<-accepted).Close()
 		far.Close()
-		if err := g.Hold(patience, nil); err != nil {
-			net.Dial("tcp", ln.Addr().String()) // wakes what waits in the kernel, which the close would wait for
+		if err := g.Hold(holdTimeout, nil); err != nil {
+			net.Dial("tcp", ln.Addr().String()) // wakes the accept that blocks in the kernel; closing would wait for it
 			t.Fatal(err)
 		}
 		g.Release()
--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -1,4 +1,4 @@
-// Package tcp tells what the kernel knows of a connection beyond what package net shows.
+// Package tcp queries socket states that package net does not expose.
 package tcp
 
 import (
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// look calls f with the connection's descriptor. It tells false where the connection is closed on this side; one without a
-// descriptor is not looked at.
-func look(c net.Conn, f func(fd int)) (open bool) {
+// withDescriptor calls f with the connection's descriptor. It returns false if the connection is closed on this side, and true without
+// calling f if the connection has no descriptor.
+func withDescriptor(c net.Conn, f func(fd int)) (open bool) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -22,29 +22,28 @@
 	return raw.Control(func(fd uintptr) { f(int(fd)) }) == nil
 }
 
-// peek tells how many bytes wait unread, one at the most; 0 stands for the end.
+// peek returns the number of unread bytes, at most 1; 0 without an error stands for the end of the stream.
 func peek(fd int) (int, error) {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n, err
 }
 
-// Silent reports whether a connection is open and nothing has come in on it that was not read yet. It reads
-// nothing and does not wait.
+// OpenWithoutData reports whether a connection is open and has no unread bytes. It neither consumes bytes nor waits.
 func OpenWithoutData(c net.Conn) bool {
 	silent := true
-	open := look(c, func(fd int) {
+	open := withDescriptor(c, func(fd int) {
 		_, err := peek(fd)
 		silent = err == syscall.EAGAIN
 	})
 	return open && silent
 }
 
-// Ended reports whether a connection was closed on either side or reset, whatever came before that and was not read yet. It
-// reads nothing and does not wait.
+// Closed reports whether a connection was closed on either side or reset, even if unread bytes precede that. It neither consumes bytes
+// nor waits.
 func Closed(c net.Conn) bool {
 	ended := false
-	open := look(c, func(fd int) {
+	open := withDescriptor(c, func(fd int) {
 		n, err := peek(fd)
 		switch {
 		case err == syscall.EAGAIN || err == syscall.EINTR:
@@ -57,7 +56,7 @@
 	return !open || ended
 }
 
-// PeerClosed reports whether the other side of a descriptor has closed its end or reset the connection, though bytes may stand before that.
+// PeerClosed reports whether the peer of a descriptor has closed its end or reset the connection, even if unread bytes precede that.
 func PeerClosed(fd int) bool {
 	p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(p, 0)
