--- a/internal/hold/hold_test.go
+++ b/internal/hold/hold_test.go
@@ -162,7 +162,7 @@
 }
 
 // TestExportedBytesResumeInOrder checks that a connection restored from an exported state continues with the first
-// unconsumed byte, however the bytes were written, read, consumed as consumed and unread before the hold.
+// unconsumed byte, however the bytes were written, read, marked as consumed and unread before the hold.
 func TestExportedBytesResumeInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOfN(rapid.Byte(), 1, 3000).Draw(t, "text")
@@ -172,7 +172,7 @@
 		defer near.Close()
 		written := rapid.IntRange(0, len(text)).Draw(t, "written before")
 		far.Write(text[:written])
-		read, consumed := 0, 0 // bytes of the text that the first connection read, and consumed as consumed
+		read, consumed := 0, 0 // bytes of the text that the first connection read, and marked as consumed
 		first.Enter()
 		for read < written && rapid.Bool().Draw(t, "read more") {
 			b := make([]byte, rapid.IntRange(1, 700).Draw(t, "room"))
--- a/internal/upgrade/finish.go
+++ b/internal/upgrade/finish.go
@@ -8,97 +8,97 @@
 	"github.com/sirupsen/logrus"
 )
 
-// ended cleans up after an upgrade that did not come about.
-func (g *Sender) ended(e Finished) {
-	if e.Refused {
-		if e.Replacement != nil {
-			e.Replacement.Refuse(e.Reason)
-			g.apart()
+// finishAttempt cleans up after an upgrade that was refused or fell back.
+func (s *Sender) finishAttempt(result Finished) {
+	if result.Refused {
+		if result.Replacement != nil {
+			result.Replacement.Refuse(result.Reason)
+			s.notifySeparateStart()
 		}
-		if c, ok := e.Requester.(chan Progress); ok {
-			c <- Progress{At: time.Now(), Step: g.machine.Phase().String(), Final: true, Result: Refusal, Detail: e.Reason}
+		if c, ok := result.Requester.(chan Progress); ok {
+			c <- Progress{At: time.Now(), Step: s.machine.Phase().String(), Final: true, Result: Refusal, Detail: result.Reason}
 		}
 		return
 	}
-	if g.collect != nil {
-		g.collect()
-		g.collect = nil
+	if s.resumeGC != nil {
+		s.resumeGC()
+		s.resumeGC = nil
 	}
-	if g.follow != nil {
-		g.Runtime.StopFollowing()
-		g.unfollow()
+	if s.stepQueue != nil {
+		s.Runtime.StopFollowing()
+		s.stopFollowing()
 	}
-	if g.pipe != nil {
-		g.pipe.Close()
+	if s.pipe != nil {
+		s.pipe.Close()
 	}
-	if g.came != nil {
-		g.apart()
+	if s.replacement != nil {
+		s.notifySeparateStart()
 	}
-	g.pipe, g.other, g.came = nil, other{}, nil
-	g.Log.WithField("reason", e.Reason).Warn("upgrade fell back: this process goes on")
-	g.tell(Progress{Step: Idle.String(), Final: true, Result: FellBack, Detail: e.Reason})
-	for _, o := range g.waiting {
+	s.pipe, s.peer, s.replacement = nil, peerProcess{}, nil
+	s.Log.WithField("reason", result.Reason).Warn("upgrade fell back: this process continues to serve")
+	s.notifyWatchers(Progress{Step: Idle.String(), Final: true, Result: FellBack, Detail: result.Reason})
+	for _, o := range s.deferred {
 		o.run()
 	}
-	g.waiting = nil
-	g.putOff.Store(0)
+	s.deferred = nil
+	s.deferredOrders.Store(0)
 }
 
-func (g *Sender) apart() {
-	if g.OnSeparateStart != nil {
-		g.OnSeparateStart()
+func (s *Sender) notifySeparateStart() {
+	if s.OnSeparateStart != nil {
+		s.OnSeparateStart()
 	}
 }
 
-// leave ends this process. Danger: nothing may be closed in an orderly way, since a shutdown of what both processes
-// hold would reach the other sides.
-func (g *Sender) leave() {
-	pid := g.other.pid
-	p := g.parcel
-	p.Bytes = g.bytes
-	p.Step, p.Final, p.Result, p.PID, p.HeldMS = Leaving.String(), true, Replaced, pid, millis(time.Since(g.heldAt))
+// exitReplaced ends this process. It must not close anything in an orderly way: shutting down a socket that both
+// processes hold would reach the peers.
+func (s *Sender) exitReplaced() {
+	pid := s.peer.pid
+	p := s.progress
+	p.Bytes = s.snapshotBytes
+	p.Step, p.Final, p.Result, p.PID, p.HeldMS = Leaving.String(), true, Replaced, pid, milliseconds(time.Since(s.heldAt))
 	p.HeldParts.Takeover = p.HeldMS - p.HeldParts.Quiesce - p.HeldParts.Pack - p.HeldParts.Send
-	if g.OnReplaced != nil {
-		g.OnReplaced(pid) // first: whoever hears the final word may ask at once who serves
+	if s.OnReplaced != nil {
+		s.OnReplaced(pid) // first: a watcher that receives the final progress may ask at once which process serves
 	}
-	g.tell(p)
-	g.Log.WithFields(logrus.Fields{"pid": pid, "held_ms": p.HeldMS, "held_parts_ms": p.HeldParts.String(), "descriptors": p.Files, "bytes": p.Bytes}).Info("upgraded: the new process has taken over")
-	for _, o := range g.waiting {
-		g.passOn(o)
+	s.notifyWatchers(p)
+	s.Log.WithFields(logrus.Fields{"pid": pid, "held_ms": p.HeldMS, "held_parts_ms": p.HeldParts.String(), "descriptors": p.Files, "bytes": p.Bytes}).Info("upgraded: the new process has taken over")
+	for _, o := range s.deferred {
+		s.forwardOrder(o)
 	}
-	g.flush()
+	s.flush()
 	os.Exit(0)
 }
 
-// flushMost bounds the wait for those who watch to be told the end. Danger: what the new process closes stays open
-// for the other side until this one has ended too.
-const flushMost = 100 * time.Millisecond
+// maxFlushWait bounds the wait until the watchers have received the final progress. The wait must be short, since a
+// connection that the new process closes stays open for its peer until this process has exited too.
+const maxFlushWait = 100 * time.Millisecond
 
-// lastOrders is how long orders are passed on that came before the new process acted, and are still on their way
-// inside this one.
-const lastOrders = 5 * time.Millisecond
+// lateOrderWait is how long orders are forwarded that were received before the new process acted and are still queued
+// inside this process.
+const lateOrderWait = 5 * time.Millisecond
 
-// passOn gives an order to the new process. SIGTERM after a newcomer has taken over meant this process, which ends.
-func (g *Sender) passOn(o order) {
-	if g.came == nil || o.signal != syscall.SIGTERM {
-		syscall.Kill(g.other.pid, o.signal.(syscall.Signal))
+// forwardOrder signals the new process. A SIGTERM is not forwarded to an external replacement: it was meant for this process, which exits.
+func (s *Sender) forwardOrder(o ownerOrder) {
+	if s.replacement == nil || o.signal != syscall.SIGTERM {
+		syscall.Kill(s.peer.pid, o.signal.(syscall.Signal))
 	}
 }
 
-// flush passes on the last orders, and waits until those who watch have been told the end.
-func (g *Sender) flush() {
+// flush forwards the last orders, and waits until the watchers have received the final progress.
+func (s *Sender) flush() {
 	begin := time.Now()
 	t := time.NewTicker(time.Millisecond)
 	defer t.Stop()
 	for {
 		select {
-		case o := <-g.orders:
-			g.passOn(o)
+		case o := <-s.orders:
+			s.forwardOrder(o)
 		case now := <-t.C:
-			g.mu.Lock()
-			n := len(g.watchers)
-			g.mu.Unlock()
-			if past := now.Sub(begin); past >= flushMost || n == 0 && past >= lastOrders {
+			s.mu.Lock()
+			n := len(s.watchers)
+			s.mu.Unlock()
+			if past := now.Sub(begin); past >= maxFlushWait || n == 0 && past >= lateOrderWait {
 				return
 			}
 		}
--- a/internal/upgrade/launch.go
+++ b/internal/upgrade/launch.go
@@ -7,43 +7,43 @@
 	"syscall"
 )
 
-// EnvPipe names the descriptors of the pipe, for a process that is to take over.
+// EnvPipe is the environment variable that holds the pipe's two descriptors, for a process that is to take over.
 const EnvPipe = "FOLDLB_UPGRADE"
 
-// firstFile is the descriptor that the first of a command's ExtraFiles becomes.
-const firstFile = 3
+// firstExtraFD is the descriptor in the child of the first of a command's ExtraFiles.
+const firstExtraFD = 3
 
-// other is the new process.
-type other struct {
+// peerProcess is the new process.
+type peerProcess struct {
 	pid  int
-	kill func()       // ends it, or its part in the hand-over; Gone follows
-	wait func() error // until it has ended, once it says no more
+	kill func()       // kills it, or cancels its handover; PeerExited follows
+	wait func() error // waits until it has exited; called once it sends no more messages
 }
 
-// start starts the new process, or takes the one that came, and listens to it.
-func (g *Sender) start() error {
-	g.reloads = g.Runtime.Reloads.Load()
+// start launches the new process, or uses the external replacement, and begins to receive its messages.
+func (s *Sender) start() error {
+	s.reloadsAtStart = s.Runtime.Reloads.Load()
 	var err error
-	if g.came != nil {
-		g.pipe, g.other = g.came.pipe, g.metBy(g.came)
-	} else if g.pipe, g.other, err = g.launch(); err != nil {
+	if s.replacement != nil {
+		s.pipe, s.peer = s.replacement.pipe, s.peerOf(s.replacement)
+	} else if s.pipe, s.peer, err = s.launch(); err != nil {
 		return err
 	}
-	go g.listen(g.pipe, g.other)
+	go s.listen(s.pipe, s.peer)
 	return nil
 }
 
-// launch starts the new process.
-func (g *Sender) launch() (*Pipe, other, error) {
-	cmd, err := g.Command()
+// launch starts the new process with its end of a pipe.
+func (s *Sender) launch() (*Pipe, peerProcess, error) {
+	cmd, err := s.Command()
 	if err != nil {
-		return nil, other{}, err
+		return nil, peerProcess{}, err
 	}
 	pipe, theirs, err := Pair()
 	if err != nil {
-		return nil, other{}, err
+		return nil, peerProcess{}, err
 	}
-	at := firstFile + len(cmd.ExtraFiles)
+	at := firstExtraFD + len(cmd.ExtraFiles)
 	cmd.ExtraFiles = append(cmd.ExtraFiles, theirs...)
 	cmd.Env = append(cmd.Env, fmt.Sprintf("%s=%d,%d", EnvPipe, at, at+1))
 	err = cmd.Start()
@@ -52,39 +52,39 @@
 	}
 	if err != nil {
 		pipe.Close()
-		return nil, other{}, err
+		return nil, peerProcess{}, err
 	}
-	return pipe, other{pid: cmd.Process.Pid, kill: func() { cmd.Process.Kill() }, wait: cmd.Wait}, nil
+	return pipe, peerProcess{pid: cmd.Process.Pid, kill: func() { cmd.Process.Kill() }, wait: cmd.Wait}, nil
 }
 
-// metBy is a new process that came by itself. It is not this one's to end: where nothing comes of the hand-over it
-// starts by itself. Danger: told to go it may act, and then only its end makes sure that it does not.
-func (g *Sender) metBy(n *Replacement) other {
-	return other{pid: n.PID, wait: func() error { return nil }, kill: func() {
-		if g.machine.passed {
+// peerOf returns an external replacement as the peer. This process does not own it: if the handover fails, the
+// replacement starts without it. But once Go was sent it may act, and only killing it makes sure that it does not.
+func (s *Sender) peerOf(n *Replacement) peerProcess {
+	return peerProcess{pid: n.PID, wait: func() error { return nil }, kill: func() {
+		if s.machine.commitSent {
 			syscall.Kill(n.PID, syscall.SIGKILL)
 			return
 		}
-		n.Refuse(g.machine.reason)
+		n.Refuse(s.machine.reason)
 	}}
 }
 
-// listen passes on what the new process says, and then its end.
-func (g *Sender) listen(pipe *Pipe, o other) {
+// listen feeds the new process's messages to the machine, and then its exit.
+func (s *Sender) listen(pipe *Pipe, peer peerProcess) {
 	for {
 		m, err := pipe.Receive(0)
 		if err != nil {
-			if !ended(err) && !errors.Is(err, net.ErrClosed) {
-				g.inputs <- MessageReceived{err}
+			if !pipeClosed(err) && !errors.Is(err, net.ErrClosed) {
+				s.inputs <- MessageReceived{err}
 			}
 			break
 		}
-		g.inputs <- MessageReceived{m}
+		s.inputs <- MessageReceived{m}
 	}
-	err := o.wait() // a process that says no more must end; where it does not, a limit has it killed
-	how := "it ended, or gave up"
+	err := peer.wait() // a process that closed its pipe must exit; if it does not, a phase's time limit has it killed
+	cause := "it exited, or closed its pipe"
 	if err != nil {
-		how = err.Error()
+		cause = err.Error()
 	}
-	g.inputs <- PeerExited{Cause: how}
+	s.inputs <- PeerExited{Cause: cause}
 }
--- a/internal/upgrade/machine.go
+++ b/internal/upgrade/machine.go
@@ -1,8 +1,9 @@
-// Package upgrade passes everything that a dispatcher holds to a new process of another build: its listener, its
-// connections, and all in-flight state. The old process gives, the new one takes.
+// Package upgrade hands over everything that a dispatcher holds to a new process of another build: its listener, its
+// connections, and all in-flight state. The old process sends, the new one receives.
 //
-// Machine is the giver's side as a state machine without I/O; Pipe carries messages and descriptors between the
-// two; Giver and Taker do what the machine asks for. docs/upgrade-design.md gives the reasons.
+// Machine is the sender's side as a state machine without I/O. Pipe carries messages and descriptors between the two
+// processes. Sender executes the machine's actions; Receive and Received are the new process's side.
+// docs/upgrade-design.md gives the reasons.
 package upgrade
 
 import (
@@ -10,22 +11,22 @@
 	"time"
 )
 
-// Phase is how far a hand-over has come.
+// Phase is the progress of a handover.
 type Phase int
 
-// The phases, in the order in which a good hand-over goes through them.
+// The phases, in the order of a successful handover.
 const (
-	Idle       Phase = iota // no hand-over
-	Starting                // the new process has been started and has not said hello
-	Rehearsing              // it is taking up a first snapshot, while the old process serves
-	Following               // it follows the old one's events, until the probation is over
-	Passing                 // descriptors pass to it ahead, while the old process serves
-	Holding                 // the old process is coming to rest
-	Offering                // everything has been sent; the new process has not said that it is ready
-	Committing              // it has been told to go; it has not said that it acts
-	Leaving                 // it acts: the old process ends
-	Killing                 // it failed; its end is waited for before anything goes on here
-	Stranded                // it acted, and ended at once: nobody knows what it did
+	Idle       Phase = iota // no handover
+	Starting                // the new process was started and has not sent Hello yet
+	Rehearsing              // the new process imports a first snapshot, while the old process serves
+	Following               // the new process replays the old one's events, until the probation is over
+	Passing                 // descriptors are sent ahead, while the old process serves
+	Holding                 // the old process pauses its loop and its connections
+	Offering                // everything is being sent; the new process has not sent Ready yet
+	Committing              // Go was sent; the new process has not sent Acting yet
+	Leaving                 // the new process acts: the old process exits
+	Killing                 // the new process failed; nothing resumes here before it has exited
+	Stranded                // the new process acted and was killed: what it did is unknown
 )
 
 var phaseNames = [...]string{"idle", "starting", "rehearsing", "following", "passing", "holding", "offering", "committing", "leaving",
@@ -38,30 +39,30 @@
 	return phaseNames[p]
 }
 
-// Limits bounds the time of the phases.
+// Limits are the maximum durations of the phases.
 type Limits struct {
-	Start     time.Duration // from the start of the new process to its hello, and again to its first snapshot's import
-	Probation time.Duration // for which it must follow
-	Hold      time.Duration // for the old process to come to rest
-	Offer     time.Duration // for the new process to take everything up
-	Commit    time.Duration // for it to act
+	Start     time.Duration // from the start of the new process to its Hello, then for its first snapshot's import, then for sending ahead
+	Probation time.Duration // of Following; it always takes this long
+	Hold      time.Duration // until the old process is paused
+	Offer     time.Duration // until the new process has received and imported everything
+	Commit    time.Duration // from Go until the new process acts
 }
 
-// Input is anything that moves the machine.
+// Input is an event that the machine reacts to.
 type Input interface{ input() }
 
-// The inputs.
+// The inputs of the machine.
 type (
-	Begin struct { // an upgrade is asked for, by somebody who is told where it is refused
+	Begin struct { // an upgrade is requested; the requester is notified if it is refused
 		Requester   any
-		Replacement *Replacement // the new process, where it came by itself; nil where it is to be started
+		Replacement *Replacement // the new process if it was started externally; nil if this process starts it
 	}
-	MessageReceived struct{ Message any }  // the new process said something
-	PeerExited      struct{ Cause string } // it has ended, and all that it said has been heard
-	TimerExpired    struct{}               // the time set by the last SetTimer is over
-	HoldFinished    struct{ Err error }    // the old process has come to rest, or could not
-	SendFinished    struct{ Err error }    // everything has been sent, or could not be
-	StopRequested   struct{}               // SIGTERM: the old process is to end
+	MessageReceived struct{ Message any }  // from the new process; an error if it could not be decoded
+	PeerExited      struct{ Cause string } // the new process has exited, and all its messages have been processed
+	TimerExpired    struct{}               // the time set by the last SetTimer has passed
+	HoldFinished    struct{ Err error }    // the old process is paused, or could not be
+	SendFinished    struct{ Err error }    // everything was sent, or could not be
+	StopRequested   struct{}               // SIGTERM: the old process is to exit
 )
 
 func (Begin) input()           {}
@@ -72,27 +73,27 @@
 func (SendFinished) input()    {}
 func (StopRequested) input()   {}
 
-// Action is anything that the machine wants done.
+// Action is an operation that the machine requests from the sender.
 type Action interface{ action() }
 
-// The actions, to be carried out in order.
+// The actions, to be executed in order.
 type (
 	Start          struct{}                      // start the new process
 	SendTrial      struct{}                      // send a snapshot, and from there on every step
-	SendFilesAhead struct{}                      // pass on the descriptors there are
-	SendState      struct{}                      // send the reducer's state, which the new process could not follow
-	Hold           struct{}                      // stop the loop and hold the gate; Held answers
-	SendAll        struct{}                      // send everything with its descriptors; Sent answers
-	SendGo         struct{}                      // tell the new process to go
-	Kill           struct{}                      // kill it; Gone answers
-	ReleaseHold    struct{}                      // go on here as if nothing had been
-	Exit           struct{}                      // end the process at once, closing nothing in an orderly way
-	ExitCrashed    struct{}                      // end the process as crashed
-	SetTimer       struct{ After time.Duration } // 0 for none; replaces the last one
-	ReportPhase    struct{ Phase Phase }         // for those who watch
-	Finished       struct {                      // for those who watch: the upgrade is over, and this process stays
+	SendFilesAhead struct{}                      // send the descriptors of the present connections
+	SendState      struct{}                      // send the reducer's state, since the new process could not follow every step
+	Hold           struct{}                      // pause the loop and the gate; HoldFinished is the reply
+	SendAll        struct{}                      // send the parcel and its descriptors; SendFinished is the reply
+	SendGo         struct{}                      // send Go to the new process
+	Kill           struct{}                      // kill the new process; PeerExited is the reply
+	ReleaseHold    struct{}                      // resume here as if nothing had happened
+	Exit           struct{}                      // exit at once, without an orderly shutdown of anything
+	ExitCrashed    struct{}                      // exit with an error status
+	SetTimer       struct{ After time.Duration } // replaces the last one; 0 for none
+	ReportPhase    struct{ Phase Phase }         // notify the watchers of the new phase
+	Finished       struct {                      // notify the watchers: the upgrade is over, and this process stays
 		Refused     bool
-		Requester   any // who asked, where it is refused
+		Requester   any // of the upgrade, if it is refused
 		Replacement *Replacement
 		Reason      string
 	}
@@ -113,39 +114,39 @@
 func (ReportPhase) action()    {}
 func (Finished) action()       {}
 
-// Machine decides the giver's steps. Its zero value but for Limits is idle.
+// Machine decides the steps of the old process. With Limits set and all else zero it is idle.
 type Machine struct {
-	Limits  Limits
-	Strict  bool // other decisions than the old process's, while following, are a reason to fall back
-	phase   Phase
-	held    bool // the loop and the gate are held
-	passed  bool // the new process was told to go
-	came    bool // the new process came by itself
-	reason  string
-	stopped bool // SIGTERM came; no new upgrade
-	out     []Action
+	Limits     Limits
+	Strict     bool // fall back if the new process decides differently while following
+	phase      Phase
+	held       bool // the loop and the gate are held
+	commitSent bool // Go is being sent or was sent
+	external   bool // the new process was started externally
+	reason     string
+	stopped    bool // SIGTERM was received; no new upgrade begins
+	actions    []Action
 }
 
-// Phase tells how far the hand-over has come.
+// Phase returns the progress of the handover.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// Past tells whether orders to this process are to be put off: it is at rest, and the new one may own everything.
+// DefersOrders reports whether orders to this process must wait: it is paused, and the new process may own everything.
 func (m *Machine) DefersOrders() bool { return m.held || m.phase == Leaving || m.phase == Stranded }
 
-// Step takes an input and returns what is to be done.
+// Step processes an input and returns the actions that it requires.
 func (m *Machine) Step(in Input) []Action {
-	m.out = nil
+	m.actions = nil
 	switch in := in.(type) {
 	case Begin:
 		m.begin(in)
 	case MessageReceived:
-		m.heard(in.Message)
+		m.messageReceived(in.Message)
 	case PeerExited:
-		m.gone(in.Cause)
+		m.peerExited(in.Cause)
 	case TimerExpired:
-		m.timeUp()
+		m.timerExpired()
 	case HoldFinished:
-		m.whenHeld(in.Err)
+		m.holdFinished(in.Err)
 	case SendFinished:
 		if m.phase == Offering && in.Err != nil {
 			m.fail(fmt.Sprintf("could not send everything: %v", in.Err))
@@ -154,18 +155,18 @@
 		m.stopped = true
 		switch m.phase {
 		case Starting, Rehearsing, Following, Passing:
-			// One that came by itself is there because this process is to end: it gets what it came for.
-			if !m.came {
+			// An externally started process is there because this process is to exit: the handover continues.
+			if !m.external {
 				m.fail("SIGTERM came meanwhile")
 			}
 		}
 	}
-	return m.out
+	return m.actions
 }
 
-func (m *Machine) do(a ...Action) { m.out = append(m.out, a...) }
+func (m *Machine) do(a ...Action) { m.actions = append(m.actions, a...) }
 
-// enter begins a phase that must end within a time.
+// enter begins a phase with a time limit; 0 for none.
 func (m *Machine) enter(p Phase, limit time.Duration) {
 	m.phase = p
 	m.do(SetTimer{limit}, ReportPhase{p})
@@ -181,13 +182,13 @@
 	case m.phase != Idle:
 		refuse("an upgrade is under way: " + m.phase.String())
 	default:
-		m.reason, m.passed, m.came = "", false, in.Replacement != nil
+		m.reason, m.commitSent, m.external = "", false, in.Replacement != nil
 		m.enter(Starting, m.Limits.Start)
 		m.do(Start{})
 	}
 }
 
-// fail ends a hand-over. Danger: nothing may go on here while the new process lives, and might act.
+// fail ends a handover. Nothing may resume here while the new process lives, since it might act.
 func (m *Machine) fail(reason string) {
 	switch m.phase {
 	case Idle, Killing, Leaving, Stranded:
@@ -198,15 +199,15 @@
 	m.do(Kill{})
 }
 
-func (m *Machine) heard(message any) {
+func (m *Machine) messageReceived(message any) {
 	switch x := message.(type) {
 	case Refused:
 		m.fail("the new process refused: " + x.Reason)
 	case Hello:
 		if m.phase != Starting {
-			m.fail("the new process said hello again")
+			m.fail("the new process sent hello again")
 		} else if x.Protocol != Protocol || x.Schema != ownSchema {
-			m.fail(fmt.Sprintf("the new process speaks hand-over protocol %d and snapshot schema %d, this one %d and %d",
+			m.fail(fmt.Sprintf("the new process uses handover protocol %d and snapshot schema %d, this one %d and %d",
 				x.Protocol, x.Schema, Protocol, ownSchema))
 		} else {
 			m.enter(Rehearsing, m.Limits.Start)
@@ -223,7 +224,7 @@
 	case AheadTaken:
 		if m.phase == Passing {
 			m.held = true
-			m.enter(Holding, 0) // Hold has a limit of its own
+			m.enter(Holding, 0) // the Hold action has a limit of its own
 			m.do(Hold{})
 		}
 	case NeedState:
@@ -232,7 +233,7 @@
 		}
 	case Ready:
 		if m.phase == Offering {
-			m.passed = true
+			m.commitSent = true
 			m.enter(Committing, m.Limits.Commit)
 			m.do(SendGo{})
 		}
@@ -241,26 +242,26 @@
 		case m.phase == Committing:
 			m.enter(Leaving, 0)
 			m.do(Exit{})
-		case m.phase == Killing && m.passed:
-			// Danger: it acted before it was killed. What it did is not known here, and repeating any of it could
+		case m.phase == Killing && m.commitSent:
+			// It acted before it was killed. What it did is not known here, and repeating any of it could
 			// answer a request twice or run a job again.
 			m.enter(Stranded, 0)
 			m.do(ExitCrashed{})
 		default:
-			m.fail("the new process acted without being told to")
+			m.fail("the new process acted before it received the go message")
 		}
 	default:
-		m.fail(fmt.Sprintf("the new process sent what is not understood (%T)", message))
+		m.fail(fmt.Sprintf("the new process sent a message that is not understood (%T)", message))
 	}
 }
 
-func (m *Machine) gone(how string) {
+func (m *Machine) peerExited(cause string) {
 	switch m.phase {
 	case Idle, Leaving, Stranded:
 		return
 	case Killing:
 	default:
-		m.reason = fmt.Sprintf("the new process ended while %v: %s", m.phase, how)
+		m.reason = fmt.Sprintf("the new process ended while %v: %s", m.phase, cause)
 	}
 	if m.held {
 		m.held = false
@@ -270,7 +271,7 @@
 	m.do(SetTimer{0}, ReportPhase{Idle}, Finished{Reason: m.reason})
 }
 
-func (m *Machine) timeUp() {
+func (m *Machine) timerExpired() {
 	switch m.phase {
 	case Following:
 		m.enter(Passing, m.Limits.Start)
@@ -280,11 +281,11 @@
 	}
 }
 
-func (m *Machine) whenHeld(err error) {
+func (m *Machine) holdFinished(err error) {
 	switch {
 	case err != nil:
-		m.held = false // what could not be held has been let go
-		m.fail(fmt.Sprintf("could not come to rest: %v", err))
+		m.held = false // a failed hold has released everything
+		m.fail(fmt.Sprintf("could not pause: %v", err))
 	case m.phase == Holding:
 		m.enter(Offering, m.Limits.Offer)
 		m.do(SendAll{})
--- a/internal/upgrade/machine_test.go
+++ b/internal/upgrade/machine_test.go
@@ -10,16 +10,16 @@
 	"pgregory.net/rapid"
 )
 
-func machine() *Machine {
+func newMachine() *Machine {
 	return &Machine{Limits: Limits{Start: time.Second, Probation: time.Second, Hold: time.Second, Offer: time.Second, Commit: time.Second}}
 }
 
 var hello = Hello{Protocol: Protocol, Schema: ownSchema}
 
 // good is what happens in an upgrade where nothing goes wrong.
-var good = []Input{Begin{}, MessageReceived{hello}, MessageReceived{TrialTaken{}}, TimerExpired{}, MessageReceived{AheadTaken{}}, HoldFinished{}, SendFinished{}, MessageReceived{Ready{}}, MessageReceived{Acting{}}}
+var successfulUpgrade = []Input{Begin{}, MessageReceived{hello}, MessageReceived{TrialTaken{}}, TimerExpired{}, MessageReceived{AheadTaken{}}, HoldFinished{}, SendFinished{}, MessageReceived{Ready{}}, MessageReceived{Acting{}}}
 
-func brief(actions []Action) string {
+func actionNames(actions []Action) string {
 	var out []string
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -34,10 +34,10 @@
 }
 
 func TestGoodUpgrade(t *testing.T) {
-	m := machine()
+	m := newMachine()
 	for i, want := range []string{"Start", "SendTrial", "", "SendFilesAhead", "Hold", "SendAll", "", "SendGo", "Exit"} {
-		if got := brief(m.Step(good[i])); got != want {
-			t.Fatalf("%T: %q, want %q", good[i], got, want)
+		if got := actionNames(m.Step(successfulUpgrade[i])); got != want {
+			t.Fatalf("%T: %q, want %q", successfulUpgrade[i], got, want)
 		}
 	}
 	if m.Phase() != Leaving || !m.DefersOrders() {
@@ -51,16 +51,16 @@
 		in   Input
 		want string // the reason holds this; empty where nothing comes of it
 	}
-	for n := 1; n < len(good); n++ {
+	for n := 1; n < len(successfulUpgrade); n++ {
 		for name, b := range map[string]bad{
 			"ended":        {PeerExited{"signal: killed"}, "ended while"},
 			"refused":      {MessageReceived{Refused{"no room"}}, "no room"},
 			"garbage":      {MessageReceived{errors.New("x")}, "not understood"},
 			"hello again":  {MessageReceived{Hello{}}, "hello again"},
-			"acts unasked": {MessageReceived{Acting{}}, "without being told"},
+			"acts unasked": {MessageReceived{Acting{}}, "before it received the go message"},
 		} {
-			m := machine()
-			for _, in := range good[:n] {
+			m := newMachine()
+			for _, in := range successfulUpgrade[:n] {
 				m.Step(in)
 			}
 			at := m.Phase()
@@ -69,12 +69,12 @@
 			}
 			actions := m.Step(b.in)
 			if _, gone := b.in.(PeerExited); !gone {
-				if got := brief(actions); got != "Kill" || m.Phase() != Killing {
+				if got := actionNames(actions); got != "Kill" || m.Phase() != Killing {
 					t.Errorf("%s while %v: %q, then %v", name, at, got, m.Phase())
 				}
 				actions = m.Step(PeerExited{"killed"})
 			}
-			got, want := brief(actions), "Finished(false)"
+			got, want := actionNames(actions), "Finished(false)"
 			if at >= Holding {
 				want = "ReleaseHold " + want
 			}
@@ -97,24 +97,24 @@
 		"a second upgrade":        {false, []Input{Begin{}, Begin{}}, "Finished(true)"},
 		"after SIGTERM":           {false, []Input{StopRequested{}, Begin{}}, "Finished(true)"},
 		"SIGTERM while starting":  {false, []Input{Begin{}, StopRequested{}}, "Kill"},
-		"SIGTERM while held":      {false, append(append([]Input{}, good[:6]...), StopRequested{}), ""},
+		"SIGTERM while held":      {false, append(append([]Input{}, successfulUpgrade[:6]...), StopRequested{}), ""},
 		"another protocol":        {false, []Input{Begin{}, MessageReceived{Hello{Protocol: 9, Schema: ownSchema}}}, "Kill"},
 		"another schema":          {false, []Input{Begin{}, MessageReceived{Hello{Protocol: Protocol, Schema: 99}}}, "Kill"},
 		"too long while starting": {false, []Input{Begin{}, TimerExpired{}}, "Kill"},
-		"no rest":                 {false, append(append([]Input{}, good[:5]...), HoldFinished{errors.New("busy")}), "Kill"},
-		"not sent":                {false, append(append([]Input{}, good[:6]...), SendFinished{errors.New("broken")}), "Kill"},
-		"other decisions":         {false, append(append([]Input{}, good[:3]...), MessageReceived{Differs{}}), ""},
-		"other decisions, strict": {true, append(append([]Input{}, good[:3]...), MessageReceived{Differs{}}), "Kill"},
-		"needs the state":         {false, append(append([]Input{}, good[:7]...), MessageReceived{NeedState{}}), "SendState"},
-		"acted, and was killed":   {false, append(append([]Input{}, good[:8]...), TimerExpired{}, MessageReceived{Acting{}}), "ExitCrashed"},
+		"no rest":                 {false, append(append([]Input{}, successfulUpgrade[:5]...), HoldFinished{errors.New("busy")}), "Kill"},
+		"not sent":                {false, append(append([]Input{}, successfulUpgrade[:6]...), SendFinished{errors.New("broken")}), "Kill"},
+		"other decisions":         {false, append(append([]Input{}, successfulUpgrade[:3]...), MessageReceived{Differs{}}), ""},
+		"other decisions, strict": {true, append(append([]Input{}, successfulUpgrade[:3]...), MessageReceived{Differs{}}), "Kill"},
+		"needs the state":         {false, append(append([]Input{}, successfulUpgrade[:7]...), MessageReceived{NeedState{}}), "SendState"},
+		"acted, and was killed":   {false, append(append([]Input{}, successfulUpgrade[:8]...), TimerExpired{}, MessageReceived{Acting{}}), "ExitCrashed"},
 	} {
-		m := machine()
+		m := newMachine()
 		m.Strict = tc.strict
 		var last []Action
 		for _, in := range tc.in {
 			last = m.Step(in)
 		}
-		if got := brief(last); got != tc.want {
+		if got := actionNames(last); got != tc.want {
 			t.Errorf("%s: %q, want %q", name, got, tc.want)
 		}
 	}
@@ -124,17 +124,17 @@
 // the process ends; nothing goes on here while a new process may live; and nobody acts before the word to go.
 func TestMachineProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := machine()
+		m := newMachine()
 		held, alive, left, told := false, false, false, false
 		inputs := append([]Input{Begin{}, TimerExpired{}, StopRequested{}, HoldFinished{}, HoldFinished{errors.New("busy")}, SendFinished{errors.New("x")}, PeerExited{"x"},
-			MessageReceived{Refused{}}, MessageReceived{Differs{}}, MessageReceived{NeedState{}}}, good...)
+			MessageReceived{Refused{}}, MessageReceived{Differs{}}, MessageReceived{NeedState{}}}, successfulUpgrade...)
 		at := 0
 		for range rapid.IntRange(1, 60).Draw(t, "inputs") {
 			var in Input
 			if rapid.IntRange(0, 4).Draw(t, "stray") == 0 {
 				in = rapid.SampledFrom(inputs).Draw(t, "input")
 			} else {
-				in = good[at%len(good)]
+				in = successfulUpgrade[at%len(successfulUpgrade)]
 				at++
 			}
 			switch in.(type) {
--- a/internal/upgrade/messages.go
+++ b/internal/upgrade/messages.go
@@ -8,75 +8,75 @@
 	"foldlb.example/foldlb/internal/snapshot"
 )
 
-// Protocol is the version of what giver and taker say to each other.
+// Protocol is the version of the messages between the two processes. Both must use the same.
 const Protocol = 2
 
 const ownSchema = snapshot.Schema
 
-// What the new process says.
+// Messages of the new process.
 type (
-	// Hello is its first word.
+	// Hello is its first message.
 	Hello struct {
 		Protocol int
 		Schema   uint16
 		Version  string
 		PID      int
 	}
-	// TrialTaken says that it has taken up the first snapshot.
+	// TrialTaken reports that it has imported the first snapshot, of so many bytes.
 	TrialTaken struct{ Bytes int }
-	// Differs says that its decisions while following were not the old process's.
+	// Differs reports that its decisions while following were not the old process's.
 	Differs struct {
 		Steps int
 		First string
 	}
-	// AheadTaken says that it has taken the descriptors that were passed on ahead.
+	// AheadTaken reports that it has received all descriptors that were sent ahead.
 	AheadTaken struct{}
-	// NeedState says that it could not follow to the last step, and needs the reducer's state.
+	// NeedState reports that it could not follow to the last step, and requests the reducer's state.
 	NeedState struct{}
-	// Ready says that it has taken up everything and waits for the word to go.
+	// Ready reports that it has imported everything and waits for Go.
 	Ready struct{ Followed, Differed int }
-	// Acting is its last word: from here on it owns everything.
+	// Acting is its last message: from here on it owns everything.
 	Acting struct{}
-	// Refused says why it can't.
+	// Refused reports that it can't take over, and why.
 	Refused struct{ Reason string }
 )
 
-// What the old process says.
+// Messages of the old process.
 type (
-	// Trial is a snapshot to rehearse with.
+	// Trial is the first snapshot, which the new process imports while the old one serves.
 	Trial struct{ Reducer []byte }
-	// Followed is one step of the old process.
+	// Followed is one step of the old process's reducer.
 	Followed struct {
 		Now    float64
 		Event  snapshot.Event
-		Digest uint64 // of its effects
+		Digest uint64 // of its effects, as Digest returns it
 	}
-	// Parcel is everything. Its descriptors travel beside it.
+	// Parcel is the complete state, without the reducer's. Its descriptors are sent beside it.
 	Parcel struct {
 		Generation int
 		Started    int64   // Unix nanoseconds of the first generation's start
-		Clock      float64 // the dispatcher's clock, in seconds
-		Monotonic  int64   // CLOCK_MONOTONIC at that, in nanoseconds
-		Steps      int     // that were told since the first snapshot; -1 where one was left out
+		Clock      float64 // the dispatcher's clock at its start, in seconds of Unix time
+		Monotonic  int64   // CLOCK_MONOTONIC at the clock's start, in nanoseconds
+		Steps      int     // Followed messages since the first snapshot; -1 if one was left out
 		Backlog    []snapshot.Event
 		Listener   int
-		Control    int // place of the control socket's listener; -1 for none
+		Control    int // index of the control socket's listener; -1 for none
 		Parts      map[string]cbor.RawMessage
 		Files      int
-		Reload     bool // the configuration was read again since the new process was started
+		Reload     bool // the configuration was reloaded since the new process was started
 	}
-	// Ahead says that so many descriptors pass on ahead.
+	// Ahead announces so many descriptors that are sent ahead; 0 ends them.
 	Ahead struct{ Files int }
 	// State is the reducer's state at the hold.
 	State struct{ Reducer []byte }
-	// Go tells the new process that everything is its own.
+	// Go tells the new process that it owns everything.
 	Go struct{}
-	// Cancelled tells a newcomer that nothing of what it was sent is its own. Danger: a pipe that just ended would say
-	// that this process has died, and that everything is.
+	// Cancelled tells an external replacement that it owns nothing of what it was sent. If the pipe closed without it,
+	// the replacement would conclude that this process is dead and that it owns everything.
 	Cancelled struct{ Reason string }
 )
 
-// kinds numbers the messages on the pipe.
+// The kinds of the messages on the pipe. They are shared with processes of other versions.
 const (
 	kindHello = iota + 1
 	kindTrialTaken
@@ -95,7 +95,7 @@
 	kindCancelled
 )
 
-// encode writes a message down.
+// encode returns a message's kind and its CBOR encoding.
 func encode(m any) (kind byte, text []byte, err error) {
 	switch m.(type) {
 	case Hello:
@@ -129,50 +129,50 @@
 	case Cancelled:
 		kind = kindCancelled
 	default:
-		return 0, nil, fmt.Errorf("upgrade: %T is no message", m)
+		return 0, nil, fmt.Errorf("upgrade: %T is not a message", m)
 	}
 	text, err = snapshot.Marshal(m)
 	return kind, text, err
 }
 
-// decode reads a message. What is not one is an error that wraps snapshot.ErrForm.
+// decode decodes a message. If it is invalid, the error wraps snapshot.ErrFormat.
 func decode(kind byte, text []byte) (any, error) {
 	switch kind {
 	case kindHello:
-		return as[Hello](text)
+		return decodeAs[Hello](text)
 	case kindTrialTaken:
-		return as[TrialTaken](text)
+		return decodeAs[TrialTaken](text)
 	case kindDiffers:
-		return as[Differs](text)
+		return decodeAs[Differs](text)
 	case kindReady:
-		return as[Ready](text)
+		return decodeAs[Ready](text)
 	case kindActing:
-		return as[Acting](text)
+		return decodeAs[Acting](text)
 	case kindRefused:
-		return as[Refused](text)
+		return decodeAs[Refused](text)
 	case kindTrial:
-		return as[Trial](text)
+		return decodeAs[Trial](text)
 	case kindFollowed:
-		return as[Followed](text)
+		return decodeAs[Followed](text)
 	case kindParcel:
-		return as[Parcel](text)
+		return decodeAs[Parcel](text)
 	case kindGo:
-		return as[Go](text)
+		return decodeAs[Go](text)
 	case kindAheadTaken:
-		return as[AheadTaken](text)
+		return decodeAs[AheadTaken](text)
 	case kindNeedState:
-		return as[NeedState](text)
+		return decodeAs[NeedState](text)
 	case kindAhead:
-		return as[Ahead](text)
+		return decodeAs[Ahead](text)
 	case kindState:
-		return as[State](text)
+		return decodeAs[State](text)
 	case kindCancelled:
-		return as[Cancelled](text)
+		return decodeAs[Cancelled](text)
 	}
 	return nil, fmt.Errorf("%w: message of unknown kind %d", snapshot.ErrFormat, kind)
 }
 
-func as[T any](text []byte) (any, error) {
+func decodeAs[T any](text []byte) (any, error) {
 	var m T
 	if err := snapshot.Unmarshal(text, &m); err != nil {
 		return nil, err
--- a/internal/upgrade/orders.go
+++ b/internal/upgrade/orders.go
@@ -5,28 +5,28 @@
 	"syscall"
 )
 
-// order is what somebody wants done by the process that owns everything.
-type order struct {
-	signal os.Signal // sent to the new process, if that takes over first
-	run    func()    // done here, if this process stays
+// ownerOrder is an operation that the process which owns everything must perform.
+type ownerOrder struct {
+	signal os.Signal // sent to the new process if it takes over first
+	run    func()    // called here if this process stays
 }
 
-// Order has run called by the process that owns everything: here, at once or when an upgrade under way has fallen
-// back; or, as the signal says, by the new process. It returns when run has been called here.
-func (g *Sender) RunAsOwner(signal os.Signal, run func()) {
+// RunAsOwner has the operation performed by the process that owns everything: here, by run, at once or when an upgrade in
+// progress has fallen back; or by the new process, which receives the signal. It returns when run has returned here.
+func (s *Sender) RunAsOwner(signal os.Signal, run func()) {
 	done := make(chan struct{})
-	g.orders <- order{signal, func() { run(); close(done) }}
+	s.orders <- ownerOrder{signal, func() { run(); close(done) }}
 	<-done
 }
 
-// Stop says that the process is to end. It returns when no upgrade is under way any more; where the new process has
-// taken over it does not return, and the new one is told instead.
-func (g *Sender) Stop() {
-	g.inputs <- StopRequested{}
+// Stop requests the end of this process. It returns when no upgrade is in progress. If the new process has taken over,
+// it does not return; a new process that this one started receives SIGTERM instead.
+func (s *Sender) Stop() {
+	s.inputs <- StopRequested{}
 	idle := make(chan struct{})
-	g.orders <- order{syscall.SIGTERM, func() { close(idle) }}
+	s.orders <- ownerOrder{syscall.SIGTERM, func() { close(idle) }}
 	<-idle
 }
 
-// DeferredOrders tells how many orders wait for the end of an upgrade.
-func (g *Sender) DeferredOrders() int { return int(g.putOff.Load()) }
+// DeferredOrders returns the number of orders that wait for the end of an upgrade.
+func (s *Sender) DeferredOrders() int { return int(s.deferredOrders.Load()) }
--- a/internal/upgrade/pipe.go
+++ b/internal/upgrade/pipe.go
@@ -16,37 +16,37 @@
 )
 
 const (
-	filesAtOnce = 200 // descriptors in a packet; the kernel takes 253
-	mostWord    = 1 << 20
-	cancelWait  = 100 * time.Millisecond
+	maxFilesPerPacket    = 200 // descriptors; the kernel accepts 253
+	maxShortMessageBytes = 1 << 20
+	cancelTimeout        = 100 * time.Millisecond
 )
 
-// Pipe carries messages, and beside them descriptors, between the two processes. It consists of two pairs of Unix
-// sockets: a stream for the messages, and one of packets, each with some descriptors.
+// Pipe carries messages and descriptors between the two processes. It consists of two Unix socket pairs: a stream for
+// the messages, and one of packets, each with up to maxFilesPerPacket descriptors.
 type Pipe struct {
-	words *net.UnixConn
-	files *net.UnixConn
+	messageConn *net.UnixConn
+	fileConn    *net.UnixConn
 
-	mu sync.Mutex // of writing
+	mu sync.Mutex // serializes messages that are sent
 }
 
-// Pair makes a pipe and the other end's two files, to be passed to a child and then closed.
+// Pair returns one end of a pipe and the two files of its other end, to be passed to a child and then closed.
 func Pair() (*Pipe, []*os.File, error) {
-	words, theirs, err := pair(unix.SOCK_STREAM)
+	messageConn, theirMessages, err := socketPair(unix.SOCK_STREAM)
 	if err != nil {
 		return nil, nil, err
 	}
-	files, theirFiles, err := pair(unix.SOCK_SEQPACKET)
+	fileConn, theirFiles, err := socketPair(unix.SOCK_SEQPACKET)
 	if err != nil {
-		words.Close()
-		theirs.Close()
+		messageConn.Close()
+		theirMessages.Close()
 		return nil, nil, err
 	}
-	return &Pipe{words: words, files: files}, []*os.File{theirs, theirFiles}, nil
+	return &Pipe{messageConn: messageConn, fileConn: fileConn}, []*os.File{theirMessages, theirFiles}, nil
 }
 
-func pair(kind int) (*net.UnixConn, *os.File, error) {
-	fds, err := unix.Socketpair(unix.AF_UNIX, kind|unix.SOCK_CLOEXEC, 0)
+func socketPair(socketType int) (*net.UnixConn, *os.File, error) {
+	fds, err := unix.Socketpair(unix.AF_UNIX, socketType|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, nil, fmt.Errorf("upgrade: socket pair: %w", err)
 	}
@@ -68,28 +68,28 @@
 	u, ok := c.(*net.UnixConn)
 	if !ok {
 		c.Close()
-		return nil, fmt.Errorf("upgrade: descriptor %d is no Unix socket", fd)
+		return nil, fmt.Errorf("upgrade: descriptor %d is not a Unix socket", fd)
 	}
 	return u, nil
 }
 
-// Inherit opens the end of a pipe that was passed as two descriptors.
-func Inherit(words, files int) (*Pipe, error) {
-	unix.CloseOnExec(words)
-	unix.CloseOnExec(files)
-	w, err := unixConn(words)
+// Inherit opens the end of a pipe that was received as two descriptors.
+func Inherit(messageFD, fileFD int) (*Pipe, error) {
+	unix.CloseOnExec(messageFD)
+	unix.CloseOnExec(fileFD)
+	messageConn, err := unixConn(messageFD)
 	if err != nil {
 		return nil, err
 	}
-	f, err := unixConn(files)
+	fileConn, err := unixConn(fileFD)
 	if err != nil {
-		w.Close()
+		messageConn.Close()
 		return nil, err
 	}
-	return &Pipe{words: w, files: f}, nil
+	return &Pipe{messageConn: messageConn, fileConn: fileConn}, nil
 }
 
-// Send writes a message.
+// Send writes a message. It returns an error that wraps snapshot.ErrTooLarge if the message is over snapshot.MostBytes.
 func (p *Pipe) Send(m any) error {
 	kind, text, err := encode(m)
 	if err != nil {
@@ -102,51 +102,51 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	buffers := net.Buffers{head, text}
-	if _, err := buffers.WriteTo(p.words); err != nil {
+	if _, err := buffers.WriteTo(p.messageConn); err != nil {
 		return fmt.Errorf("upgrade: %w", err)
 	}
 	return nil
 }
 
-// Receive reads the next message. most bounds its length in bytes; 0 stands for that of a short word. io.EOF says
-// that the other process has ended, or closed its end, after a whole message.
-func (p *Pipe) Receive(most int) (any, error) {
-	if most == 0 {
-		most = mostWord
+// Receive reads the next message of at most maxBytes; 0 stands for maxShortMessageBytes. It returns io.EOF if the other
+// process has exited, or closed its end, after a complete message.
+func (p *Pipe) Receive(maxBytes int) (any, error) {
+	if maxBytes == 0 {
+		maxBytes = maxShortMessageBytes
 	}
 	var head [5]byte
-	if _, err := io.ReadFull(p.words, head[:]); err != nil {
+	if _, err := io.ReadFull(p.messageConn, head[:]); err != nil {
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[1:])
-	if int64(n) > int64(most) {
-		return nil, fmt.Errorf("%w: a message of %d bytes, %d at most", snapshot.ErrTooLarge, n, most)
+	if int64(n) > int64(maxBytes) {
+		return nil, fmt.Errorf("%w: a message of %d bytes, %d at most", snapshot.ErrTooLarge, n, maxBytes)
 	}
 	text := make([]byte, n)
-	if _, err := io.ReadFull(p.words, text); err != nil {
-		return nil, fmt.Errorf("upgrade: message cut short: %w", err)
+	if _, err := io.ReadFull(p.messageConn, text); err != nil {
+		return nil, fmt.Errorf("upgrade: message truncated: %w", err)
 	}
 	return decode(head[0], text)
 }
 
-// SendFiles passes descriptors on, in order. Danger: the kernel counts descriptors on their way, and refuses too
-// many at once; so each packet waits until the last one has been taken.
+// SendFiles sends descriptors in order. The kernel limits the number of descriptors in flight and refuses more, so each
+// packet waits until the previous one has been received.
 func (p *Pipe) SendFiles(fds []int) error {
-	var word [1]byte
+	var acknowledgement [1]byte
 	for len(fds) > 0 {
-		some := fds[:min(len(fds), filesAtOnce)]
-		fds = fds[len(some):]
-		if _, _, err := p.files.WriteMsgUnix([]byte{byte(len(some))}, unix.UnixRights(some...), nil); err != nil {
-			return fmt.Errorf("upgrade: pass descriptors on: %w", err)
+		batch := fds[:min(len(fds), maxFilesPerPacket)]
+		fds = fds[len(batch):]
+		if _, _, err := p.fileConn.WriteMsgUnix([]byte{byte(len(batch))}, unix.UnixRights(batch...), nil); err != nil {
+			return fmt.Errorf("upgrade: send descriptors: %w", err)
 		}
-		if _, err := p.files.Read(word[:]); err != nil {
-			return fmt.Errorf("upgrade: descriptors were not taken: %w", err)
+		if _, err := p.fileConn.Read(acknowledgement[:]); err != nil {
+			return fmt.Errorf("upgrade: descriptors were not acknowledged: %w", err)
 		}
 	}
 	return nil
 }
 
-// ReceiveFiles takes n descriptors. On an error none is left open.
+// ReceiveFiles receives n descriptors. If it returns an error, it has closed all of them.
 func (p *Pipe) ReceiveFiles(n int) (fds []int, err error) {
 	defer func() {
 		if err != nil {
@@ -156,51 +156,51 @@
 			fds = nil
 		}
 	}()
-	var word [1]byte
-	room := make([]byte, unix.CmsgSpace(4*filesAtOnce))
+	var payload [1]byte
+	control := make([]byte, unix.CmsgSpace(4*maxFilesPerPacket))
 	for len(fds) < n {
-		_, got, flags, _, err := p.files.ReadMsgUnix(word[:], room)
+		_, got, flags, _, err := p.fileConn.ReadMsgUnix(payload[:], control)
 		if err != nil {
-			return fds, fmt.Errorf("upgrade: take descriptors: %w", err)
+			return fds, fmt.Errorf("upgrade: receive descriptors: %w", err)
 		}
-		messages, err := unix.ParseSocketControlMessage(room[:got])
+		messages, err := unix.ParseSocketControlMessage(control[:got])
 		if err != nil {
-			return fds, fmt.Errorf("upgrade: take descriptors: %w", err)
+			return fds, fmt.Errorf("upgrade: receive descriptors: %w", err)
 		}
-		some := 0
+		received := 0
 		for i := range messages {
 			rights, err := unix.ParseUnixRights(&messages[i])
 			if err != nil {
-				return fds, fmt.Errorf("upgrade: take descriptors: %w", err)
+				return fds, fmt.Errorf("upgrade: receive descriptors: %w", err)
 			}
 			for _, fd := range rights {
 				unix.CloseOnExec(fd)
 			}
 			fds = append(fds, rights...)
-			some += len(rights)
+			received += len(rights)
 		}
-		if flags&unix.MSG_CTRUNC != 0 || some != int(word[0]) || some == 0 {
-			return fds, fmt.Errorf("upgrade: only %d of %d descriptors could be taken (limit of open files?)", some, word[0])
+		if flags&unix.MSG_CTRUNC != 0 || received != int(payload[0]) || received == 0 {
+			return fds, fmt.Errorf("upgrade: only %d of %d descriptors received (limit of open files?)", received, payload[0])
 		}
-		if _, err := p.files.Write(word[:]); err != nil {
-			return fds, fmt.Errorf("upgrade: take descriptors: %w", err)
+		if _, err := p.fileConn.Write(payload[:]); err != nil {
+			return fds, fmt.Errorf("upgrade: receive descriptors: %w", err)
 		}
 	}
 	return fds, nil
 }
 
-// cancel says that nothing which was sent is the other process's own. Where that can't be written the other process
-// has not read all that was sent before, so that it can't take anything for its own either.
+// cancel sends Cancelled. If it can't be written within cancelTimeout, the other process has not read everything that was
+// sent before it, and so can't become the owner of anything either.
 func (p *Pipe) cancel(reason string) {
-	p.words.SetWriteDeadline(time.Now().Add(cancelWait))
+	p.messageConn.SetWriteDeadline(time.Now().Add(cancelTimeout))
 	p.Send(Cancelled{Reason: reason})
 }
 
-// Close closes this end.
-func (p *Pipe) Close() error { return errors.Join(p.words.Close(), p.files.Close()) }
+// Close closes this end of the pipe.
+func (p *Pipe) Close() error { return errors.Join(p.messageConn.Close(), p.fileConn.Close()) }
 
-// Raw writes bytes that need not be a message: for those who test what a giver makes of them.
+// WriteRaw writes bytes that need not be a valid message, for tests of how the other process handles them.
 func (p *Pipe) WriteRaw(text []byte) error {
-	_, err := p.words.Write(text)
+	_, err := p.messageConn.Write(text)
 	return err
 }
--- a/internal/upgrade/pipe_test.go
+++ b/internal/upgrade/pipe_test.go
@@ -15,7 +15,7 @@
 )
 
 // ends makes both ends of a pipe in this process.
-func ends(t *testing.T) (ours, theirs *Pipe) {
+func pipeEnds(t *testing.T) (ours, theirs *Pipe) {
 	t.Helper()
 	ours, files, err := Pair()
 	if err != nil {
@@ -38,7 +38,7 @@
 }
 
 func TestMessages(t *testing.T) {
-	ours, theirs := ends(t)
+	ours, theirs := pipeEnds(t)
 	for _, m := range []any{Hello{Protocol: 1, Version: "v"}, TrialTaken{3}, Differs{2, "x"}, Ready{4, 5}, Acting{}, Refused{"no"},
 		Go{}, AheadTaken{}, NeedState{}, Ahead{7}} {
 		if err := ours.Send(m); err != nil {
@@ -65,7 +65,7 @@
 		"\x01\x00\x00\x00\x05ab":       io.ErrUnexpectedEOF,  // cut short
 		"\x01\x00":                     io.ErrUnexpectedEOF,
 	} {
-		ours, theirs := ends(t)
+		ours, theirs := pipeEnds(t)
 		ours.WriteRaw([]byte(text))
 		ours.Close()
 		if _, err := theirs.Receive(0); !errors.Is(err, want) {
@@ -76,10 +76,10 @@
 
 // TestManyDescriptors: more than the kernel takes at once arrive in order, and go on working.
 func TestManyDescriptors(t *testing.T) {
-	ours, theirs := ends(t)
+	ours, theirs := pipeEnds(t)
 	var fds []int
 	var readers []*os.File
-	for range 2*filesAtOnce + 10 {
+	for range 2*maxFilesPerPacket + 10 {
 		r, w, err := os.Pipe()
 		if err != nil {
 			t.Fatal(err)
@@ -108,7 +108,7 @@
 
 // TestTooFewDescriptorsLeft: a process at its limit says so, and keeps none of what came.
 func TestTooFewDescriptorsLeft(t *testing.T) {
-	ours, theirs := ends(t)
+	ours, theirs := pipeEnds(t)
 	var old unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
--- a/internal/upgrade/progress.go
+++ b/internal/upgrade/progress.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Progress is what those who watch an upgrade are told.
+// Progress is a notification to those who watch an upgrade.
 type Progress struct {
 	At             time.Time `json:"at"`
 	Step           string    `json:"step"`
 	Detail         string    `json:"detail,omitempty"`
 	Final          bool      `json:"final,omitempty"`
-	Result         string    `json:"result,omitempty"` // of the final one: replaced, fell back, refused
+	Result         string    `json:"result,omitempty"` // of the final one: Replaced, FellBack or Refusal
 	PID            int       `json:"pid,omitempty"`    // of the new process
 	Files          int       `json:"descriptors,omitempty"`
-	FilesWhileHeld int       `json:"descriptors_held,omitempty"` // of those, passed on while everything was held
-	Bytes          int       `json:"bytes,omitempty"`            // of the first snapshot
-	HeldMS         float64   `json:"held_ms,omitempty"`          // from the beginning of the hold to this moment
+	FilesWhileHeld int       `json:"descriptors_held,omitempty"` // of those, sent while everything was held
+	Bytes          int       `json:"bytes,omitempty"`            // size of the first snapshot
+	HeldMS         float64   `json:"held_ms,omitempty"`          // from the beginning of the hold until the new process acted
 	HeldParts      HoldTimes `json:"held_parts,omitzero"`
 }
 
-// Times are the parts of a hold, in milliseconds.
+// HoldTimes are the durations of the parts of a hold, in milliseconds.
 type HoldTimes struct {
-	Quiesce  float64 `json:"rest_ms"` // until everything was at rest
-	Pack     float64 `json:"pack_ms"` // writing everything down
-	Send     float64 `json:"send_ms"` // until the last descriptor was taken
+	Quiesce  float64 `json:"rest_ms"` // until everything was paused
+	Pack     float64 `json:"pack_ms"` // encoding the state
+	Send     float64 `json:"send_ms"` // until the last descriptor was acknowledged
 	Takeover float64 `json:"take_ms"` // until the new process acted
 }
 
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%.1f+%.1f+%.1f+%.1f", t.Quiesce, t.Pack, t.Send, t.Takeover)
 }
 
-func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 // The results of an upgrade.
 const (
@@ -41,48 +41,48 @@
 	Refusal  = "refused"
 )
 
-// Upgrade asks for an upgrade, and has its progress told until the final word. Where another one is under way, that
-// final word comes at once.
-func (g *Sender) Upgrade(tell func(Progress)) {
+// Upgrade requests an upgrade and calls notify with its progress, up to the final one. If another upgrade is in progress,
+// the final progress reports at once that this one is refused.
+func (s *Sender) Upgrade(notify func(Progress)) {
 	c := make(chan Progress, 64)
-	g.mu.Lock()
-	g.watchers[c] = struct{}{}
-	g.mu.Unlock()
+	s.mu.Lock()
+	s.watchers[c] = struct{}{}
+	s.mu.Unlock()
 	defer func() {
-		g.mu.Lock()
-		delete(g.watchers, c)
-		g.mu.Unlock()
+		s.mu.Lock()
+		delete(s.watchers, c)
+		s.mu.Unlock()
 	}()
-	g.inputs <- Begin{Requester: c}
+	s.inputs <- Begin{Requester: c}
 	for p := range c {
-		tell(p)
+		notify(p)
 		if p.Final {
 			return
 		}
 	}
 }
 
-// Last tells how the last upgrade that this process began has ended.
-func (g *Sender) LastResult() Progress {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.last
+// LastResult returns the final progress of the last upgrade that this process began; the zero value if there was none.
+func (s *Sender) LastResult() Progress {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.lastResult
 }
 
-func (g *Sender) tell(p Progress) {
+func (s *Sender) notifyWatchers(p Progress) {
 	p.At = time.Now()
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if p.Final {
-		g.last = p
+		s.lastResult = p
 	}
-	for c := range g.watchers {
+	for c := range s.watchers {
 		select {
 		case c <- p:
-		default: // danger: one who does not read must not hold up an upgrade
+		default: // a watcher that does not read must not delay an upgrade
 			if p.Final {
 				close(c)
-				delete(g.watchers, c)
+				delete(s.watchers, c)
 			}
 		}
 	}
--- a/internal/upgrade/body_test.go
+++ b/internal/upgrade/runtime_test.go
@@ -17,7 +17,7 @@
 const (
 	heldJobs  = 32
 	laterJobs = 200
-	heldFor   = 0.5 // seconds; the aim is 0.2
+	heldForS  = 0.5 // seconds; the aim is 0.2
 )
 
 // heldSettings have one class whose late answers are worth nothing, so that any lateness turns jobs away.
@@ -61,7 +61,7 @@
 	}
 	body := &Runtime{Loop: loop, Reducer: reducer, Gate: hold.NewGate()}
 	must.NoError(t, body.Hold(time.Minute))
-	now.Store(heldFor)
+	now.Store(heldForS)
 	body.Release()
 	for _, branch := range out {
 		loop.Post(core.JobReported{Request: branch.Request, From: branch.Worker, State: core.JobStarted})
--- a/internal/upgrade/send.go
+++ b/internal/upgrade/send.go
@@ -9,43 +9,43 @@
 	"foldlb.example/foldlb/internal/hold"
 )
 
-// aheadAtOnce is how many descriptors there are twice for a moment while they pass on ahead.
-const aheadAtOnce = 16
+// filesPerAheadBatch is the number of descriptors duplicated at a time while they are sent ahead.
+const filesPerAheadBatch = 16
 
-// followMost bounds the steps that wait to be told to the new process. Beyond that it is no longer told any.
-const followMost = 8192
+// maxQueuedSteps bounds the steps that wait to be sent to the new process. If the queue is full, no further step is sent.
+const maxQueuedSteps = 8192
 
-// sendTrial sends a snapshot and begins to tell the new process every step.
-func (g *Sender) sendTrial() error {
-	g.follow, g.followed = make(chan Followed, followMost), make(chan struct{})
-	steps := g.follow
-	g.steps, g.behind, g.ahead = 0, false, nil
-	text, err := g.Runtime.SnapshotAndFollow(func(f Followed) {
-		if g.behind {
+// sendTrial sends a snapshot and begins to send every later step to the new process.
+func (s *Sender) sendTrial() error {
+	s.stepQueue, s.stepsWritten = make(chan Followed, maxQueuedSteps), make(chan struct{})
+	steps := s.stepQueue
+	s.stepsQueued, s.stepDropped, s.sentAhead = 0, false, nil
+	text, err := s.Runtime.SnapshotAndFollow(func(f Followed) {
+		if s.stepDropped {
 			return
 		}
 		select {
 		case steps <- f:
-			g.steps++
+			s.stepsQueued++
 		default:
-			g.behind = true // danger: a gap would make the rest worthless, and waiting would stop the service
+			s.stepDropped = true // after a gap the new process can't follow, and waiting here would stop the service
 		}
 	})
 	if err != nil {
-		close(g.followed)
+		close(s.stepsWritten)
 		return err
 	}
-	g.bytes = len(text)
-	if err = g.pipe.words.SetWriteDeadline(time.Now().Add(g.machine.Limits.Start)); err == nil {
-		err = g.pipe.Send(Trial{Reducer: text})
+	s.snapshotBytes = len(text)
+	if err = s.pipe.messageConn.SetWriteDeadline(time.Now().Add(s.machine.Limits.Start)); err == nil {
+		err = s.pipe.Send(Trial{Reducer: text})
 	}
-	// Danger: also after an error the steps are taken: whoever ends the following waits for that.
-	pipe, followed := g.pipe, g.followed
+	// The queue is drained also after an error, since stopFollowing waits for that.
+	pipe, followed := s.pipe, s.stepsWritten
 	go func() {
 		defer close(followed)
 		for f := range steps {
 			if pipe.Send(f) != nil {
-				for range steps { // nobody listens any more
+				for range steps { // the pipe is broken
 				}
 			}
 		}
@@ -53,47 +53,47 @@
 	return err
 }
 
-// unfollow ends the telling of steps, once the loop no longer adds any.
-func (g *Sender) unfollow() {
-	if g.follow != nil {
-		close(g.follow)
-		<-g.followed
-		g.follow = nil
+// stopFollowing closes the queue of steps and waits until it is written. The loop must not add any more.
+func (s *Sender) stopFollowing() {
+	if s.stepQueue != nil {
+		close(s.stepQueue)
+		<-s.stepsWritten
+		s.stepQueue = nil
 	}
 }
 
-// passAhead passes on the descriptors of the connections there are, while they go on working: it is what takes
-// longest, and nobody has to wait for it.
-func (g *Sender) passAhead() error {
-	limit := time.Now().Add(g.machine.Limits.Start)
-	if err := errors.Join(g.pipe.words.SetWriteDeadline(limit), g.pipe.files.SetDeadline(limit)); err != nil {
+// sendFilesAhead sends the descriptors of the present connections while they stay in use. It takes longest of a
+// handover's parts, and done ahead it delays no caller.
+func (s *Sender) sendFilesAhead() error {
+	limit := time.Now().Add(s.machine.Limits.Start)
+	if err := errors.Join(s.pipe.messageConn.SetWriteDeadline(limit), s.pipe.fileConn.SetDeadline(limit)); err != nil {
 		return err
 	}
-	g.collect = pauseCollector()
-	if g.came != nil && g.ShedConns != nil {
-		g.ShedConns()
+	s.resumeGC = pauseGC()
+	if s.replacement != nil && s.ShedConns != nil {
+		s.ShedConns()
 	}
-	conns, sent := g.Runtime.Gate.Conns(), 0
-	g.ahead = make(map[*hold.Conn]int, len(conns))
+	conns, sent := s.Runtime.Gate.Conns(), 0
+	s.sentAhead = make(map[*hold.Conn]int, len(conns))
 	for len(conns) > 0 {
-		some := conns[:min(len(conns), aheadAtOnce)]
-		conns = conns[len(some):]
+		batch := conns[:min(len(conns), filesPerAheadBatch)]
+		conns = conns[len(batch):]
 		var fds []int
-		for _, c := range some {
-			// Danger: its number alone may stand for another connection by the time it is sent.
+		for _, c := range batch {
+			// A duplicate is sent, since the original's number may refer to another connection by then.
 			c.FD(func(fd int) {
-				if twin, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0); err == nil {
-					g.ahead[c] = sent + len(fds)
-					fds = append(fds, twin)
+				if duplicate, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0); err == nil {
+					s.sentAhead[c] = sent + len(fds)
+					fds = append(fds, duplicate)
 				}
 			})
 		}
 		if len(fds) == 0 {
 			continue
 		}
-		err := g.pipe.Send(Ahead{Files: len(fds)})
+		err := s.pipe.Send(Ahead{Files: len(fds)})
 		if err == nil {
-			err = g.pipe.SendFiles(fds)
+			err = s.pipe.SendFiles(fds)
 		}
 		for _, fd := range fds {
 			unix.Close(fd)
@@ -103,32 +103,32 @@
 		}
 		sent += len(fds)
 	}
-	return g.pipe.Send(Ahead{})
+	return s.pipe.Send(Ahead{})
 }
 
-// sendAll sends everything. The body is held.
-func (g *Sender) sendAll() error {
-	limit := time.Now().Add(g.machine.Limits.Offer)
-	if err := errors.Join(g.pipe.words.SetWriteDeadline(limit), g.pipe.files.SetDeadline(limit)); err != nil {
+// sendAll sends the parcel and the descriptors that were not sent ahead. The runtime must be held.
+func (s *Sender) sendAll() error {
+	limit := time.Now().Add(s.machine.Limits.Offer)
+	if err := errors.Join(s.pipe.messageConn.SetWriteDeadline(limit), s.pipe.fileConn.SetDeadline(limit)); err != nil {
 		return err
 	}
-	g.unfollow()
-	files := hold.Files{SentAhead: g.ahead}
-	parcel, err := g.Runtime.Pack(&files)
+	s.stopFollowing()
+	files := hold.Files{SentAhead: s.sentAhead}
+	parcel, err := s.Runtime.Pack(&files)
 	if err != nil {
 		return err
 	}
-	if parcel.Steps = g.steps; g.behind {
+	if parcel.Steps = s.stepsQueued; s.stepDropped {
 		parcel.Steps = -1
 	}
-	parcel.Reload = g.Runtime.Reloads.Load() != g.reloads
+	parcel.Reload = s.Runtime.Reloads.Load() != s.reloadsAtStart
 	packed := time.Now()
-	g.parcel.HeldParts.Pack = millis(packed.Sub(g.heldAt)) - g.parcel.HeldParts.Quiesce
-	g.parcel.Files, g.parcel.FilesWhileHeld = len(files.FDs)+len(g.ahead), len(files.FDs)
-	if err := g.pipe.Send(parcel); err != nil {
+	s.progress.HeldParts.Pack = milliseconds(packed.Sub(s.heldAt)) - s.progress.HeldParts.Quiesce
+	s.progress.Files, s.progress.FilesWhileHeld = len(files.FDs)+len(s.sentAhead), len(files.FDs)
+	if err := s.pipe.Send(parcel); err != nil {
 		return err
 	}
-	err = g.pipe.SendFiles(files.FDs)
-	g.parcel.HeldParts.Send = millis(time.Since(packed))
+	err = s.pipe.SendFiles(files.FDs)
+	s.progress.HeldParts.Send = milliseconds(time.Since(packed))
 	return err
 }
