--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -8,19 +8,19 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestHostsAreOfLoopbackAndNotOfEveryday(t *testing.T) {
-	everyday := netip.MustParsePrefix("127.0.0.0/16")
+func TestHostsAreOutsideTheDefaultLoopbackNetwork(t *testing.T) {
+	defaultNetwork := netip.MustParsePrefix("127.0.0.0/16")
 	seen := make(map[netip.Addr]bool)
 	for range 1000 {
 		host := Host()
 		must.True(t, host.IsLoopback(), must.Sprint(host))
-		must.False(t, everyday.Contains(host), must.Sprint(host))
+		must.False(t, defaultNetwork.Contains(host), must.Sprint(host))
 		seen[host] = true
 	}
 	must.Greater(t, 990, len(seen))
 }
 
-// TestUnusedStaysFreeWhileOthersConnect: connections to an address take their ports elsewhere, and so does whoever listens anywhere.
+// TestUnusedStaysFreeWhileOthersConnect checks that neither outgoing connections nor listeners at 127.0.0.1 occupy an unused address.
 func TestUnusedStaysFreeWhileOthersConnect(t *testing.T) {
 	unused, err := Unused()
 	must.NoError(t, err)
@@ -28,7 +28,7 @@
 	must.NoError(t, err)
 	defer other.Close()
 	taken, err := net.Listen("tcp4", netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), unused.Port()).String())
-	if err == nil { // another program may hold it
+	if err == nil { // fails if another program uses the port
 		defer taken.Close()
 	}
 	for range 100 {
--- a/internal/upgrade/launch.go
+++ b/internal/upgrade/launch.go
@@ -59,13 +59,13 @@
 
 // peerOf returns an external replacement as the peer. This process does not own it: if the handover fails, the
 // replacement starts without it. But once Go was sent it may act, and only killing it makes sure that it does not.
-func (s *Sender) peerOf(n *Replacement) peerProcess {
-	return peerProcess{pid: n.PID, wait: func() error { return nil }, kill: func() {
+func (s *Sender) peerOf(replacement *Replacement) peerProcess {
+	return peerProcess{pid: replacement.PID, wait: func() error { return nil }, kill: func() {
 		if s.machine.commitSent {
-			syscall.Kill(n.PID, syscall.SIGKILL)
+			syscall.Kill(replacement.PID, syscall.SIGKILL)
 			return
 		}
-		n.Refuse(s.machine.reason)
+		replacement.Refuse(s.machine.reason)
 	}}
 }
 
--- a/internal/upgrade/machine_test.go
+++ b/internal/upgrade/machine_test.go
@@ -16,7 +16,7 @@
 
 var hello = Hello{Protocol: Protocol, Schema: ownSchema}
 
-// good is what happens in an upgrade where nothing goes wrong.
+// successfulUpgrade lists the inputs of an upgrade without failures.
 var successfulUpgrade = []Input{Begin{}, MessageReceived{hello}, MessageReceived{TrialTaken{}}, TimerExpired{}, MessageReceived{AheadTaken{}}, HoldFinished{}, SendFinished{}, MessageReceived{Ready{}}, MessageReceived{Acting{}}}
 
 func actionNames(actions []Action) string {
@@ -33,7 +33,7 @@
 	return strings.Join(out, " ")
 }
 
-func TestGoodUpgrade(t *testing.T) {
+func TestSuccessfulUpgrade(t *testing.T) {
 	m := newMachine()
 	for i, want := range []string{"Start", "SendTrial", "", "SendFilesAhead", "Hold", "SendAll", "", "SendGo", "Exit"} {
 		if got := actionNames(m.Step(successfulUpgrade[i])); got != want {
@@ -45,26 +45,26 @@
 	}
 }
 
-// TestEveryBadStep lets each thing go wrong after each step of a good upgrade.
-func TestEveryBadStep(t *testing.T) {
-	type bad struct {
+// TestFailureInEachPhase checks the fallback for each kind of failure after each step of a successful upgrade.
+func TestFailureInEachPhase(t *testing.T) {
+	type failure struct {
 		in   Input
-		want string // the reason holds this; empty where nothing comes of it
+		want string // part of the reason
 	}
 	for n := 1; n < len(successfulUpgrade); n++ {
-		for name, b := range map[string]bad{
-			"ended":        {PeerExited{"signal: killed"}, "ended while"},
-			"refused":      {MessageReceived{Refused{"no room"}}, "no room"},
-			"garbage":      {MessageReceived{errors.New("x")}, "not understood"},
-			"hello again":  {MessageReceived{Hello{}}, "hello again"},
-			"acts unasked": {MessageReceived{Acting{}}, "before it received the go message"},
+		for name, b := range map[string]failure{
+			"ended":          {PeerExited{"signal: killed"}, "ended while"},
+			"refused":        {MessageReceived{Refused{"no room"}}, "no room"},
+			"garbage":        {MessageReceived{errors.New("x")}, "not understood"},
+			"hello again":    {MessageReceived{Hello{}}, "hello again"},
+			"acts before Go": {MessageReceived{Acting{}}, "before it received the go message"},
 		} {
 			m := newMachine()
 			for _, in := range successfulUpgrade[:n] {
 				m.Step(in)
 			}
 			at := m.Phase()
-			if name == "hello again" && at == Starting || name == "acts unasked" && at == Committing {
+			if name == "hello again" && at == Starting || name == "acts before Go" && at == Committing {
 				continue
 			}
 			actions := m.Step(b.in)
@@ -101,7 +101,7 @@
 		"another protocol":        {false, []Input{Begin{}, MessageReceived{Hello{Protocol: 9, Schema: ownSchema}}}, "Kill"},
 		"another schema":          {false, []Input{Begin{}, MessageReceived{Hello{Protocol: Protocol, Schema: 99}}}, "Kill"},
 		"too long while starting": {false, []Input{Begin{}, TimerExpired{}}, "Kill"},
-		"no rest":                 {false, append(append([]Input{}, successfulUpgrade[:5]...), HoldFinished{errors.New("busy")}), "Kill"},
+		"hold fails":              {false, append(append([]Input{}, successfulUpgrade[:5]...), HoldFinished{errors.New("busy")}), "Kill"},
 		"not sent":                {false, append(append([]Input{}, successfulUpgrade[:6]...), SendFinished{errors.New("broken")}), "Kill"},
 		"other decisions":         {false, append(append([]Input{}, successfulUpgrade[:3]...), MessageReceived{Differs{}}), ""},
 		"other decisions, strict": {true, append(append([]Input{}, successfulUpgrade[:3]...), MessageReceived{Differs{}}), "Kill"},
@@ -120,12 +120,12 @@
 	}
 }
 
-// TestMachineProperties: whatever comes in whatever order, the service is let go on as often as it was held unless
-// the process ends; nothing goes on here while a new process may live; and nobody acts before the word to go.
+// TestMachineProperties checks for random sequences of inputs: every hold is released unless the process exits; nothing
+// is released while a new process may live; and this process exits only after it was held and has sent Go.
 func TestMachineProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine()
-		held, alive, left, told := false, false, false, false
+		held, alive, exited, goSent := false, false, false, false
 		inputs := append([]Input{Begin{}, TimerExpired{}, StopRequested{}, HoldFinished{}, HoldFinished{errors.New("busy")}, SendFinished{errors.New("x")}, PeerExited{"x"},
 			MessageReceived{Refused{}}, MessageReceived{Differs{}}, MessageReceived{NeedState{}}}, successfulUpgrade...)
 		at := 0
@@ -140,11 +140,11 @@
 			switch in.(type) {
 			case MessageReceived, PeerExited:
 				if !alive {
-					continue // nobody is there to say it
+					continue // there is no new process to send it
 				}
 			case HoldFinished:
 				if m.Phase() != Holding {
-					continue // it answers a Hold
+					continue // it replies to a Hold action
 				}
 			}
 			if h, ok := in.(HoldFinished); ok && h.Err != nil {
@@ -154,15 +154,15 @@
 				alive = false
 			}
 			for _, a := range m.Step(in) {
-				if e, ok := a.(Finished); left && !(ok && e.Refused) {
-					t.Fatalf("%T after the process has ended", a)
+				if e, ok := a.(Finished); exited && !(ok && e.Refused) {
+					t.Fatalf("%T after the process has exited", a)
 				}
 				switch a.(type) {
 				case Start:
 					if alive {
 						t.Fatal("a second new process while one lives")
 					}
-					alive, told = true, false
+					alive, goSent = true, false
 					at = 1
 				case Hold:
 					if held {
@@ -171,21 +171,21 @@
 					held = true
 				case ReleaseHold:
 					if !held || alive {
-						t.Fatalf("let go: held %v, a new process lives %v", held, alive)
+						t.Fatalf("released: held %v, a new process lives %v", held, alive)
 					}
 					held = false
 				case SendGo:
 					if !held {
-						t.Fatal("told to go while this process serves")
+						t.Fatal("Go sent while this process serves")
 					}
-					told = true
+					goSent = true
 				case Exit:
-					if !held || !told {
-						t.Fatal("left without handing over")
+					if !held || !goSent {
+						t.Fatal("exited without a handover")
 					}
-					left = true
+					exited = true
 				case ExitCrashed:
-					left = true
+					exited = true
 				case Finished:
 					at = 0
 				}
--- a/internal/upgrade/parcel_bench_test.go
+++ b/internal/upgrade/parcel_bench_test.go
@@ -18,7 +18,7 @@
 	Exchange uint64
 }
 
-// BenchmarkParcelOf2000 reads a parcel of 2,000 connections and puts each behind a gate.
+// BenchmarkParcelOf2000 decodes a parcel of 2,000 connections, puts each behind a gate, and starts a goroutine for each.
 func BenchmarkParcelOf2000(b *testing.B) {
 	var st struct{ Conns []benchConn }
 	for i := range 2000 {
--- a/internal/upgrade/pipe_test.go
+++ b/internal/upgrade/pipe_test.go
@@ -14,7 +14,7 @@
 	"foldlb.example/foldlb/internal/snapshot"
 )
 
-// ends makes both ends of a pipe in this process.
+// pipeEnds returns both ends of a pipe in this process.
 func pipeEnds(t *testing.T) (ours, theirs *Pipe) {
 	t.Helper()
 	ours, files, err := Pair()
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 		if got, err := theirs.Receive(0); err != nil || got != m {
-			t.Errorf("%+v came as %+v, %v", m, got, err)
+			t.Errorf("%+v was received as %+v, %v", m, got, err)
 		}
 	}
 	if err := ours.Send(3); err == nil {
@@ -57,12 +57,12 @@
 	}
 }
 
-func TestHostileMessages(t *testing.T) {
+func TestInvalidMessages(t *testing.T) {
 	for text, want := range map[string]error{
 		"\x63\x00\x00\x00\x00":         snapshot.ErrFormat,   // an unknown kind
-		"\x01\xff\xff\xff\xff":         snapshot.ErrTooLarge, // four gigabytes
-		"\x01\x00\x00\x00\x02\xff\xff": snapshot.ErrFormat,   // no CBOR
-		"\x01\x00\x00\x00\x05ab":       io.ErrUnexpectedEOF,  // cut short
+		"\x01\xff\xff\xff\xff":         snapshot.ErrTooLarge, // 4 GiB
+		"\x01\x00\x00\x00\x02\xff\xff": snapshot.ErrFormat,   // invalid CBOR
+		"\x01\x00\x00\x00\x05ab":       io.ErrUnexpectedEOF,  // truncated
 		"\x01\x00":                     io.ErrUnexpectedEOF,
 	} {
 		ours, theirs := pipeEnds(t)
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestManyDescriptors: more than the kernel takes at once arrive in order, and go on working.
-func TestManyDescriptors(t *testing.T) {
+// TestDescriptorsOfSeveralPackets checks that more descriptors than one packet carries arrive in order and are usable.
+func TestDescriptorsOfSeveralPackets(t *testing.T) {
 	ours, theirs := pipeEnds(t)
 	var fds []int
 	var readers []*os.File
@@ -106,8 +106,9 @@
 	}
 }
 
-// TestTooFewDescriptorsLeft: a process at its limit says so, and keeps none of what came.
-func TestTooFewDescriptorsLeft(t *testing.T) {
+// TestDescriptorLimitIsReported checks that a process which reaches its limit of open files reports that, and closes the
+// descriptors that it did receive.
+func TestDescriptorLimitIsReported(t *testing.T) {
 	ours, theirs := pipeEnds(t)
 	var old unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
@@ -144,20 +145,20 @@
 	}
 }
 
-// TestReceivedAreTakenOnce: a place stands for one connection, and what nobody takes is closed.
-func TestReceivedAreTakenOnce(t *testing.T) {
+// TestReceivedDescriptorsAreTakenOnce checks that each index can be taken once, and that Close closes what was not taken.
+func TestReceivedDescriptorsAreTakenOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	twin := func() int {
+	duplicate := func() int {
 		var fd int
 		raw, _ := ln.(*net.TCPListener).SyscallConn()
 		raw.Control(func(p uintptr) { fd, _ = unix.Dup(int(p)) })
 		return fd
 	}
-	r := hold.Received{FDs: []int{twin(), twin()}}
+	r := hold.Received{FDs: []int{duplicate(), duplicate()}}
 	first, err := r.Listener(0)
 	if err != nil {
 		t.Fatal(err)
@@ -167,11 +168,11 @@
 		t.Error("taken twice")
 	}
 	if _, err := r.Conn(7, hold.ConnState{}); err == nil {
-		t.Error("a place that is none")
+		t.Error("took an index that does not exist")
 	}
 	left := r.FDs[1]
 	r.Close()
 	if _, err := unix.FcntlInt(uintptr(left), unix.F_GETFD, 0); err != unix.EBADF {
-		t.Errorf("what nobody took is open: %v", err)
+		t.Errorf("a descriptor that was not taken is open: %v", err)
 	}
 }
--- a/internal/upgrade/receiver.go
+++ b/internal/upgrade/receiver.go
@@ -30,9 +30,9 @@
 	}
 	os.Unsetenv(EnvPipe)
 	messageText, fileText, ok := strings.Cut(text, ",")
-	messageFD, errW := strconv.Atoi(messageText)
-	fileFD, errF := strconv.Atoi(fileText)
-	if !ok || errW != nil || errF != nil || messageFD < 3 || fileFD < 3 {
+	messageFD, messageErr := strconv.Atoi(messageText)
+	fileFD, fileErr := strconv.Atoi(fileText)
+	if !ok || messageErr != nil || fileErr != nil || messageFD < 3 || fileFD < 3 {
 		return nil, fmt.Errorf("%s: %q does not name two descriptors", EnvPipe, text)
 	}
 	return Inherit(messageFD, fileFD)
--- a/internal/upgrade/rendezvous.go
+++ b/internal/upgrade/rendezvous.go
@@ -21,8 +21,8 @@
 // maxSocketPathBytes is the longest path of a Unix socket on Linux, without its terminating zero.
 const maxSocketPathBytes = 107
 
-// greetTimeout bounds the receipt of a replacement's pipe. Neither process has other work to do in this phase.
-const greetTimeout = time.Second
+// pipeReceiveTimeout bounds the receipt of a replacement's pipe. Neither process has other work to do in this phase.
+const pipeReceiveTimeout = time.Second
 
 // RendezvousPath returns the socket's path in a shared folder. It returns an error if the path is too long for a socket.
 func RendezvousPath(folder string) (string, error) {
@@ -40,9 +40,9 @@
 }
 
 // Refuse tells a replacement that there is no handover, so that it starts without one.
-func (n *Replacement) Refuse(reason string) {
-	n.pipe.cancel(reason)
-	n.pipe.Close()
+func (r *Replacement) Refuse(reason string) {
+	r.pipe.cancel(reason)
+	r.pipe.Close()
 }
 
 // RendezvousListener is the running process's side of the rendezvous socket.
@@ -73,9 +73,9 @@
 }
 
 // Accept waits for the next replacement and skips invalid connections. It returns net.ErrClosed once the listener is closed.
-func (m *RendezvousListener) Accept() (*Replacement, error) {
+func (l *RendezvousListener) Accept() (*Replacement, error) {
 	for {
-		c, err := m.ln.AcceptUnix()
+		c, err := l.ln.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return nil, err
 		} else if err != nil {
@@ -91,11 +91,11 @@
 }
 
 // Close closes the listener. Its path stays, for the next process to replace.
-func (m *RendezvousListener) Close() error { return m.ln.Close() }
+func (l *RendezvousListener) Close() error { return l.ln.Close() }
 
 // receivePipe receives a replacement's pipe. It returns an error if the replacement runs as another user.
 func receivePipe(c *net.UnixConn) (*Replacement, error) {
-	c.SetDeadline(time.Now().Add(greetTimeout))
+	c.SetDeadline(time.Now().Add(pipeReceiveTimeout))
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return nil, err
--- a/internal/upgrade/runtime.go
+++ b/internal/upgrade/runtime.go
@@ -137,7 +137,7 @@
 
 // pauseGC disables the garbage collector so that it does not run during the hold. The memory limit still applies.
 // The call waits for a collection that is running, so it must come before anything is held.
-func pauseGC() (goOn func()) {
+func pauseGC() (resume func()) {
 	old := debug.SetGCPercent(-1)
 	return func() { debug.SetGCPercent(old) }
 }
--- a/internal/upgrade/wirekeys_test.go
+++ b/internal/upgrade/wirekeys_test.go
@@ -20,11 +20,11 @@
 	"foldlb.example/foldlb/internal/workerconn"
 )
 
-// wireKeysFile lists each key of what is written as CBOR, one line each: its path and its Go kind. Programs of two versions exchange
-// these values, and records on disk outlive the program that wrote them: a renamed Go field keeps its key by a tag.
+// wireKeysFile lists each key of the values that are encoded as CBOR, one line each: its path and its Go kind. Processes of two versions
+// exchange these values, and records on disk outlive the program that wrote them: a renamed Go field must keep its key by a tag.
 const wireKeysFile = "testdata/wirekeys.txt"
 
-// TestWireKeysAreKept compares the keys with those listed. A key that is new may be added to the list; one that is there may not change.
+// TestWireKeysAreKept compares the keys with the list. New keys may be added to the list; existing ones must not change.
 func TestWireKeysAreKept(t *testing.T) {
 	var lines []string
 	for _, root := range []struct {
@@ -51,7 +51,7 @@
 	binaryMarshaler = reflect.TypeFor[encoding.BinaryMarshaler]()
 )
 
-// wireKeys lists the keys of a type, below a path. open holds the types that enclose it.
+// wireKeys returns the keys of a type below a path. open holds the types that enclose it, to stop at recursive ones.
 func wireKeys(path string, of reflect.Type, open map[reflect.Type]bool) []string {
 	if of.Implements(cborMarshaler) || of.Implements(binaryMarshaler) {
 		return []string{path + " marshals itself"}
@@ -69,7 +69,7 @@
 	return []string{path + " " + of.Kind().String()}
 }
 
-// structKeys lists the keys of a structure's fields.
+// structKeys returns the keys of a structure's fields.
 func structKeys(path string, of reflect.Type, open map[reflect.Type]bool) (lines []string) {
 	if open[of] {
 		return []string{path + " again"}
