--- a/cmd/foldlb/handover_bench_test.go
+++ b/cmd/foldlb/handover_bench_test.go
@@ -136,7 +136,7 @@
 		if err := snapshot.Unmarshal(whole, &p); err != nil {
 			b.Fatal(err)
 		}
-		t := upgrade.Received{Parcel: p, Files: received}
+		t := upgrade.Taken{Parcel: p, Files: received}
 		if err := t.Import(next.body.Parts); err != nil {
 			b.Fatal(err)
 		}
--- a/cmd/foldlb/node.go
+++ b/cmd/foldlb/node.go
@@ -33,14 +33,14 @@
 	workers *workerconn.Sender
 	routes  *routeset.Client
 	body    *upgrade.Runtime
-	giver   *upgrade.Sender   // nil where upgrades are off
-	lines   chan string       // of the reducer's log
-	tallies chan core.Figures // asked for by logFigures, which waits for one at a time
-	door    *ops.Door         // nil where there is none
-	behind  ops.Node          // what is put behind it
-	ending  atomic.Bool       // SIGTERM has come
-	member  *member           // of a fleet; nil where there is none
-	auditor *auditor          // nil where no account is kept
+	giver   *upgrade.HandoverSender // nil where upgrades are off
+	lines   chan string             // of the reducer's log
+	tallies chan core.Figures       // asked for by logFigures, which waits for one at a time
+	door    *ops.Door               // nil where there is none
+	behind  ops.Node                // what is put behind it
+	ending  atomic.Bool             // SIGTERM has come
+	member  *member                 // of a fleet; nil where there is none
+	auditor *auditor                // nil where no account is kept
 
 	now atomic.Pointer[core.Limits] // those in force
 
@@ -141,19 +141,19 @@
 
 // take takes everything up that another process hands over, and returns when it is this one's own. The gate is held
 // until the node serves.
-func (n *node) take(t *upgrade.Received) error {
+func (n *node) take(t *upgrade.Taken) error {
 	n.loop.Precede(t.Backlog)
 	n.body.Generation, n.body.Started = t.Parcel.Generation, t.Started()
 	if err := t.Import(n.body.Parts); err != nil {
 		return err
 	}
 	beforeGo()
-	return t.Commit()
+	return t.Go()
 }
 
 // serve runs the parts until the word to stop, and until all that was taken is answered.
 func (n *node) serve(ctx context.Context, ln *net.TCPListener, reload <-chan os.Signal, hup bool) error {
-	held := n.gate.WrapListener(ln)
+	held := n.gate.Listen(ln)
 	n.body.Listener = held
 	background, end := context.WithCancel(context.Background())
 	defer end()
--- a/cmd/foldlb/operate.go
+++ b/cmd/foldlb/operate.go
@@ -34,7 +34,7 @@
 
 // operate opens the control socket and makes upgrades possible, where the operator file says so. It returns what is
 // to be done at the end.
-func (s setup) operate(n *node, taken *upgrade.Received) (end func(), err error) {
+func (s setup) operate(n *node, taken *upgrade.Taken) (end func(), err error) {
 	if s.operator.Control.Socket == "" {
 		if n.member != nil || n.auditor != nil {
 			n.configure = func(cfg config.Config, err error) bool { return s.configure(n, cfg, err) }
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	binary, since := executable(), time.Now()
-	n.giver = upgrade.NewSender(n.body, limits(s.operator.Upgrade), s.operator.Upgrade.Strict, s.successor(binary), nil, n.log)
+	n.giver = upgrade.NewHandoverSender(n.body, limits(s.operator.Upgrade), s.operator.Upgrade.Strict, s.successor(binary), nil, n.log)
 	handlers := map[string]control.Handler{
 		"status": func(_ json.RawMessage, say func(any) error) error {
 			return say(status{Name: n.cfg.Name, PID: os.Getpid(), Generation: n.body.Generation, Version: version, Binary: binary,
@@ -67,7 +67,7 @@
 	maps.Copy(handlers, n.member.handlers())
 	maps.Copy(handlers, n.auditor.handlers())
 	server := control.NewServer(ln, handlers, n.log)
-	n.giver.OnReplaced = func(pid int) {
+	n.giver.Leave = func(pid int) {
 		n.leaveDoor()
 		server.Leave()
 		s.announce(pid)
--- a/cmd/foldlb/replacement.go
+++ b/cmd/foldlb/replacement.go
@@ -120,7 +120,7 @@
 	}
 	limits := upgrade.Limits{Start: meetStart, Probation: meetFollow, Hold: meetHold, Offer: meetOffer, Commit: meetCommit}
 	if n.giver == nil {
-		n.giver = upgrade.NewSender(n.body, limits, false, nil, func(int) { n.leaveDoor() }, n.log)
+		n.giver = upgrade.NewHandoverSender(n.body, limits, false, nil, func(int) { n.leaveDoor() }, n.log)
 	}
 	n.giver.ShedConns = n.shed
 	n.giver.OnSeparateStart = func() {
@@ -132,7 +132,7 @@
 		if begins != nil {
 			begins()
 		}
-		go n.giver.AcceptReplacements(m, limits)
+		go n.giver.Accept(m, limits)
 	}
 }
 
--- a/cmd/foldlb/serve.go
+++ b/cmd/foldlb/serve.go
@@ -167,7 +167,7 @@
 type takeover struct {
 	node  *node
 	ln    *net.TCPListener
-	taken *upgrade.Received
+	taken *upgrade.Taken
 	end   func()
 }
 
@@ -175,7 +175,7 @@
 // is told, nothing is this one's own and nothing is left open.
 func (s setup) takeOver(pipe *upgrade.Pipe, door *ops.Door) (_ *takeover, err error) {
 	gate := hold.NewGate()
-	var taken *upgrade.Received
+	var taken *upgrade.Taken
 	defer func() {
 		if err == nil {
 			return
--- a/internal/clientconn/handover_test.go
+++ b/internal/clientconn/handover_test.go
@@ -80,7 +80,7 @@
 	gate := hold.NewGate()
 	f := &fixture{t: t, ln: ln, events: make(chan core.Event, 64)}
 	f.s = NewServer(16, gate, func(e core.Event) { f.events <- e }, log)
-	go f.s.Serve(smallBuffers{gate.WrapListener(ln.(*net.TCPListener))})
+	go f.s.Serve(smallBuffers{gate.Listen(ln.(*net.TCPListener))})
 	c := f.dial()
 	c.Conn.(*net.TCPConn).SetReadBuffer(4096)
 	c.send(ask, "hi")
--- a/internal/clientconn/server.go
+++ b/internal/clientconn/server.go
@@ -81,8 +81,8 @@
 
 // Serve accepts connections until the listener is closed.
 func (s *Server) Serve(ln net.Listener) error {
-	s.gate.Enter()
-	defer s.gate.Exit()
+	s.gate.Wake()
+	defer s.gate.Rest()
 	for {
 		if s.yields() {
 			s.yield(ln)
@@ -107,14 +107,14 @@
 func (s *Server) place(c *conn) {
 	for !s.admit(c) {
 		s.setPending(c)
-		s.gate.Exit()
+		s.gate.Rest()
 		// Danger: closing it here could lose a request that the kernel has taken. What comes later waits
 		// in the kernel's backlog meanwhile, call-backs too: it must not wait on a silent connection.
 		select {
 		case <-s.freed:
 		case <-time.After(placePause):
 		}
-		s.gate.Enter()
+		s.gate.Wake()
 		s.setPending(nil)
 	}
 }
--- a/internal/clientconn/server_test.go
+++ b/internal/clientconn/server_test.go
@@ -36,7 +36,7 @@
 	f := &fixture{t: t, ln: ln, events: make(chan core.Event, 64)}
 	gate := hold.NewGate()
 	f.s = NewServer(most, gate, func(e core.Event) { f.events <- e }, log)
-	go f.s.Serve(gate.WrapListener(ln.(*net.TCPListener)))
+	go f.s.Serve(gate.Listen(ln.(*net.TCPListener)))
 	t.Cleanup(func() { ln.Close() })
 	return f
 }
--- a/internal/clientconn/yield.go
+++ b/internal/clientconn/yield.go
@@ -35,8 +35,8 @@
 	if err != nil {
 		return
 	}
-	s.gate.Exit()
-	defer s.gate.Enter()
+	s.gate.Rest()
+	defer s.gate.Wake()
 	for s.yields() {
 		if !hasConnection(raw, yieldPoll) {
 			continue
--- a/internal/hold/conn.go
+++ b/internal/hold/conn.go
@@ -122,7 +122,7 @@
 	}
 	c.mu.Unlock()
 	if wasWaiting {
-		c.gate.Enter()
+		c.gate.Wake()
 	}
 	if err == nil {
 		err = c.readErr
@@ -135,7 +135,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.readerWaiting {
-		if !c.gate.tryEnter() {
+		if !c.gate.tryWake() {
 			c.missedReadiness = true
 			return false
 		}
@@ -148,7 +148,7 @@
 				return true
 			}
 			c.readerWaiting = true // the kernel reports further arrivals, too
-			c.gate.Exit()
+			c.gate.Rest()
 			return false
 		}
 		n, err := syscall.Read(int(fd), c.readInto)
@@ -157,7 +157,7 @@
 			continue
 		case err == syscall.EAGAIN:
 			c.readerWaiting = true
-			c.gate.Exit()
+			c.gate.Rest()
 			return false
 		case err != nil:
 			c.readErr = os.NewSyscallError("read", err)
@@ -211,7 +211,7 @@
 // waitAt parks until release or Interrupt. Callers hold c.mu.
 func (c *Conn) waitAt(at parkState) {
 	c.parked = at
-	c.gate.Exit()
+	c.gate.Rest()
 	for c.parked != notParked {
 		c.cond.Wait()
 	}
--- a/internal/hold/hold.go
+++ b/internal/hold/hold.go
@@ -4,7 +4,7 @@
 //
 // Every goroutine that may read, write or pass on data counts as active at its Gate. Hold interrupts blocked writes
 // and accepts, and returns once no goroutine is active: each is then parked inside a Write or an Accept, waits in the
-// kernel for readable data, which it must not consume while the gate is held, or has called Exit.
+// kernel for readable data, which it must not consume while the gate is held, or has called Rest.
 package hold
 
 import (
@@ -74,13 +74,13 @@
 func (g *Gate) startActive(f func()) {
 	g.active++
 	go func() {
-		defer g.Exit()
+		defer g.Rest()
 		f()
 	}()
 }
 
-// Enter makes the calling goroutine active. It blocks while the gate is held.
-func (g *Gate) Enter() {
+// Wake makes the calling goroutine active. It blocks while the gate is held.
+func (g *Gate) Wake() {
 	g.mu.Lock()
 	for g.held.Load() {
 		g.released.Wait()
@@ -89,8 +89,8 @@
 	g.mu.Unlock()
 }
 
-// tryEnter makes the calling goroutine active and returns true, unless the gate is held.
-func (g *Gate) tryEnter() bool {
+// tryWake makes the calling goroutine active and returns true, unless the gate is held.
+func (g *Gate) tryWake() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.held.Load() {
@@ -100,8 +100,8 @@
 	return true
 }
 
-// Exit ends the calling goroutine's activity, also while it waits for an event that nothing behind the gate can cause.
-func (g *Gate) Exit() {
+// Rest ends the calling goroutine's activity, also while it waits for an event that nothing behind the gate can cause.
+func (g *Gate) Rest() {
 	g.mu.Lock()
 	g.active--
 	if g.active == 0 && g.idle != nil {
@@ -215,8 +215,8 @@
 	parked bool
 }
 
-// WrapListener puts a listener behind the gate.
-func (g *Gate) WrapListener(ln *net.TCPListener) *Listener {
+// Listen puts a listener behind the gate.
+func (g *Gate) Listen(ln *net.TCPListener) *Listener {
 	l := &Listener{TCPListener: ln, gate: g}
 	l.cond = sync.NewCond(&l.mu)
 	if raw, err := ln.SyscallConn(); err == nil {
@@ -246,7 +246,7 @@
 		l.mu.Lock()
 		if l.gate.held.Load() {
 			l.parked = true
-			l.gate.Exit()
+			l.gate.Rest()
 			for l.parked {
 				l.cond.Wait()
 			}
--- a/internal/hold/hold_test.go
+++ b/internal/hold/hold_test.go
@@ -173,7 +173,7 @@
 		written := rapid.IntRange(0, len(text)).Draw(t, "written before")
 		far.Write(text[:written])
 		read, consumed := 0, 0 // bytes of the text that the first connection read, and marked as consumed
-		first.Enter()
+		first.Wake()
 		for read < written && rapid.Bool().Draw(t, "read more") {
 			b := make([]byte, rapid.IntRange(1, 700).Draw(t, "room"))
 			n, err := near.Read(b)
@@ -191,7 +191,7 @@
 				read, consumed = read-left, read-left
 			}
 		}
-		first.Exit()
+		first.Rest()
 		if err := first.Hold(holdTimeout, nil); err != nil {
 			t.Fatal(err)
 		}
@@ -199,7 +199,7 @@
 		second := NewGate()
 		next := second.Wrap(near.Conn)
 		next.restore(near.Export())
-		second.Enter()
+		second.Wake()
 		next.SetReadDeadline(time.Now().Add(holdTimeout))
 		got := make([]byte, len(text)-consumed)
 		if _, err := io.ReadFull(next, got); err != nil || string(got) != string(text[consumed:]) {
@@ -215,7 +215,7 @@
 	near, far := pair(t, g)
 	defer far.Close()
 	io.WriteString(far, "one two")
-	g.Enter()
+	g.Wake()
 	b := make([]byte, 7)
 	if _, err := io.ReadFull(near, b); err != nil {
 		t.Fatal(err)
@@ -227,7 +227,7 @@
 	if n, err := near.Read(b); err != nil || string(b[:n]) != "two" {
 		t.Errorf("%q, %v", b[:n], err)
 	}
-	g.Exit()
+	g.Rest()
 }
 
 // TestHoldSucceedsAfterSocketWasSetToBlocking: a process that shares the listening socket may set it to blocking for all processes. An
@@ -238,7 +238,7 @@
 		t.Fatal(err)
 	}
 	g := NewGate()
-	ln := g.WrapListener(inner.(*net.TCPListener))
+	ln := g.Listen(inner.(*net.TCPListener))
 	defer ln.Close()
 	accepted := make(chan net.Conn)
 	g.Go(func() {
--- a/internal/routeset/watch.go
+++ b/internal/routeset/watch.go
@@ -204,9 +204,9 @@
 
 func (c *Client) dial(ctx context.Context, addr string) (*conn, error) {
 	d := net.Dialer{Timeout: dialWait}
-	c.gate.Exit() // nothing is asked yet: where the gate is held the other process dials anew
+	c.gate.Rest() // nothing is asked yet: where the gate is held the other process dials anew
 	nc, err := d.DialContext(ctx, "tcp", addr)
-	c.gate.Enter()
+	c.gate.Wake()
 	if err != nil {
 		return nil, fmt.Errorf("connect to discovery: %w", err)
 	}
--- a/internal/upgrade/finish.go
+++ b/internal/upgrade/finish.go
@@ -9,10 +9,10 @@
 )
 
 // finishAttempt cleans up after an upgrade that was refused or fell back.
-func (s *Sender) finishAttempt(result Finished) {
+func (s *HandoverSender) finishAttempt(result Finished) {
 	if result.Refused {
-		if result.Replacement != nil {
-			result.Replacement.Refuse(result.Reason)
+		if result.Peer != nil {
+			result.Peer.Refuse(result.Reason)
 			s.notifySeparateStart()
 		}
 		if c, ok := result.Requester.(chan Progress); ok {
@@ -34,7 +34,7 @@
 	if s.replacement != nil {
 		s.notifySeparateStart()
 	}
-	s.pipe, s.peer, s.replacement = nil, peerProcess{}, nil
+	s.pipe, s.peer, s.replacement = nil, peer{}, nil
 	s.Log.WithField("reason", result.Reason).Warn("upgrade fell back: this process continues to serve")
 	s.notifyWatchers(Progress{Step: Idle.String(), Final: true, Result: FellBack, Detail: result.Reason})
 	for _, o := range s.deferred {
@@ -44,7 +44,7 @@
 	s.deferredOrders.Store(0)
 }
 
-func (s *Sender) notifySeparateStart() {
+func (s *HandoverSender) notifySeparateStart() {
 	if s.OnSeparateStart != nil {
 		s.OnSeparateStart()
 	}
@@ -52,17 +52,17 @@
 
 // exitReplaced ends this process. It must not close anything in an orderly way: shutting down a socket that both
 // processes hold would reach the peers.
-func (s *Sender) exitReplaced() {
+func (s *HandoverSender) exitReplaced() {
 	pid := s.peer.pid
 	p := s.progress
 	p.Bytes = s.snapshotBytes
 	p.Step, p.Final, p.Result, p.PID, p.HeldMS = Leaving.String(), true, Replaced, pid, milliseconds(time.Since(s.heldAt))
-	p.HeldParts.Takeover = p.HeldMS - p.HeldParts.Quiesce - p.HeldParts.Pack - p.HeldParts.Send
-	if s.OnReplaced != nil {
-		s.OnReplaced(pid) // first: a watcher that receives the final progress may ask at once which process serves
+	p.Held.Takeover = p.HeldMS - p.Held.Quiesce - p.Held.Pack - p.Held.Send
+	if s.Leave != nil {
+		s.Leave(pid) // first: a watcher that receives the final progress may ask at once which process serves
 	}
 	s.notifyWatchers(p)
-	s.Log.WithFields(logrus.Fields{"pid": pid, "held_ms": p.HeldMS, "held_parts_ms": p.HeldParts.String(), "descriptors": p.Files, "bytes": p.Bytes}).Info("upgraded: the new process has taken over")
+	s.Log.WithFields(logrus.Fields{"pid": pid, "held_ms": p.HeldMS, "held_parts_ms": p.Held.String(), "descriptors": p.Files, "bytes": p.Bytes}).Info("upgraded: the new process has taken over")
 	for _, o := range s.deferred {
 		s.forwardOrder(o)
 	}
@@ -79,14 +79,14 @@
 const lateOrderWait = 5 * time.Millisecond
 
 // forwardOrder signals the new process. A SIGTERM is not forwarded to an external replacement: it was meant for this process, which exits.
-func (s *Sender) forwardOrder(o ownerOrder) {
+func (s *HandoverSender) forwardOrder(o ownerOrder) {
 	if s.replacement == nil || o.signal != syscall.SIGTERM {
 		syscall.Kill(s.peer.pid, o.signal.(syscall.Signal))
 	}
 }
 
 // flush forwards the last orders, and waits until the watchers have received the final progress.
-func (s *Sender) flush() {
+func (s *HandoverSender) flush() {
 	begin := time.Now()
 	t := time.NewTicker(time.Millisecond)
 	defer t.Stop()
--- a/internal/upgrade/launch.go
+++ b/internal/upgrade/launch.go
@@ -13,15 +13,15 @@
 // firstExtraFD is the descriptor in the child of the first of a command's ExtraFiles.
 const firstExtraFD = 3
 
-// peerProcess is the new process.
-type peerProcess struct {
+// peer is the new process.
+type peer struct {
 	pid  int
 	kill func()       // kills it, or cancels its handover; PeerExited follows
 	wait func() error // waits until it has exited; called once it sends no more messages
 }
 
 // start launches the new process, or uses the external replacement, and begins to receive its messages.
-func (s *Sender) start() error {
+func (s *HandoverSender) start() error {
 	s.reloadsAtStart = s.Runtime.Reloads.Load()
 	var err error
 	if s.replacement != nil {
@@ -34,14 +34,14 @@
 }
 
 // launch starts the new process with its end of a pipe.
-func (s *Sender) launch() (*Pipe, peerProcess, error) {
+func (s *HandoverSender) launch() (*Pipe, peer, error) {
 	cmd, err := s.Command()
 	if err != nil {
-		return nil, peerProcess{}, err
+		return nil, peer{}, err
 	}
 	pipe, theirs, err := Pair()
 	if err != nil {
-		return nil, peerProcess{}, err
+		return nil, peer{}, err
 	}
 	at := firstExtraFD + len(cmd.ExtraFiles)
 	cmd.ExtraFiles = append(cmd.ExtraFiles, theirs...)
@@ -52,15 +52,15 @@
 	}
 	if err != nil {
 		pipe.Close()
-		return nil, peerProcess{}, err
+		return nil, peer{}, err
 	}
-	return pipe, peerProcess{pid: cmd.Process.Pid, kill: func() { cmd.Process.Kill() }, wait: cmd.Wait}, nil
+	return pipe, peer{pid: cmd.Process.Pid, kill: func() { cmd.Process.Kill() }, wait: cmd.Wait}, nil
 }
 
 // peerOf returns an external replacement as the peer. This process does not own it: if the handover fails, the
 // replacement starts without it. But once Go was sent it may act, and only killing it makes sure that it does not.
-func (s *Sender) peerOf(replacement *Replacement) peerProcess {
-	return peerProcess{pid: replacement.PID, wait: func() error { return nil }, kill: func() {
+func (s *HandoverSender) peerOf(replacement *Replacement) peer {
+	return peer{pid: replacement.PID, wait: func() error { return nil }, kill: func() {
 		if s.machine.commitSent {
 			syscall.Kill(replacement.PID, syscall.SIGKILL)
 			return
@@ -70,7 +70,7 @@
 }
 
 // listen feeds the new process's messages to the machine, and then its exit.
-func (s *Sender) listen(pipe *Pipe, peer peerProcess) {
+func (s *HandoverSender) listen(pipe *Pipe, process peer) {
 	for {
 		m, err := pipe.Receive(0)
 		if err != nil {
@@ -81,7 +81,7 @@
 		}
 		s.inputs <- MessageReceived{m}
 	}
-	err := peer.wait() // a process that closed its pipe must exit; if it does not, a phase's time limit has it killed
+	err := process.wait() // a process that closed its pipe must exit; if it does not, a phase's time limit has it killed
 	cause := "it exited, or closed its pipe"
 	if err != nil {
 		cause = err.Error()
--- a/internal/upgrade/machine.go
+++ b/internal/upgrade/machine.go
@@ -2,7 +2,7 @@
 // connections, and all in-flight state. The old process sends, the new one receives.
 //
 // Machine is the sender's side as a state machine without I/O. Pipe carries messages and descriptors between the two
-// processes. Sender executes the machine's actions; Receive and Received are the new process's side.
+// processes. HandoverSender executes the machine's actions; Receive and Taken are the new process's side.
 // docs/upgrade-design.md gives the reasons.
 package upgrade
 
@@ -54,14 +54,14 @@
 // The inputs of the machine.
 type (
 	Begin struct { // an upgrade is requested; the requester is notified if it is refused
-		Requester   any
-		Replacement *Replacement // the new process if it was started externally; nil if this process starts it
+		Requester any
+		Accept    *Replacement // the new process if it was started externally; nil if this process starts it
 	}
 	MessageReceived struct{ Message any }  // from the new process; an error if it could not be decoded
 	PeerExited      struct{ Cause string } // the new process has exited, and all its messages have been processed
 	TimerExpired    struct{}               // the time set by the last SetTimer has passed
-	HoldFinished    struct{ Err error }    // the old process is paused, or could not be
-	SendFinished    struct{ Err error }    // everything was sent, or could not be
+	Held            struct{ Err error }    // the old process is paused, or could not be
+	Sent            struct{ Err error }    // everything was sent, or could not be
 	StopRequested   struct{}               // SIGTERM: the old process is to exit
 )
 
@@ -69,8 +69,8 @@
 func (MessageReceived) input() {}
 func (PeerExited) input()      {}
 func (TimerExpired) input()    {}
-func (HoldFinished) input()    {}
-func (SendFinished) input()    {}
+func (Held) input()            {}
+func (Sent) input()            {}
 func (StopRequested) input()   {}
 
 // Action is an operation that the machine requests from the sender.
@@ -82,20 +82,20 @@
 	SendTrial      struct{}                      // send a snapshot, and from there on every step
 	SendFilesAhead struct{}                      // send the descriptors of the present connections
 	SendState      struct{}                      // send the reducer's state, since the new process could not follow every step
-	Hold           struct{}                      // pause the loop and the gate; HoldFinished is the reply
-	SendAll        struct{}                      // send the parcel and its descriptors; SendFinished is the reply
+	Hold           struct{}                      // pause the loop and the gate; Held is the reply
+	SendAll        struct{}                      // send the parcel and its descriptors; Sent is the reply
 	SendGo         struct{}                      // send Go to the new process
 	Kill           struct{}                      // kill the new process; PeerExited is the reply
 	ReleaseHold    struct{}                      // resume here as if nothing had happened
 	Exit           struct{}                      // exit at once, without an orderly shutdown of anything
 	ExitCrashed    struct{}                      // exit with an error status
 	SetTimer       struct{ After time.Duration } // replaces the last one; 0 for none
-	ReportPhase    struct{ Phase Phase }         // notify the watchers of the new phase
+	Step           struct{ Phase Phase }         // notify the watchers of the new phase
 	Finished       struct {                      // notify the watchers: the upgrade is over, and this process stays
-		Refused     bool
-		Requester   any // of the upgrade, if it is refused
-		Replacement *Replacement
-		Reason      string
+		Refused   bool
+		Requester any // of the upgrade, if it is refused
+		Peer      *Replacement
+		Reason    string
 	}
 )
 
@@ -111,7 +111,7 @@
 func (Exit) action()           {}
 func (ExitCrashed) action()    {}
 func (SetTimer) action()       {}
-func (ReportPhase) action()    {}
+func (Step) action()           {}
 func (Finished) action()       {}
 
 // Machine decides the steps of the old process. With Limits set and all else zero it is idle.
@@ -145,9 +145,9 @@
 		m.peerExited(in.Cause)
 	case TimerExpired:
 		m.timerExpired()
-	case HoldFinished:
+	case Held:
 		m.holdFinished(in.Err)
-	case SendFinished:
+	case Sent:
 		if m.phase == Offering && in.Err != nil {
 			m.fail(fmt.Sprintf("could not send everything: %v", in.Err))
 		}
@@ -169,12 +169,12 @@
 // enter begins a phase with a time limit; 0 for none.
 func (m *Machine) enter(p Phase, limit time.Duration) {
 	m.phase = p
-	m.do(SetTimer{limit}, ReportPhase{p})
+	m.do(SetTimer{limit}, Step{p})
 }
 
 func (m *Machine) begin(in Begin) {
 	refuse := func(reason string) {
-		m.do(Finished{Refused: true, Requester: in.Requester, Replacement: in.Replacement, Reason: reason})
+		m.do(Finished{Refused: true, Requester: in.Requester, Peer: in.Accept, Reason: reason})
 	}
 	switch {
 	case m.stopped:
@@ -182,7 +182,7 @@
 	case m.phase != Idle:
 		refuse("an upgrade is under way: " + m.phase.String())
 	default:
-		m.reason, m.commitSent, m.external = "", false, in.Replacement != nil
+		m.reason, m.commitSent, m.external = "", false, in.Accept != nil
 		m.enter(Starting, m.Limits.Start)
 		m.do(Start{})
 	}
@@ -268,7 +268,7 @@
 		m.do(ReleaseHold{})
 	}
 	m.phase = Idle
-	m.do(SetTimer{0}, ReportPhase{Idle}, Finished{Reason: m.reason})
+	m.do(SetTimer{0}, Step{Idle}, Finished{Reason: m.reason})
 }
 
 func (m *Machine) timerExpired() {
--- a/internal/upgrade/machine_test.go
+++ b/internal/upgrade/machine_test.go
@@ -17,13 +17,13 @@
 var hello = Hello{Protocol: Protocol, Schema: ownSchema}
 
 // successfulUpgrade lists the inputs of an upgrade without failures.
-var successfulUpgrade = []Input{Begin{}, MessageReceived{hello}, MessageReceived{TrialTaken{}}, TimerExpired{}, MessageReceived{AheadTaken{}}, HoldFinished{}, SendFinished{}, MessageReceived{Ready{}}, MessageReceived{Acting{}}}
+var successfulUpgrade = []Input{Begin{}, MessageReceived{hello}, MessageReceived{TrialTaken{}}, TimerExpired{}, MessageReceived{AheadTaken{}}, Held{}, Sent{}, MessageReceived{Ready{}}, MessageReceived{Acting{}}}
 
 func actionNames(actions []Action) string {
 	var out []string
 	for _, a := range actions {
 		switch a := a.(type) {
-		case SetTimer, ReportPhase:
+		case SetTimer, Step:
 		case Finished:
 			out = append(out, fmt.Sprintf("Finished(%v)", a.Refused))
 		default:
@@ -101,8 +101,8 @@
 		"another protocol":        {false, []Input{Begin{}, MessageReceived{Hello{Protocol: 9, Schema: ownSchema}}}, "Kill"},
 		"another schema":          {false, []Input{Begin{}, MessageReceived{Hello{Protocol: Protocol, Schema: 99}}}, "Kill"},
 		"too long while starting": {false, []Input{Begin{}, TimerExpired{}}, "Kill"},
-		"hold fails":              {false, append(append([]Input{}, successfulUpgrade[:5]...), HoldFinished{errors.New("busy")}), "Kill"},
-		"not sent":                {false, append(append([]Input{}, successfulUpgrade[:6]...), SendFinished{errors.New("broken")}), "Kill"},
+		"hold fails":              {false, append(append([]Input{}, successfulUpgrade[:5]...), Held{errors.New("busy")}), "Kill"},
+		"not sent":                {false, append(append([]Input{}, successfulUpgrade[:6]...), Sent{errors.New("broken")}), "Kill"},
 		"other decisions":         {false, append(append([]Input{}, successfulUpgrade[:3]...), MessageReceived{Differs{}}), ""},
 		"other decisions, strict": {true, append(append([]Input{}, successfulUpgrade[:3]...), MessageReceived{Differs{}}), "Kill"},
 		"needs the state":         {false, append(append([]Input{}, successfulUpgrade[:7]...), MessageReceived{NeedState{}}), "SendState"},
@@ -126,7 +126,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine()
 		held, alive, exited, goSent := false, false, false, false
-		inputs := append([]Input{Begin{}, TimerExpired{}, StopRequested{}, HoldFinished{}, HoldFinished{errors.New("busy")}, SendFinished{errors.New("x")}, PeerExited{"x"},
+		inputs := append([]Input{Begin{}, TimerExpired{}, StopRequested{}, Held{}, Held{errors.New("busy")}, Sent{errors.New("x")}, PeerExited{"x"},
 			MessageReceived{Refused{}}, MessageReceived{Differs{}}, MessageReceived{NeedState{}}}, successfulUpgrade...)
 		at := 0
 		for range rapid.IntRange(1, 60).Draw(t, "inputs") {
@@ -142,12 +142,12 @@
 				if !alive {
 					continue // there is no new process to send it
 				}
-			case HoldFinished:
+			case Held:
 				if m.Phase() != Holding {
 					continue // it replies to a Hold action
 				}
 			}
-			if h, ok := in.(HoldFinished); ok && h.Err != nil {
+			if h, ok := in.(Held); ok && h.Err != nil {
 				held = false
 			}
 			if _, ok := in.(PeerExited); ok {
--- a/internal/upgrade/orders.go
+++ b/internal/upgrade/orders.go
@@ -13,7 +13,7 @@
 
 // RunAsOwner has the operation performed by the process that owns everything: here, by run, at once or when an upgrade in
 // progress has fallen back; or by the new process, which receives the signal. It returns when run has returned here.
-func (s *Sender) RunAsOwner(signal os.Signal, run func()) {
+func (s *HandoverSender) RunAsOwner(signal os.Signal, run func()) {
 	done := make(chan struct{})
 	s.orders <- ownerOrder{signal, func() { run(); close(done) }}
 	<-done
@@ -21,7 +21,7 @@
 
 // Stop requests the end of this process. It returns when no upgrade is in progress. If the new process has taken over,
 // it does not return; a new process that this one started receives SIGTERM instead.
-func (s *Sender) Stop() {
+func (s *HandoverSender) Stop() {
 	s.inputs <- StopRequested{}
 	idle := make(chan struct{})
 	s.orders <- ownerOrder{syscall.SIGTERM, func() { close(idle) }}
@@ -29,4 +29,4 @@
 }
 
 // DeferredOrders returns the number of orders that wait for the end of an upgrade.
-func (s *Sender) DeferredOrders() int { return int(s.deferredOrders.Load()) }
+func (s *HandoverSender) DeferredOrders() int { return int(s.deferredOrders.Load()) }
--- a/internal/upgrade/pipe.go
+++ b/internal/upgrade/pipe.go
@@ -24,25 +24,25 @@
 // Pipe carries messages and descriptors between the two processes. It consists of two Unix socket pairs: a stream for
 // the messages, and one of packets, each with up to maxFilesPerPacket descriptors.
 type Pipe struct {
-	messageConn *net.UnixConn
-	fileConn    *net.UnixConn
+	messages *net.UnixConn
+	files    *net.UnixConn
 
 	mu sync.Mutex // serializes messages that are sent
 }
 
 // Pair returns one end of a pipe and the two files of its other end, to be passed to a child and then closed.
 func Pair() (*Pipe, []*os.File, error) {
-	messageConn, theirMessages, err := socketPair(unix.SOCK_STREAM)
+	messages, theirMessages, err := socketPair(unix.SOCK_STREAM)
 	if err != nil {
 		return nil, nil, err
 	}
-	fileConn, theirFiles, err := socketPair(unix.SOCK_SEQPACKET)
+	files, theirFiles, err := socketPair(unix.SOCK_SEQPACKET)
 	if err != nil {
-		messageConn.Close()
+		messages.Close()
 		theirMessages.Close()
 		return nil, nil, err
 	}
-	return &Pipe{messageConn: messageConn, fileConn: fileConn}, []*os.File{theirMessages, theirFiles}, nil
+	return &Pipe{messages: messages, files: files}, []*os.File{theirMessages, theirFiles}, nil
 }
 
 func socketPair(socketType int) (*net.UnixConn, *os.File, error) {
@@ -74,19 +74,19 @@
 }
 
 // Inherit opens the end of a pipe that was received as two descriptors.
-func Inherit(messageFD, fileFD int) (*Pipe, error) {
-	unix.CloseOnExec(messageFD)
-	unix.CloseOnExec(fileFD)
-	messageConn, err := unixConn(messageFD)
+func Inherit(messages, files int) (*Pipe, error) {
+	unix.CloseOnExec(messages)
+	unix.CloseOnExec(files)
+	messageConn, err := unixConn(messages)
 	if err != nil {
 		return nil, err
 	}
-	fileConn, err := unixConn(fileFD)
+	fileConn, err := unixConn(files)
 	if err != nil {
 		messageConn.Close()
 		return nil, err
 	}
-	return &Pipe{messageConn: messageConn, fileConn: fileConn}, nil
+	return &Pipe{messages: messageConn, files: fileConn}, nil
 }
 
 // Send writes a message. It returns an error that wraps snapshot.ErrTooLarge if the message is over snapshot.MostBytes.
@@ -102,7 +102,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	buffers := net.Buffers{head, text}
-	if _, err := buffers.WriteTo(p.messageConn); err != nil {
+	if _, err := buffers.WriteTo(p.messages); err != nil {
 		return fmt.Errorf("upgrade: %w", err)
 	}
 	return nil
@@ -115,7 +115,7 @@
 		maxBytes = maxShortMessageBytes
 	}
 	var head [5]byte
-	if _, err := io.ReadFull(p.messageConn, head[:]); err != nil {
+	if _, err := io.ReadFull(p.messages, head[:]); err != nil {
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[1:])
@@ -123,7 +123,7 @@
 		return nil, fmt.Errorf("%w: a message of %d bytes, %d at most", snapshot.ErrTooLarge, n, maxBytes)
 	}
 	text := make([]byte, n)
-	if _, err := io.ReadFull(p.messageConn, text); err != nil {
+	if _, err := io.ReadFull(p.messages, text); err != nil {
 		return nil, fmt.Errorf("upgrade: message truncated: %w", err)
 	}
 	return decode(head[0], text)
@@ -136,10 +136,10 @@
 	for len(fds) > 0 {
 		batch := fds[:min(len(fds), maxFilesPerPacket)]
 		fds = fds[len(batch):]
-		if _, _, err := p.fileConn.WriteMsgUnix([]byte{byte(len(batch))}, unix.UnixRights(batch...), nil); err != nil {
+		if _, _, err := p.files.WriteMsgUnix([]byte{byte(len(batch))}, unix.UnixRights(batch...), nil); err != nil {
 			return fmt.Errorf("upgrade: send descriptors: %w", err)
 		}
-		if _, err := p.fileConn.Read(acknowledgement[:]); err != nil {
+		if _, err := p.files.Read(acknowledgement[:]); err != nil {
 			return fmt.Errorf("upgrade: descriptors were not acknowledged: %w", err)
 		}
 	}
@@ -159,7 +159,7 @@
 	var payload [1]byte
 	control := make([]byte, unix.CmsgSpace(4*maxFilesPerPacket))
 	for len(fds) < n {
-		_, got, flags, _, err := p.fileConn.ReadMsgUnix(payload[:], control)
+		_, got, flags, _, err := p.files.ReadMsgUnix(payload[:], control)
 		if err != nil {
 			return fds, fmt.Errorf("upgrade: receive descriptors: %w", err)
 		}
@@ -182,7 +182,7 @@
 		if flags&unix.MSG_CTRUNC != 0 || received != int(payload[0]) || received == 0 {
 			return fds, fmt.Errorf("upgrade: only %d of %d descriptors received (limit of open files?)", received, payload[0])
 		}
-		if _, err := p.fileConn.Write(payload[:]); err != nil {
+		if _, err := p.files.Write(payload[:]); err != nil {
 			return fds, fmt.Errorf("upgrade: receive descriptors: %w", err)
 		}
 	}
@@ -192,15 +192,15 @@
 // cancel sends Cancelled. If it can't be written within cancelTimeout, the other process has not read everything that was
 // sent before it, and so can't become the owner of anything either.
 func (p *Pipe) cancel(reason string) {
-	p.messageConn.SetWriteDeadline(time.Now().Add(cancelTimeout))
+	p.messages.SetWriteDeadline(time.Now().Add(cancelTimeout))
 	p.Send(Cancelled{Reason: reason})
 }
 
 // Close closes this end of the pipe.
-func (p *Pipe) Close() error { return errors.Join(p.messageConn.Close(), p.fileConn.Close()) }
+func (p *Pipe) Close() error { return errors.Join(p.messages.Close(), p.files.Close()) }
 
 // WriteRaw writes bytes that need not be a valid message, for tests of how the other process handles them.
 func (p *Pipe) WriteRaw(text []byte) error {
-	_, err := p.messageConn.Write(text)
+	_, err := p.messages.Write(text)
 	return err
 }
--- a/internal/upgrade/progress.go
+++ b/internal/upgrade/progress.go
@@ -17,7 +17,7 @@
 	FilesWhileHeld int       `json:"descriptors_held,omitempty"` // of those, sent while everything was held
 	Bytes          int       `json:"bytes,omitempty"`            // size of the first snapshot
 	HeldMS         float64   `json:"held_ms,omitempty"`          // from the beginning of the hold until the new process acted
-	HeldParts      HoldTimes `json:"held_parts,omitzero"`
+	Held           HoldTimes `json:"held_parts,omitzero"`
 }
 
 // HoldTimes are the durations of the parts of a hold, in milliseconds.
@@ -43,7 +43,7 @@
 
 // Upgrade requests an upgrade and calls notify with its progress, up to the final one. If another upgrade is in progress,
 // the final progress reports at once that this one is refused.
-func (s *Sender) Upgrade(notify func(Progress)) {
+func (s *HandoverSender) Upgrade(notify func(Progress)) {
 	c := make(chan Progress, 64)
 	s.mu.Lock()
 	s.watchers[c] = struct{}{}
@@ -63,13 +63,13 @@
 }
 
 // LastResult returns the final progress of the last upgrade that this process began; the zero value if there was none.
-func (s *Sender) LastResult() Progress {
+func (s *HandoverSender) LastResult() Progress {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastResult
 }
 
-func (s *Sender) notifyWatchers(p Progress) {
+func (s *HandoverSender) notifyWatchers(p Progress) {
 	p.At = time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/upgrade/receiver.go
+++ b/internal/upgrade/receiver.go
@@ -41,8 +41,8 @@
 // ErrCancelled means that the running process continues, and that nothing of what it sent may be used.
 var ErrCancelled = errors.New("the running process continues")
 
-// Received is everything that was handed over. The old process owns it until Commit has succeeded.
-type Received struct {
+// Taken is everything that was handed over. The old process owns it until Go has succeeded.
+type Taken struct {
 	Parcel  Parcel
 	Reducer *core.Reducer
 	Backlog []core.Event
@@ -58,7 +58,7 @@
 
 // Durations returns how long the parts of the takeover took: receiving and decoding the rest of the parcel, restoring
 // the parts, and the final messages up to this call.
-func (r *Received) Durations() (decode, restore, commit time.Duration) {
+func (r *Taken) Durations() (decode, restore, commit time.Duration) {
 	return r.decoded.Sub(r.parcelReceived), r.imported.Sub(r.decoded), time.Since(r.imported)
 }
 
@@ -67,11 +67,11 @@
 
 // Receive follows the old process and receives everything from it. settings returns the new process's own settings, or newer ones if the
 // state says that these are in force. The received connections are put behind the gate.
-func Receive(p *Pipe, settings SettingsFunc, version string, gate *hold.Gate) (*Received, error) {
+func Receive(p *Pipe, settings SettingsFunc, version string, gate *hold.Gate) (*Taken, error) {
 	if err := p.Send(Hello{Protocol: Protocol, Schema: ownSchema, Version: version, PID: os.Getpid()}); err != nil {
 		return nil, err
 	}
-	received := &Received{pipe: p, Files: gate.Receive()}
+	received := &Taken{pipe: p, Files: gate.Receive()}
 	var follower *core.Reducer
 	for {
 		m, err := p.Receive(snapshot.MostBytes)
@@ -119,7 +119,7 @@
 }
 
 // followStep executes the old process's step and compares the effects. After the first difference it only counts steps.
-func (r *Received) followStep(follower *core.Reducer, f Followed) error {
+func (r *Taken) followStep(follower *core.Reducer, f Followed) error {
 	if follower == nil {
 		return fmt.Errorf("%w: a step before the first snapshot", snapshot.ErrFormat)
 	}
@@ -140,7 +140,7 @@
 }
 
 // receiveAhead receives descriptors that are sent ahead; 0 means that all were sent.
-func (r *Received) receiveAhead(a Ahead) error {
+func (r *Taken) receiveAhead(a Ahead) error {
 	if a.Files == 0 {
 		if r.resumeGC == nil {
 			r.resumeGC = pauseGC()
@@ -156,7 +156,7 @@
 
 // decode receives the remaining descriptors and decodes the parcel. A follower that has executed every step, always with the
 // same effects, has the state of the old process's reducer; any other is replaced by one with that reducer's state.
-func (r *Received) decode(p Parcel, follower *core.Reducer, settings SettingsFunc) error {
+func (r *Taken) decode(p Parcel, follower *core.Reducer, settings SettingsFunc) error {
 	r.parcelReceived = time.Now()
 	fds, err := r.pipe.ReceiveFiles(p.Files)
 	if err != nil {
@@ -179,7 +179,7 @@
 	return nil
 }
 
-func (r *Received) requestState(settings SettingsFunc) (*core.Reducer, error) {
+func (r *Taken) requestState(settings SettingsFunc) (*core.Reducer, error) {
 	if err := r.pipe.Send(NeedState{}); err != nil {
 		return nil, err
 	}
@@ -195,10 +195,10 @@
 }
 
 // Started returns the time at which the first generation was started.
-func (r *Received) Started() time.Time { return time.Unix(0, r.Parcel.Started) }
+func (r *Taken) Started() time.Time { return time.Unix(0, r.Parcel.Started) }
 
 // Import restores the parts from their state. The gate must be held.
-func (r *Received) Import(parts []Part) error {
+func (r *Taken) Import(parts []Part) error {
 	for _, part := range parts {
 		raw, ok := r.Parcel.Parts[part.Name]
 		if !ok && part.Optional {
@@ -214,9 +214,9 @@
 	return nil
 }
 
-// Commit sends Ready, waits for Go, and sends Acting. If it returns nil, this process owns everything; if it returns an
+// Go sends Ready, waits for the go message, and sends Acting. If it returns nil, this process owns everything; if it returns an
 // error, this process owns nothing.
-func (r *Received) Commit() error {
+func (r *Taken) Go() error {
 	if r.resumeGC != nil {
 		defer func() { go r.resumeGC() }()
 	}
--- a/internal/upgrade/rendezvous.go
+++ b/internal/upgrade/rendezvous.go
@@ -159,7 +159,7 @@
 		defer f.Close()
 		fds[i] = int(f.Fd())
 	}
-	err = errors.Join(c.SetDeadline(until), pipe.messageConn.SetDeadline(until), pipe.fileConn.SetDeadline(until))
+	err = errors.Join(c.SetDeadline(until), pipe.messages.SetDeadline(until), pipe.files.SetDeadline(until))
 	if err == nil {
 		_, _, err = c.WriteMsgUnix([]byte{1}, unix.UnixRights(fds...), nil)
 	}
--- a/internal/upgrade/send.go
+++ b/internal/upgrade/send.go
@@ -16,7 +16,7 @@
 const maxQueuedSteps = 8192
 
 // sendTrial sends a snapshot and begins to send every later step to the new process.
-func (s *Sender) sendTrial() error {
+func (s *HandoverSender) sendTrial() error {
 	s.stepQueue, s.stepsWritten = make(chan Followed, maxQueuedSteps), make(chan struct{})
 	steps := s.stepQueue
 	s.stepsQueued, s.stepDropped, s.sentAhead = 0, false, nil
@@ -36,7 +36,7 @@
 		return err
 	}
 	s.snapshotBytes = len(text)
-	if err = s.pipe.messageConn.SetWriteDeadline(time.Now().Add(s.machine.Limits.Start)); err == nil {
+	if err = s.pipe.messages.SetWriteDeadline(time.Now().Add(s.machine.Limits.Start)); err == nil {
 		err = s.pipe.Send(Trial{Reducer: text})
 	}
 	// The queue is drained also after an error, since stopFollowing waits for that.
@@ -54,7 +54,7 @@
 }
 
 // stopFollowing closes the queue of steps and waits until it is written. The loop must not add any more.
-func (s *Sender) stopFollowing() {
+func (s *HandoverSender) stopFollowing() {
 	if s.stepQueue != nil {
 		close(s.stepQueue)
 		<-s.stepsWritten
@@ -64,9 +64,9 @@
 
 // sendFilesAhead sends the descriptors of the present connections while they stay in use. It takes longest of a
 // handover's parts, and done ahead it delays no caller.
-func (s *Sender) sendFilesAhead() error {
+func (s *HandoverSender) sendFilesAhead() error {
 	limit := time.Now().Add(s.machine.Limits.Start)
-	if err := errors.Join(s.pipe.messageConn.SetWriteDeadline(limit), s.pipe.fileConn.SetDeadline(limit)); err != nil {
+	if err := errors.Join(s.pipe.messages.SetWriteDeadline(limit), s.pipe.files.SetDeadline(limit)); err != nil {
 		return err
 	}
 	s.resumeGC = pauseGC()
@@ -107,9 +107,9 @@
 }
 
 // sendAll sends the parcel and the descriptors that were not sent ahead. The runtime must be held.
-func (s *Sender) sendAll() error {
+func (s *HandoverSender) sendAll() error {
 	limit := time.Now().Add(s.machine.Limits.Offer)
-	if err := errors.Join(s.pipe.messageConn.SetWriteDeadline(limit), s.pipe.fileConn.SetDeadline(limit)); err != nil {
+	if err := errors.Join(s.pipe.messages.SetWriteDeadline(limit), s.pipe.files.SetDeadline(limit)); err != nil {
 		return err
 	}
 	s.stopFollowing()
@@ -123,12 +123,12 @@
 	}
 	parcel.Reload = s.Runtime.Reloads.Load() != s.reloadsAtStart
 	packed := time.Now()
-	s.progress.HeldParts.Pack = milliseconds(packed.Sub(s.heldAt)) - s.progress.HeldParts.Quiesce
+	s.progress.Held.Pack = milliseconds(packed.Sub(s.heldAt)) - s.progress.Held.Quiesce
 	s.progress.Files, s.progress.FilesWhileHeld = len(files.FDs)+len(s.sentAhead), len(files.FDs)
 	if err := s.pipe.Send(parcel); err != nil {
 		return err
 	}
 	err = s.pipe.SendFiles(files.FDs)
-	s.progress.HeldParts.Send = milliseconds(time.Since(packed))
+	s.progress.Held.Send = milliseconds(time.Since(packed))
 	return err
 }
--- a/internal/upgrade/sender.go
+++ b/internal/upgrade/sender.go
@@ -13,12 +13,12 @@
 	"foldlb.example/foldlb/internal/hold"
 )
 
-// Sender hands a dispatcher over to new processes.
-type Sender struct {
+// HandoverSender hands a dispatcher over to new processes.
+type HandoverSender struct {
 	Runtime         *Runtime
 	Command         func() (*exec.Cmd, error) // the new process, not started; its ExtraFiles and Env are extended
 	Log             logrus.FieldLogger
-	OnReplaced      func(pid int) // called when the new process acts, before the watchers are notified
+	Leave           func(pid int) // called when the new process acts, before the watchers are notified
 	ShedConns       func()        // called before connections are sent to an external replacement, since both processes count them; nil for none
 	OnSeparateStart func()        // called when an external replacement starts without a handover, beside this process; nil for none
 
@@ -37,7 +37,7 @@
 	machine        Machine
 	reloadsAtStart int64 // Runtime.Reloads when the new process was started
 	pipe           *Pipe
-	peer           peerProcess
+	peer           peer
 	replacement    *Replacement // the new process if it was started externally
 	timer          *time.Timer
 	stepQueue      chan Followed
@@ -52,22 +52,22 @@
 	deferred       []ownerOrder
 }
 
-// NewSender returns a sender. onReplaced becomes OnReplaced.
-func NewSender(runtime *Runtime, limits Limits, strict bool, command func() (*exec.Cmd, error), onReplaced func(pid int), log logrus.FieldLogger) *Sender {
-	return &Sender{Runtime: runtime, Command: command, Log: log, OnReplaced: onReplaced, limits: limits, strict: strict,
+// NewHandoverSender returns a sender. leave becomes its Leave.
+func NewHandoverSender(runtime *Runtime, initialLimits Limits, strict bool, command func() (*exec.Cmd, error), leave func(pid int), log logrus.FieldLogger) *HandoverSender {
+	return &HandoverSender{Runtime: runtime, Command: command, Log: log, Leave: leave, limits: initialLimits, strict: strict,
 		inputs: make(chan Input, 64), orders: make(chan ownerOrder), watchers: map[chan Progress]struct{}{}, timer: time.NewTimer(time.Hour)}
 }
 
 // Configure sets the limits of the next upgrade that is requested here.
-func (s *Sender) Configure(limits Limits, strict bool) {
+func (s *HandoverSender) Configure(limits Limits, strict bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits, s.strict = limits, strict
 }
 
-// AcceptReplacements begins a handover for every replacement that connects at the rendezvous, with limits of its own. It
+// Accept begins a handover for every replacement that connects at the rendezvous, with limits of its own. It
 // returns when the listener is closed.
-func (s *Sender) AcceptReplacements(listener *RendezvousListener, limits Limits) {
+func (s *HandoverSender) Accept(listener *RendezvousListener, limits Limits) {
 	s.mu.Lock()
 	s.replacementLimits = limits
 	s.mu.Unlock()
@@ -76,12 +76,12 @@
 		if err != nil {
 			return
 		}
-		s.inputs <- Begin{Replacement: replacement}
+		s.inputs <- Begin{Accept: replacement}
 	}
 }
 
 // Run performs every upgrade that is requested. It does not return.
-func (s *Sender) Run() {
+func (s *HandoverSender) Run() {
 	for {
 		var in Input
 		select {
@@ -100,10 +100,10 @@
 		if b, begins := in.(Begin); begins && s.machine.Phase() == Idle {
 			s.mu.Lock()
 			s.machine.Limits, s.machine.Strict = s.limits, s.strict
-			if b.Replacement != nil {
+			if b.Accept != nil {
 				s.machine.Limits, s.machine.Strict = s.replacementLimits, false
 			}
-			s.replacement = b.Replacement
+			s.replacement = b.Accept
 			s.mu.Unlock()
 		}
 		s.step(in)
@@ -111,7 +111,7 @@
 }
 
 // step feeds the machine and executes its actions. An input that results from an action is fed back at once.
-func (s *Sender) step(in Input) {
+func (s *HandoverSender) step(in Input) {
 	for _, a := range s.machine.Step(in) {
 		if next := s.execute(a); next != nil {
 			s.step(next)
@@ -119,13 +119,13 @@
 	}
 }
 
-func (s *Sender) execute(a Action) Input {
+func (s *HandoverSender) execute(a Action) Input {
 	switch a := a.(type) {
 	case SetTimer:
 		if s.timer.Stop(); a.After > 0 {
 			s.timer.Reset(a.After)
 		}
-	case ReportPhase:
+	case Step:
 		s.Log.WithField("phase", a.Phase.String()).Info("upgrade")
 		s.notifyWatchers(Progress{Step: a.Phase.String()})
 	case Start:
@@ -140,10 +140,10 @@
 	case Hold:
 		s.heldAt = time.Now()
 		err := s.Runtime.Hold(s.machine.Limits.Hold)
-		s.progress = Progress{HeldParts: HoldTimes{Quiesce: milliseconds(time.Since(s.heldAt))}}
-		return HoldFinished{err}
+		s.progress = Progress{Held: HoldTimes{Quiesce: milliseconds(time.Since(s.heldAt))}}
+		return Held{err}
 	case SendAll:
-		return SendFinished{s.sendAll()}
+		return Sent{s.sendAll()}
 	case SendFilesAhead:
 		if err := s.sendFilesAhead(); err != nil {
 			return MessageReceived{Refused{Reason: "descriptors could not be sent ahead: " + err.Error()}}
@@ -154,7 +154,7 @@
 			err = s.pipe.Send(State{Reducer: text})
 		}
 		s.Log.Warn("upgrade: the new process could not follow every step; the whole state is sent while everything is held")
-		return SendFinished{err}
+		return Sent{err}
 	case SendGo:
 		if err := s.pipe.Send(Go{}); err != nil {
 			s.Log.WithError(err).Warn("upgrade: the go message was not sent")
--- a/internal/workerconn/pool.go
+++ b/internal/workerconn/pool.go
@@ -117,9 +117,9 @@
 		return nil, errBudget
 	}
 	// While it dials it rests: nothing has been sent, and where the gate is held the other process dials anew.
-	p.gate.Exit()
+	p.gate.Rest()
 	nc, err := p.dial(ctx, addr)
-	p.gate.Enter()
+	p.gate.Wake()
 	if err != nil {
 		if ctx.Err() == nil {
 			p.refused.Add(1)
--- a/internal/workerconn/sender.go
+++ b/internal/workerconn/sender.go
@@ -104,9 +104,9 @@
 		case <-ctx.Done():
 			return
 		case now := <-t.C:
-			s.gate.Enter()
+			s.gate.Wake()
 			s.pool.retire(now)
-			s.gate.Exit()
+			s.gate.Rest()
 		}
 	}
 }
@@ -315,9 +315,9 @@
 	x := &giving{what: g}
 	s.givingUp[key] = x
 	s.gate.Go(func() {
-		s.gate.Exit()
+		s.gate.Rest()
 		s.slots <- struct{}{}
-		s.gate.Enter()
+		s.gate.Wake()
 		s.giveUp(x, s.delete(x))
 	})
 }
--- a/internal/workerconn/state.go
+++ b/internal/workerconn/state.go
@@ -154,9 +154,9 @@
 		s.givingUp[job{g.What.Addr, g.What.Request}] = x
 		rest := g.Link.Conn.Rest
 		s.gate.Go(func() {
-			s.gate.Exit()
+			s.gate.Rest()
 			s.slots <- struct{}{}
-			s.gate.Enter()
+			s.gate.Wake()
 			s.giveUp(x, s.finishTelling(x, c, rest))
 		})
 	}
