--- a/internal/hold/conn.go
+++ b/internal/hold/conn.go
@@ -361,12 +361,13 @@
 // OpenWithoutData reports whether the connection is open and no received byte is unread, in the buffer or in the kernel.
 func (c *Conn) OpenWithoutData() bool {
 	c.mu.Lock()
-	ahead := len(c.readBuffer) > 0
+	buffered := len(c.readBuffer) > 0
 	c.mu.Unlock()
-	return !ahead && tcp.OpenWithoutData(c.Conn)
+	return !buffered && tcp.OpenWithoutData(c.Conn)
 }
 
-// PeerClosed reports whether the peer has closed its end or reset the connection, even if unread bytes precede that.
+// PeerClosed reports whether the peer has closed its end or reset the connection, even if unread bytes precede that. It is also true of
+// a connection that this side has closed.
 func (c *Conn) PeerClosed() bool { return tcp.Closed(c.Conn) }
 
 // SetDeadline sets the read and the write deadline.
--- a/internal/hold/hold_test.go
+++ b/internal/hold/hold_test.go
@@ -21,27 +21,27 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	far, err := net.Dial("tcp", ln.Addr().String())
+	peer, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	near, err := ln.Accept()
+	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return g.Wrap(near), far
+	return g.Wrap(conn), peer
 }
 
 // TestNoBytesReadWhileHeld checks that bytes which arrive during a hold stay in the kernel, and are read after it.
 func TestNoBytesReadWhileHeld(t *testing.T) {
 	g := NewGate()
-	near, far := pair(t, g)
-	defer far.Close()
+	conn, peer := pair(t, g)
+	defer peer.Close()
 	got := make(chan string, 4)
 	g.Go(func() {
 		b := make([]byte, 16)
 		for {
-			n, err := near.Read(b)
+			n, err := conn.Read(b)
 			if err != nil {
 				got <- err.Error()
 				return
@@ -50,15 +50,15 @@
 		}
 	})
 	for i := range 50 {
-		io.WriteString(far, "a")
+		io.WriteString(peer, "a")
 		if s := <-got; s != "a" {
 			t.Fatal(s)
 		}
 		if err := g.Hold(holdTimeout, nil); err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(far, "b")
-		if st := near.Export(); len(got) != 0 || len(st.Ahead) != i*2+1 {
+		io.WriteString(peer, "b")
+		if st := conn.Export(); len(got) != 0 || len(st.Ahead) != i*2+1 {
 			t.Fatalf("round %d: %d reads while held, exported %+v", i, len(got), st)
 		}
 		g.Release()
@@ -71,23 +71,23 @@
 			t.Fatal("bytes that arrived during the hold were not read after it")
 		}
 	}
-	far.Close()
+	peer.Close()
 	if s := <-got; s != io.EOF.Error() {
 		t.Error(s)
 	}
 }
 
-// TestReadDeadlineSurvivesHold checks that a reader's deadline takes effect across several holds, also if it expires
-// during one, and that the release of a hold does not look like an expired deadline.
+// TestReadDeadlineSurvivesHold checks that a reader's own deadline takes effect, and not before its time, if the gate is
+// held several times meanwhile: the release of a hold must not look like an expired deadline.
 func TestReadDeadlineSurvivesHold(t *testing.T) {
 	g := NewGate()
-	near, far := pair(t, g)
-	defer far.Close()
+	conn, peer := pair(t, g)
+	defer peer.Close()
 	ended := make(chan error, 1)
-	near.SetReadDeadline(time.Now().Add(150 * time.Millisecond))
+	conn.SetReadDeadline(time.Now().Add(150 * time.Millisecond))
 	begin := time.Now()
 	g.Go(func() {
-		_, err := near.Read(make([]byte, 1))
+		_, err := conn.Read(make([]byte, 1))
 		ended <- err
 	})
 	for range 3 {
@@ -104,38 +104,38 @@
 // TestInterrupt checks that Interrupt ends a ReadAhead in each of its states, and that no received byte is lost.
 func TestInterrupt(t *testing.T) {
 	g := NewGate()
-	near, far := pair(t, g)
-	defer far.Close()
+	conn, peer := pair(t, g)
+	defer peer.Close()
 	ended := make(chan error)
 	g.Go(func() {
 		for range 4 {
-			err := near.ReadAhead()
+			err := conn.ReadAhead()
 			ended <- err
 		}
 	})
-	near.Interrupt()
+	conn.Interrupt()
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(far, "xyz")
-	near.Interrupt() // before or after the first byte is read
+	io.WriteString(peer, "xyz")
+	conn.Interrupt() // before or after the first byte is read
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
 	if err := g.Hold(holdTimeout, nil); err != nil {
 		t.Fatal(err)
 	}
-	near.Interrupt() // while held: the reader counts as active from here on
+	conn.Interrupt() // while held: the reader counts as active from here on
 	g.Release()
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	near.Interrupt()
+	conn.Interrupt()
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
 	b := make([]byte, 3)
-	if _, err := io.ReadFull(near, b); err != nil || string(b) != "xyz" {
+	if _, err := io.ReadFull(conn, b); err != nil || string(b) != "xyz" {
 		t.Errorf("%q, %v", b, err)
 	}
 }
@@ -167,27 +167,27 @@
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOfN(rapid.Byte(), 1, 3000).Draw(t, "text")
 		first := NewGate()
-		near, far := pair(t, first)
-		defer far.Close()
-		defer near.Close()
+		conn, peer := pair(t, first)
+		defer peer.Close()
+		defer conn.Close()
 		written := rapid.IntRange(0, len(text)).Draw(t, "written before")
-		far.Write(text[:written])
+		peer.Write(text[:written])
 		read, consumed := 0, 0 // bytes of the text that the first connection read, and marked as consumed
 		first.Wake()
 		for read < written && rapid.Bool().Draw(t, "read more") {
 			b := make([]byte, rapid.IntRange(1, 700).Draw(t, "room"))
-			n, err := near.Read(b)
+			n, err := conn.Read(b)
 			if err != nil {
 				t.Fatal(err)
 			}
 			read += n
 			if rapid.Bool().Draw(t, "mark") {
 				left := rapid.IntRange(0, read-consumed).Draw(t, "left")
-				near.MarkConsumed(left)
+				conn.MarkConsumed(left)
 				consumed = read - left
 			}
 			if left := rapid.IntRange(0, read-consumed).Draw(t, "unread"); left > 0 && rapid.Bool().Draw(t, "does") {
-				near.Unread(text[read-left : read])
+				conn.Unread(text[read-left : read])
 				read, consumed = read-left, read-left
 			}
 		}
@@ -195,10 +195,10 @@
 		if err := first.Hold(holdTimeout, nil); err != nil {
 			t.Fatal(err)
 		}
-		far.Write(text[written:])
+		peer.Write(text[written:])
 		second := NewGate()
-		next := second.Wrap(near.Conn)
-		next.restore(near.Export())
+		next := second.Wrap(conn.Conn)
+		next.restore(conn.Export())
 		second.Wake()
 		next.SetReadDeadline(time.Now().Add(holdTimeout))
 		got := make([]byte, len(text)-consumed)
@@ -212,19 +212,19 @@
 func TestDisableHandover(t *testing.T) {
 	g := NewGate()
 	g.DisableHandover()
-	near, far := pair(t, g)
-	defer far.Close()
-	io.WriteString(far, "one two")
+	conn, peer := pair(t, g)
+	defer peer.Close()
+	io.WriteString(peer, "one two")
 	g.Wake()
 	b := make([]byte, 7)
-	if _, err := io.ReadFull(near, b); err != nil {
+	if _, err := io.ReadFull(conn, b); err != nil {
 		t.Fatal(err)
 	}
-	if retained := near.Export().Ahead; len(retained) != 0 {
+	if retained := conn.Export().Ahead; len(retained) != 0 {
 		t.Errorf("%q is retained", retained)
 	}
-	near.Unread(b[4:])
-	if n, err := near.Read(b); err != nil || string(b[:n]) != "two" {
+	conn.Unread(b[4:])
+	if n, err := conn.Read(b); err != nil || string(b[:n]) != "two" {
 		t.Errorf("%q, %v", b[:n], err)
 	}
 	g.Rest()
@@ -256,12 +256,12 @@
 			t.Fatal(err)
 		}
 		raw.Control(func(fd uintptr) { unix.SetNonblock(int(fd), false) })
-		far, err := net.Dial("tcp", ln.Addr().String())
+		peer, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		(<-accepted).Close()
-		far.Close()
+		peer.Close()
 		if err := g.Hold(holdTimeout, nil); err != nil {
 			net.Dial("tcp", ln.Addr().String()) // wakes the accept that blocks in the kernel; closing would wait for it
 			t.Fatal(err)
--- a/internal/upgrade/messages.go
+++ b/internal/upgrade/messages.go
@@ -17,24 +17,24 @@
 type (
 	// Hello is its first message.
 	Hello struct {
-		Protocol int
-		Schema   uint16
-		Version  string
+		Protocol int    // must equal Protocol of the old process
+		Schema   uint16 // of snapshots; must equal the old process's
+		Version  string // of the build
 		PID      int
 	}
 	// TrialTaken reports that it has imported the first snapshot, of so many bytes.
 	TrialTaken struct{ Bytes int }
 	// Differs reports that its decisions while following were not the old process's.
 	Differs struct {
-		Steps int
-		First string
+		Steps int    // steps followed, the first that differs included
+		First string // description of that step
 	}
 	// AheadTaken reports that it has received all descriptors that were sent ahead.
 	AheadTaken struct{}
 	// NeedState reports that it could not follow to the last step, and requests the reducer's state.
 	NeedState struct{}
 	// Ready reports that it has imported everything and waits for Go.
-	Ready struct{ Followed, Differed int }
+	Ready struct{ Followed, Differed int } // numbers of steps
 	// Acting is its last message: from here on it owns everything.
 	Acting struct{}
 	// Refused reports that it can't take over, and why.
@@ -47,23 +47,23 @@
 	Trial struct{ Reducer []byte }
 	// Followed is one step of the old process's reducer.
 	Followed struct {
-		Now    float64
+		Now    float64 // of the old process's clock, in seconds
 		Event  snapshot.Event
 		Digest uint64 // of its effects, as Digest returns it
 	}
 	// Parcel is the complete state, without the reducer's. Its descriptors are sent beside it.
 	Parcel struct {
-		Generation int
-		Started    int64   // Unix nanoseconds of the first generation's start
-		Clock      float64 // the dispatcher's clock at its start, in seconds of Unix time
-		Monotonic  int64   // CLOCK_MONOTONIC at the clock's start, in nanoseconds
-		Steps      int     // Followed messages since the first snapshot; -1 if one was left out
-		Backlog    []snapshot.Event
-		Listener   int
-		Control    int // index of the control socket's listener; -1 for none
-		Parts      map[string]cbor.RawMessage
-		Files      int
-		Reload     bool // the configuration was reloaded since the new process was started
+		Generation int                        // of the new process
+		Started    int64                      // Unix nanoseconds of the first generation's start
+		Clock      float64                    // the dispatcher's clock at its start, in seconds of Unix time
+		Monotonic  int64                      // CLOCK_MONOTONIC at the clock's start, in nanoseconds
+		Steps      int                        // Followed messages since the first snapshot; -1 if one was left out
+		Backlog    []snapshot.Event           // queued events that the reducer has not processed
+		Listener   int                        // index of the listener's descriptor
+		Control    int                        // index of the control socket's listener; -1 for none
+		Parts      map[string]cbor.RawMessage // states by the names of the parts
+		Files      int                        // number of descriptors that follow
+		Reload     bool                       // the configuration was reloaded since the new process was started
 	}
 	// Ahead announces so many descriptors that are sent ahead; 0 ends them.
 	Ahead struct{ Files int }
--- a/internal/upgrade/parcel_bench_test.go
+++ b/internal/upgrade/parcel_bench_test.go
@@ -45,13 +45,13 @@
 		}
 	})
 	b.Run("wrap", func(b *testing.B) {
-		near, far := net.Pipe()
-		defer far.Close()
+		conn, peer := net.Pipe()
+		defer peer.Close()
 		for b.Loop() {
 			g := hold.NewGate()
 			g.Hold(time.Second, nil)
 			for range st.Conns {
-				g.Wrap(near)
+				g.Wrap(conn)
 			}
 		}
 	})
--- a/internal/upgrade/progress.go
+++ b/internal/upgrade/progress.go
@@ -8,12 +8,12 @@
 // Progress is a notification to those who watch an upgrade.
 type Progress struct {
 	At             time.Time `json:"at"`
-	Step           string    `json:"step"`
-	Detail         string    `json:"detail,omitempty"`
+	Step           string    `json:"step"`             // name of the phase
+	Detail         string    `json:"detail,omitempty"` // the reason of a fallback or refusal
 	Final          bool      `json:"final,omitempty"`
-	Result         string    `json:"result,omitempty"` // of the final one: Replaced, FellBack or Refusal
-	PID            int       `json:"pid,omitempty"`    // of the new process
-	Files          int       `json:"descriptors,omitempty"`
+	Result         string    `json:"result,omitempty"`           // of the final one: Replaced, FellBack or Refusal
+	PID            int       `json:"pid,omitempty"`              // of the new process
+	Files          int       `json:"descriptors,omitempty"`      // number of all descriptors sent
 	FilesWhileHeld int       `json:"descriptors_held,omitempty"` // of those, sent while everything was held
 	Bytes          int       `json:"bytes,omitempty"`            // size of the first snapshot
 	HeldMS         float64   `json:"held_ms,omitempty"`          // from the beginning of the hold until the new process acted
--- a/internal/upgrade/receiver.go
+++ b/internal/upgrade/receiver.go
@@ -45,7 +45,7 @@
 type Taken struct {
 	Parcel  Parcel
 	Reducer *core.Reducer
-	Backlog []core.Event
+	Backlog []core.Event // events to be processed before any new one
 	Files   *hold.Received
 	Clock   Clock
 
--- a/internal/upgrade/runtime.go
+++ b/internal/upgrade/runtime.go
@@ -44,8 +44,8 @@
 
 // Clock is a dispatcher's clock, which continues in the process that takes over.
 type Clock struct {
-	startS           float64
-	startMonotonicNs int64
+	startS           float64 // Unix time at the start of the clock
+	startMonotonicNs int64   // CLOCK_MONOTONIC at that moment
 }
 
 // NewClock starts a clock at the Unix time.
--- a/internal/upgrade/send.go
+++ b/internal/upgrade/send.go
@@ -12,7 +12,8 @@
 // filesPerAheadBatch is the number of descriptors duplicated at a time while they are sent ahead.
 const filesPerAheadBatch = 16
 
-// maxQueuedSteps bounds the steps that wait to be sent to the new process. If the queue is full, no further step is sent.
+// maxQueuedSteps bounds the steps that wait to be sent to the new process. Once the queue was full, no further step is sent,
+// and the new process requests the reducer's state during the hold instead.
 const maxQueuedSteps = 8192
 
 // sendTrial sends a snapshot and begins to send every later step to the new process.
@@ -40,9 +41,9 @@
 		err = s.pipe.Send(Trial{Reducer: text})
 	}
 	// The queue is drained also after an error, since stopFollowing waits for that.
-	pipe, followed := s.pipe, s.stepsWritten
+	pipe, written := s.pipe, s.stepsWritten
 	go func() {
-		defer close(followed)
+		defer close(written)
 		for f := range steps {
 			if pipe.Send(f) != nil {
 				for range steps { // the pipe is broken
--- a/internal/upgrade/sender.go
+++ b/internal/upgrade/sender.go
@@ -31,7 +31,7 @@
 	lastResult        Progress // the final progress of the last upgrade
 	limits            Limits   // for the next upgrade that is requested here
 	replacementLimits Limits   // for one that an external replacement begins
-	strict            bool
+	strict            bool     // fall back if the new process decides differently
 
 	// Used by the goroutine of Run only.
 	machine        Machine
@@ -41,15 +41,15 @@
 	replacement    *Replacement // the new process if it was started externally
 	timer          *time.Timer
 	stepQueue      chan Followed
-	stepsQueued    int  // since the first snapshot; used by the loop's goroutine until the hold
-	stepDropped    bool // the queue was full once, so the new process can't follow
-	sentAhead      map[*hold.Conn]int
-	resumeGC       func()        // enables the garbage collector again
-	stepsWritten   chan struct{} // closed when all of stepQueue is written
+	stepsQueued    int                // since the first snapshot; used by the loop's goroutine until the hold
+	stepDropped    bool               // the queue was full once, so the new process can't follow
+	sentAhead      map[*hold.Conn]int // see hold.Files.SentAhead
+	resumeGC       func()             // enables the garbage collector again
+	stepsWritten   chan struct{}      // closed when all of stepQueue is written
 	heldAt         time.Time
 	progress       Progress
-	snapshotBytes  int // size of the first snapshot
-	deferred       []ownerOrder
+	snapshotBytes  int          // size of the first snapshot
+	deferred       []ownerOrder // orders that wait for the end of the upgrade
 }
 
 // NewHandoverSender returns a sender. leave becomes its Leave.
