--- a/cmd/foldlb/door.go
+++ b/cmd/foldlb/door.go
@@ -67,12 +67,12 @@
 	var view atomic.Pointer[core.View]
 	now := n.body.Reducer.View(n.body.Clock.Now())
 	view.Store(&now)
-	n.loop.Publish(func(v core.View) { view.Store(&v) })
+	n.loop.PublishViews(func(v core.View) { view.Store(&v) })
 	classes := make([]string, 0, len(n.cfg.Settings.Classes))
 	for _, c := range n.cfg.Settings.Classes {
 		classes = append(classes, c.Name)
 	}
-	n.clients.Count(classes)
+	n.clients.CountClasses(classes)
 	n.behind = ops.Node{
 		Ready: func() error {
 			if n.ending.Load() {
--- a/cmd/foldlb/fleet.go
+++ b/cmd/foldlb/fleet.go
@@ -70,7 +70,7 @@
 		n.workers.Fence(n.body.Reducer.Fence())
 		go n.member.run(ctx)
 	} else if _, was := n.body.Reducer.Fleet(); was {
-		n.loop.Precede([]core.Event{core.FleetEnded{}})
+		n.loop.Prepend([]core.Event{core.FleetEnded{}})
 	}
 }
 
@@ -81,7 +81,7 @@
 	for told := false; sockets == nil; {
 		var err error
 		if sockets, err = gossip.Listen(m.cfg.Listen); err == nil {
-			process = gossip.NewProcess()
+			process = gossip.NewProcessID()
 			break
 		}
 		if !told {
@@ -177,7 +177,7 @@
 	if n.member == nil || st.Packet < 0 || st.Listen != n.member.cfg.Listen.String() {
 		return nil
 	}
-	sockets, err := gossip.Take(st, files)
+	sockets, err := gossip.ImportSockets(st, files)
 	if err != nil {
 		return err
 	}
--- a/cmd/foldlb/node.go
+++ b/cmd/foldlb/node.go
@@ -59,10 +59,10 @@
 	forCallers, forWorkers := connections(cfg.Limits)
 	n.clients = clientconn.NewServer(forCallers, n.gate, n.loop.Post, log)
 	n.workers = workerconn.NewSender(workerconn.Options{
-		DialTimeout: time.Duration(cfg.Settings.DialTimeout * secondsToNanos),
-		IdleClose:   time.Duration(cfg.Settings.ConnIdle * secondsToNanos),
-		MostConns:   forWorkers,
-		Present:     n.clients.Present,
+		DialTimeout:   time.Duration(cfg.Settings.DialTimeout * secondsToNanos),
+		IdleClose:     time.Duration(cfg.Settings.ConnIdle * secondsToNanos),
+		MaxConns:      forWorkers,
+		CallerPresent: n.clients.CallerPresent,
 	}, n.gate, clock.Now, n.loop.Post, log)
 	n.routes = routeset.NewClient(n.gate, n.loop.Post, log)
 	n.body = &upgrade.Runtime{Loop: n.loop, Reducer: reducer, Gate: n.gate, Clock: clock, Generation: 1, Started: time.Now(),
@@ -91,7 +91,7 @@
 	case core.CloseIdle:
 		n.workers.CloseIdle(e.Addr)
 	case core.DropWorker:
-		n.workers.Drop(e.Addr)
+		n.workers.CancelUnsent(e.Addr)
 	case core.Watch:
 		n.routes.Watch(e)
 	case core.FetchRouteSet:
@@ -119,8 +119,8 @@
 		setMachine(e.Limits)
 		n.now.Store(&e.Limits)
 		callers, next := connections(e.Limits)
-		n.clients.SetMost(callers)
-		n.workers.SetMost(next)
+		n.clients.SetMaxConns(callers)
+		n.workers.SetMaxConns(next)
 	case core.Figures:
 		select {
 		case n.tallies <- e:
@@ -142,7 +142,7 @@
 // take takes everything up that another process hands over, and returns when it is this one's own. The gate is held
 // until the node serves.
 func (n *node) take(t *upgrade.Taken) error {
-	n.loop.Precede(t.Backlog)
+	n.loop.Prepend(t.Backlog)
 	n.body.Generation, n.body.Started = t.Parcel.Generation, t.Started()
 	if err := t.Import(n.body.Parts); err != nil {
 		return err
--- a/cmd/foldlb/replacement.go
+++ b/cmd/foldlb/replacement.go
@@ -115,7 +115,7 @@
 	}
 	if err != nil {
 		n.log.WithError(err).Warn("no process can take over from this one")
-		n.clients.Shares(time.Duration(math.MaxInt64 / 2)) // a newcomer will serve beside it, and can't say so
+		n.clients.ShareListener(time.Duration(math.MaxInt64 / 2)) // a newcomer will serve beside it, and can't say so
 		return
 	}
 	limits := upgrade.Limits{Start: meetStart, Probation: meetFollow, Hold: meetHold, Offer: meetOffer, Commit: meetCommit}
@@ -124,7 +124,7 @@
 	}
 	n.giver.ShedConns = n.shed
 	n.giver.OnSeparateStart = func() {
-		n.clients.Shares(overlapMost)
+		n.clients.ShareListener(overlapMost)
 		time.AfterFunc(overlapMost, func() { wholeMachine(n.limits()) })
 	}
 	begins := n.begins
@@ -144,6 +144,6 @@
 	halved.Store(true)
 	setMachine(l)
 	over := len(n.gate.Conns()) - (l.Sockets-reservedFiles)/2
-	over -= n.workers.Shed(over)
-	n.clients.Shed(over)
+	over -= n.workers.CloseOldestIdle(over)
+	n.clients.CloseOldestIdle(over)
 }
--- a/cmd/foldlb/serve.go
+++ b/cmd/foldlb/serve.go
@@ -90,7 +90,7 @@
 	if held != nil {
 		return s.replaceRunning(ctx, held, door, reload)
 	}
-	ln, err := clientconn.Listen(ctx, s.cfg.Listen, clientconn.ListenWait, s.log)
+	ln, err := clientconn.Listen(ctx, s.cfg.Listen, clientconn.ListenTimeout, s.log)
 	if err != nil {
 		return err
 	}
@@ -156,7 +156,7 @@
 		return err
 	}
 	if os.Getenv(envInherited) != "" {
-		n.clients.Shares(overlapMost) // whoever served before may still do
+		n.clients.ShareListener(overlapMost) // whoever served before may still do
 	}
 	s.acceptSuccessors(n)
 	defer end()
--- a/internal/clientconn/serve.go
+++ b/internal/clientconn/serve.go
@@ -133,7 +133,7 @@
 		return false
 	}
 	a, _ := s.close(exchange)
-	if a.Verdict == core.Unowned {
+	if a.Verdict == core.UnknownRequest {
 		s.reportMissed()
 		return false // danger: an answer would say that it need not come again
 	}
--- a/internal/cluster/confirm.go
+++ b/internal/cluster/confirm.go
@@ -28,7 +28,7 @@
 }
 
 // Note records the answer of a leader that was asked at a moment, after those noted before.
-func (c *Confirmations) Note(version uint64, asked time.Time) {
+func (c *Confirmations) Record(version uint64, asked time.Time) {
 	var kept []confirmation
 	for _, earlier := range c.load() {
 		if earlier.version < version { // any other one says no more than the new one, of an earlier moment
@@ -41,7 +41,7 @@
 }
 
 // Within reports whether a leader that was asked less than bound ago named no newer configuration than a version.
-func (c *Confirmations) Within(version uint64, bound time.Duration) bool {
+func (c *Confirmations) ConfirmedWithin(version uint64, bound time.Duration) bool {
 	list := c.load()
 	for index := len(list) - 1; index >= 0; index-- {
 		if list[index].version <= version {
@@ -59,9 +59,9 @@
 	return *list
 }
 
-// ConfirmBound is how long a process may act by a configuration after it was last confirmed as the newest: a change that was acknowledged
+// ConfirmationTTL is how long a process may act by a configuration after it was last confirmed as the newest: a change that was acknowledged
 // since must be in force once configApplyMs have passed.
-func ConfirmBound(settings *settings.Settings) time.Duration {
+func ConfirmationTTL(settings *settings.Settings) time.Duration {
 	bound := time.Duration(settings.Bounds.ConfigApplyMs * float64(time.Millisecond))
 	if bound <= 0 {
 		bound = defaultApplyBound
@@ -73,5 +73,5 @@
 // change may have been acknowledged meanwhile that is to be in force by now: nothing may be refused for good, nor sent to a worker,
 // by that version.
 func (c *Client) ConfigConfirmed(version uint64) bool {
-	return c.confirmations.Within(version, ConfirmBound(c.Settings()))
+	return c.confirmations.ConfirmedWithin(version, ConfirmationTTL(c.Settings()))
 }
--- a/internal/cluster/confirm_test.go
+++ b/internal/cluster/confirm_test.go
@@ -24,7 +24,7 @@
 			newest += rapid.Uint64Range(0, 3).Draw(t, "changes")
 			asked := now.Add(time.Duration(step-maxConfirmations) * time.Hour)
 			answers = append(answers, confirmation{version: newest, asked: asked})
-			confirmations.Note(newest, asked)
+			confirmations.Record(newest, asked)
 		}
 		for version := range newest + 2 {
 			bound := time.Duration(rapid.IntRange(0, maxConfirmations).Draw(t, "bound"))*time.Hour + 30*time.Minute
@@ -32,20 +32,20 @@
 			for _, answer := range answers {
 				expected = expected || answer.version <= version && now.Sub(answer.asked) < bound
 			}
-			must.EqOp(t, expected, confirmations.Within(version, bound))
+			must.EqOp(t, expected, confirmations.ConfirmedWithin(version, bound))
 		}
 	})
 }
 
 func TestNothingIsConfirmedBeforeTheFirstAnswer(t *testing.T) {
 	var confirmations Confirmations
-	must.False(t, confirmations.Within(7, time.Hour))
+	must.False(t, confirmations.ConfirmedWithin(7, time.Hour))
 }
 
 func TestConfirmationsAreBounded(t *testing.T) {
 	var confirmations Confirmations
 	for version := range uint64(10 * maxConfirmations) {
-		confirmations.Note(version, time.Now())
+		confirmations.Record(version, time.Now())
 	}
 	must.SliceLen(t, maxConfirmations, confirmations.load())
 }
@@ -53,18 +53,18 @@
 func TestConfirmationEndsWithItsBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var confirmations Confirmations
-		confirmations.Note(1, time.Now())
+		confirmations.Record(1, time.Now())
 		time.Sleep(time.Second - 1)
-		must.True(t, confirmations.Within(1, time.Second))
-		must.False(t, confirmations.Within(0, time.Second))
+		must.True(t, confirmations.ConfirmedWithin(1, time.Second))
+		must.False(t, confirmations.ConfirmedWithin(0, time.Second))
 		time.Sleep(time.Nanosecond)
-		must.False(t, confirmations.Within(1, time.Second))
+		must.False(t, confirmations.ConfirmedWithin(1, time.Second))
 	})
 }
 
 func TestConfirmBoundStaysBelowTheOneOfTheSettings(t *testing.T) {
 	bounded := func(milliseconds float64) time.Duration {
-		return ConfirmBound(&settings.Settings{Bounds: settings.Bounds{ConfigApplyMs: milliseconds}})
+		return ConfirmationTTL(&settings.Settings{Bounds: settings.Bounds{ConfigApplyMs: milliseconds}})
 	}
 	must.EqOp(t, 4*time.Second-confirmMargin, bounded(4000))
 	must.EqOp(t, 100*time.Millisecond, bounded(200))
@@ -96,7 +96,7 @@
 // Dispatchers renew often enough, whatever their heartbeat is.
 func TestRenewalsConfirmTheConfigurationTwiceWithinItsBound(t *testing.T) {
 	options := Options{Role: RoleDispatcher, Settings: &settings.Settings{HeartbeatMs: 60000, Bounds: settings.Bounds{ConfigApplyMs: 4000}}}
-	must.EqOp(t, ConfirmBound(options.Settings)/2, options.renewInterval())
+	must.EqOp(t, ConfirmationTTL(options.Settings)/2, options.renewInterval())
 	options.Settings.HeartbeatMs = 1200
 	must.EqOp(t, 1200*time.Millisecond, options.renewInterval())
 }
@@ -107,7 +107,7 @@
 	control.silent = true // nothing else is answered
 	client := start(t, Options{}, control.address())
 	reply := &rpc.RenewReply{Leader: true, Granted: true, ConfigVersion: 3}
-	client.takeReply(control.address(), reply, time.Now().Add(-ConfirmBound(client.Settings())))
+	client.takeReply(control.address(), reply, time.Now().Add(-ConfirmationTTL(client.Settings())))
 	must.False(t, client.ConfigConfirmed(3))
 	client.takeReply(control.address(), reply, time.Now())
 	must.True(t, client.ConfigConfirmed(3))
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -70,5 +70,5 @@
 		return storeRenewInterval
 	}
 	heartbeat := time.Duration(o.Settings.HeartbeatMs) * time.Millisecond
-	return min(heartbeat, ConfirmBound(o.Settings)/2)
+	return min(heartbeat, ConfirmationTTL(o.Settings)/2)
 }
--- a/internal/cluster/renew.go
+++ b/internal/cluster/renew.go
@@ -56,7 +56,7 @@
 		return c.retryDelay()
 	}
 	c.book.confirm(address, reply.LeaderEpoch)
-	c.confirmations.Note(reply.ConfigVersion, sent)
+	c.confirmations.Record(reply.ConfigVersion, sent)
 	if !reply.Granted {
 		return refusedRetryDelay
 	}
--- a/internal/config/shared.go
+++ b/internal/config/shared.go
@@ -30,16 +30,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrShared, err)
 	}
-	if len(text) > core.MostShared {
-		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrShared, len(text), core.MostShared)
+	if len(text) > core.MaxSharedBytes {
+		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrShared, len(text), core.MaxSharedBytes)
 	}
 	return text, nil
 }
 
 // object reads a JSON object and keeps its numbers as they are written.
 func object(text []byte) (map[string]any, error) {
-	if len(text) > core.MostShared {
-		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrShared, len(text), core.MostShared)
+	if len(text) > core.MaxSharedBytes {
+		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrShared, len(text), core.MaxSharedBytes)
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
--- a/internal/config/shared_test.go
+++ b/internal/config/shared_test.go
@@ -52,7 +52,7 @@
 	for name, text := range map[string]string{
 		"empty": "", "no object": "7", "null": "null", "cut": `{"balancers":1,`, "two": "{" + classB + "}{}", "no class": `{"balancers":1}`,
 		"a word for a number": `{"balancers":"x",` + classB + `}`, "an unknown word": `{"registry_mode":"x",` + classB + `}`,
-		"too long": `{` + classB + `,"x":"` + strings.Repeat("x", core.MostShared) + `"}`,
+		"too long": `{` + classB + `,"x":"` + strings.Repeat("x", core.MaxSharedBytes) + `"}`,
 	} {
 		got, err := mine.With([]byte(text))
 		if !errors.Is(err, ErrShared) || !reflect.DeepEqual(got.Settings, mine.Settings) {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -36,14 +36,14 @@
 }
 
 // Fault is the answer to a question that could not be answered.
-type Fault struct {
+type ErrorReply struct {
 	Error string `json:"error"`
 }
 
 // Refused is the error of a question that was heard and could not be answered, in the words of whoever was asked.
-type Refused string
+type RemoteError string
 
-func (r Refused) Error() string { return string(r) }
+func (r RemoteError) Error() string { return string(r) }
 
 // Handler answers a question by any number of values, each of which becomes a line. An error becomes the last one.
 type Handler func(args json.RawMessage, say func(v any) error) error
@@ -146,21 +146,21 @@
 		return
 	}
 	if err != nil {
-		say(Fault{"no question came: a question is one line of JSON"})
+		say(ErrorReply{"no question came: a question is one line of JSON"})
 		return
 	}
 	var q Question
 	if err := codec.Unmarshal(line, &q); err != nil {
-		say(Fault{"not a question: " + err.Error()})
+		say(ErrorReply{"not a question: " + err.Error()})
 		return
 	}
 	h := s.handlers[q.Ask]
 	if h == nil {
-		say(Fault{fmt.Sprintf("ask: %q is not known here", q.Ask)})
+		say(ErrorReply{fmt.Sprintf("ask: %q is not known here", q.Ask)})
 		return
 	}
 	if err := h(q.Args, say); err != nil {
-		say(Fault{err.Error()})
+		say(ErrorReply{err.Error()})
 	}
 }
 
@@ -209,9 +209,9 @@
 	in.Buffer(nil, 1<<20)
 	for in.Scan() {
 		lines++
-		var f Fault
+		var f ErrorReply
 		if codec.Unmarshal(in.Bytes(), &f) == nil && f.Error != "" {
-			return lines, Refused(f.Error)
+			return lines, RemoteError(f.Error)
 		}
 		if err := hear(in.Bytes()); err != nil {
 			return lines, err
--- a/internal/controlplane/sim_machine_test.go
+++ b/internal/controlplane/sim_machine_test.go
@@ -234,7 +234,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel, f.dead = cancel, make(chan struct{})
-	f.process = ingest.Follow(ctx, ingest.Options{
+	f.process = ingest.Start(ctx, ingest.Options{
 		Settings: &settings.Settings{
 			Node: f.name, Zone: f.zone, Seeds: n.seeds, HeartbeatMs: simHeartbeatMs,
 			Limits: settings.Limits{MemoryMb: simDiskMb, MaxFds: simMaxFds}, Bounds: settings.Bounds{ConfigApplyMs: simApplyMs, GraceS: simGraceS},
--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -113,14 +113,14 @@
 		word  Event  // that it then says
 		want  string // the effect; "send" for one to another worker
 	}{
-		{"broken, confirmed", BranchFailed{1, Broken}, true, BranchReleased{1, "r", true}, "send"},
-		{"a kept connection broke, confirmed", BranchFailed{1, Stale}, true, BranchReleased{1, "r", true}, "send"},
-		{"broken, can't be told", BranchFailed{1, Broken}, true, BranchReleased{1, "r", false}, busy},
-		{"broken, closed by us, and confirmed late", BranchFailed{1, Broken}, true, BranchFailed{1, Broken}, ""},
-		{"broken, and done after all", BranchFailed{1, Broken}, true, JobReported{Request: "r", From: "?", State: JobDone, Result: []byte("x")}, "answer 0 x"},
-		{"turned away", BranchFailed{1, TurnedAway}, false, Tick{}, "send"},
+		{"broken, confirmed", BranchFailed{1, BrokenAfterSend}, true, BranchReleased{1, "r", true}, "send"},
+		{"a kept connection broke, confirmed", BranchFailed{1, StaleConnection}, true, BranchReleased{1, "r", true}, "send"},
+		{"broken, can't be told", BranchFailed{1, BrokenAfterSend}, true, BranchReleased{1, "r", false}, busy},
+		{"broken, closed by us, and confirmed late", BranchFailed{1, BrokenAfterSend}, true, BranchFailed{1, BrokenAfterSend}, ""},
+		{"broken, and done after all", BranchFailed{1, BrokenAfterSend}, true, JobReported{Request: "r", From: "?", State: JobDone, Result: []byte("x")}, "answer 0 x"},
+		{"turned away", BranchFailed{1, WorkerBusy}, false, Tick{}, "send"},
 		{"errored", BranchFailed{1, Errored}, false, Tick{}, "send"},
-		{"turned away, though it has begun", BranchFailed{1, TurnedAway}, false, Tick{}, busy},
+		{"turned away, though it has begun", BranchFailed{1, WorkerBusy}, false, Tick{}, busy},
 		{"lost", JobReported{Request: "r", From: "?", State: JobLost}, false, Tick{}, "send"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/core/audit.go
+++ b/internal/core/audit.go
@@ -51,7 +51,7 @@
 
 // AuditSummed is the account's end.
 type AuditSummed struct {
-	Sums  [audit.Kinds]uint64
+	Sums  [audit.NumKinds]uint64
 	Spans uint64
 }
 
@@ -70,11 +70,11 @@
 	}
 	switch ev := ev.(type) {
 	case AuditLooked:
-		r.recorder.Pass(r.now)
+		r.recorder.EndDueSpan(r.now)
 	case AuditConfigured:
 		r.configured(ev)
 	case AuditAsked:
-		r.emit(AuditTold{Order: ev.Order, Acts: r.recorder.Of(string(ev.Request)), Now: r.recorder.Now()})
+		r.emit(AuditTold{Order: ev.Order, Acts: r.recorder.ActsOf(string(ev.Request)), Now: r.recorder.Now()})
 	case AuditEnded:
 		r.recorder.End(r.now)
 	}
@@ -125,7 +125,7 @@
 	if altered.Is("records the version before") && was != told {
 		held.Routes = was
 	}
-	if r.recorder.Hold(r.now, held) {
+	if r.recorder.SetVersions(r.now, held) {
 		r.tellHeld()
 	}
 }
@@ -173,6 +173,6 @@
 }
 
 // Audited is what was acted on last, by which process; false where there is no account.
-func (r *Reducer) Audited() (v audit.Versions, process uint64, kept bool) {
+func (r *Reducer) HeldVersions() (v audit.Versions, process uint64, kept bool) {
 	return r.audited, r.auditNo, r.recorder != nil
 }
--- a/internal/core/branches.go
+++ b/internal/core/branches.go
@@ -29,19 +29,19 @@
 	inDoubt bool // its connection broke, and a report of its start is still waited for
 }
 
-var faultCodes = map[Fault]choice.Code{NoConnect: choice.NoConnect, Cut: choice.BrokenBeforeSend, TurnedAway: choice.Busy,
-	Broken: choice.Reset, Stale: choice.StaleConnection, Errored: choice.Errored, Unfit: choice.Skipped, NotSent: choice.Skipped}
+var faultCodes = map[Fault]choice.Code{NoConnect: choice.NoConnect, BrokenBeforeSend: choice.BrokenBeforeSend, WorkerBusy: choice.Busy,
+	BrokenAfterSend: choice.Reset, StaleConnection: choice.StaleConnection, Errored: choice.Errored, RequestUnusable: choice.Skipped, NotSent: choice.Skipped}
 
 // branchFailed ends a branch whose job was not taken. Danger: a worker that turns away what it can't use is
 // well; taken for an error of its own, a few bad requests would bar it from all others.
 func (r *Reducer) branchFailed(b *branch, f Fault) {
 	switch {
-	case f == Unfit:
+	case f == RequestUnusable:
 		r.endBranch(b, faultCodes[f], &Answer{Verdict: Rejected, Reason: "no worker can use the request"})
 		return
-	case f == Broken && b.begun:
+	case f == BrokenAfterSend && b.begun:
 		return // the job runs: its end will be reported, or it ends at the deadline
-	case f == Broken && r.effect(b.req) == choice.AtMostOnce && !b.inDoubt:
+	case f == BrokenAfterSend && r.effect(b.req) == choice.AtMostOnce && !b.inDoubt:
 		// Danger: a job that was taken before the break runs, and may never be sent again. Its start, if there
 		// is one, is reported at once.
 		b.inDoubt = true
@@ -49,9 +49,9 @@
 		return
 	case b.begun && faultCodes[f].NeverRan():
 		f = Errored // danger: the worker has told that it began, so what says that it never ran is another one's word, or a mistake
-	case b.givenUp && (f == Broken || f == Stale):
+	case b.givenUp && (f == BrokenAfterSend || f == StaleConnection):
 		return // this machine closed the connection, and the worker is being told
-	case f == Broken || f == Stale:
+	case f == BrokenAfterSend || f == StaleConnection:
 		// Danger: the worker may have taken the job and said so just as the connection broke.
 		r.release(b, faultCodes[f])()
 		return
@@ -103,7 +103,7 @@
 }
 
 // actOf is how the account counts an answer.
-var actOf = map[Verdict]audit.Kind{Served: audit.Answered, Busy: audit.Refused, Failed: audit.Failed, Rejected: audit.Failed, Unowned: audit.Failed}
+var actOf = map[Verdict]audit.Kind{Served: audit.Answered, Busy: audit.Refused, Failed: audit.Failed, Rejected: audit.Failed, UnknownRequest: audit.Failed}
 
 // giveUp has a branch's worker told that nobody waits for it any more, once.
 func (r *Reducer) giveUp(b *branch) {
--- a/internal/core/bringup.go
+++ b/internal/core/bringup.go
@@ -11,8 +11,8 @@
 // A straggler is brought up: it hears from the view that others act on a newer configuration and asks one of them for its shared part.
 // docs/audit-design.md says what passes on, and what does not.
 
-// MostShared bounds the text of a configuration's shared part, in bytes.
-const MostShared = 64 << 10
+// MaxSharedBytes bounds the text of a configuration's shared part, in bytes.
+const MaxSharedBytes = 64 << 10
 
 // fetchEvery is the time between two questions for a configuration, in seconds.
 const fetchEvery = 1.0
@@ -93,7 +93,7 @@
 		return ""
 	}
 	if r.fleet != nil {
-		if other, twofold := r.fleet.Other(membership.OfConfig, ev.Config); twofold {
+		if other, twofold := r.fleet.ConflictingMember(membership.KindConfig, ev.Config); twofold {
 			return fmt.Sprintf("configuration %d has two contents: one was told here, another is at %s", ev.Config.No, other)
 		}
 	}
@@ -145,7 +145,7 @@
 	newer := map[int64]*candidate{}
 	best := int64(-1)
 	for _, m := range r.fleet.Records() {
-		if m.Config.Source != held.Source || m.Config.No <= held.No || m.Over() {
+		if m.Config.Source != held.Source || m.Config.No <= held.No || m.Departed() {
 			continue
 		}
 		c := newer[m.Config.No]
--- a/internal/core/bringup_test.go
+++ b/internal/core/bringup_test.go
@@ -26,7 +26,7 @@
 		reached = append(reached, uint64(100+i))
 	}
 	r.Step(1, FleetTold{Records: told})
-	r.Step(1, FleetLooked{Sight: membership.Sight{Reached: reached}})
+	r.Step(1, FleetLooked{Sight: membership.Reachability{Reached: reached}})
 	return r
 }
 
@@ -67,7 +67,7 @@
 			r := lagging(t, c.others...)
 			asked := map[uint64]int{}
 			for i := range 8 {
-				for _, f := range fetches(r.Step(5+float64(i)*fetchEvery/2, FleetLooked{Sight: membership.Sight{Reached: []uint64{100, 101, 102}}})) {
+				for _, f := range fetches(r.Step(5+float64(i)*fetchEvery/2, FleetLooked{Sight: membership.Reachability{Reached: []uint64{100, 101, 102}}})) {
 					if f.Config.No != c.want {
 						t.Errorf("asks %s for %d, want %d", f.Member, f.Config.No, c.want)
 					}
--- a/internal/core/contest.go
+++ b/internal/core/contest.go
@@ -63,7 +63,7 @@
 	if r.contested > 0 && !set.Full {
 		return other, true
 	}
-	return r.fleet.Other(membership.OfRoutes, membership.Version{No: set.Version, Digest: r.digestAfter(set), Source: r.sourceName()})
+	return r.fleet.ConflictingMember(membership.KindRoutes, membership.Version{No: set.Version, Digest: r.digestAfter(set), Source: r.sourceName()})
 }
 
 // takeOut keeps to what a contested list takes out, and to nothing else of it; false where that would leave less than half of the next
@@ -132,12 +132,12 @@
 }
 
 // sayClashes says once of each number that it has two contents, with both origins.
-func (r *Reducer) sayClashes(all []membership.Clash) {
+func (r *Reducer) sayClashes(all []membership.VersionConflict) {
 	if len(all) == 0 {
 		clear(r.clashed)
 	}
 	for _, c := range all {
-		if number := (membership.Clash{Kind: c.Kind, No: c.No, Source: c.Source}); !r.clashed[number] && len(r.clashed) < mostClashed {
+		if number := (membership.VersionConflict{Kind: c.Kind, No: c.No, Source: c.Source}); !r.clashed[number] && len(r.clashed) < mostClashed {
 			r.clashed[number] = true
 			r.emit(Log{Text: fmt.Sprintf("the %v %d of %s has two contents: one at %s, another at %s; nobody begins to act on it", c.Kind, c.No, c.Source, c.A, c.B)})
 		}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -73,16 +73,16 @@
 		{"done", choice.AtMostOnce, report(JobDone), []string{served}},
 		{"failed", choice.AtMostOnce, report(JobFailed), []string{failed}},
 		{"lost", choice.AtMostOnce, report(JobLost), []string{failed}},
-		{"broken after writing", choice.AtMostOnce, BranchFailed{1, Broken}, []string{"give up a", failed}},
-		{"a kept connection broke", choice.AtMostOnce, BranchFailed{1, Stale}, []string{"give up a", failed}},
+		{"broken after writing", choice.AtMostOnce, BranchFailed{1, BrokenAfterSend}, []string{"give up a", failed}},
+		{"a kept connection broke", choice.AtMostOnce, BranchFailed{1, StaleConnection}, []string{"give up a", failed}},
 		{"errored", choice.AtMostOnce, BranchFailed{1, Errored}, []string{failed}},
 		{"no connection", choice.AtMostOnce, BranchFailed{1, NoConnect}, []string{busy}},
 		{"error of what may be repeated", choice.Idempotent, report(JobFailed), []string{busy}},
-		{"unfit", choice.Idempotent, BranchFailed{1, Unfit}, []string{fmt.Sprint("answer ", Rejected, " ")}},
+		{"unfit", choice.Idempotent, BranchFailed{1, RequestUnusable}, []string{fmt.Sprint("answer ", Rejected, " ")}},
 		{"started", choice.AtMostOnce, report(JobStarted), nil},
 		{"report from another worker", choice.AtMostOnce, JobReported{Request: "r", From: "b", State: JobDone}, nil},
 		{"report on another request", choice.AtMostOnce, JobReported{Request: "q", From: "a", State: JobDone}, nil},
-		{"fault of another branch", choice.AtMostOnce, BranchFailed{9, Broken}, nil},
+		{"fault of another branch", choice.AtMostOnce, BranchFailed{9, BrokenAfterSend}, nil},
 		{"caller left", choice.AtMostOnce, CallerLeft{7}, []string{"give up a"}},
 		{"caller left, of what may be repeated", choice.Idempotent, CallerLeft{7}, []string{"give up a"}},
 	} {
@@ -102,7 +102,7 @@
 		r := start(t, effect, "a")
 		r.Step(2, call("r"))
 		r.Step(2.01, JobReported{Request: "r", From: "a", State: JobStarted})
-		if due, ok := r.Due(); !ok || due > 7 {
+		if due, ok := r.NextTimer(); !ok || due > 7 {
 			t.Fatalf("next tick at %v, %v", due, ok)
 		}
 		expect(t, r.Step(6.99, Tick{}))
@@ -206,7 +206,7 @@
 	for i := range 5 {
 		id := fmt.Sprint("bad", i)
 		expect(t, r.Step(2, call(id)), "send a")
-		expect(t, r.Step(2, BranchFailed{r.lastID, Unfit}), fmt.Sprint("answer ", Rejected, " "))
+		expect(t, r.Step(2, BranchFailed{r.lastID, RequestUnusable}), fmt.Sprint("answer ", Rejected, " "))
 		expect(t, r.Step(2, call(id)), fmt.Sprint("answer ", Rejected, " "))
 	}
 	expect(t, r.Step(2, call("r")), "send a")
@@ -227,20 +227,20 @@
 	report := func(s JobState) Event { return JobReported{Request: "r", From: "a", State: s, Result: []byte("x")} }
 	r := start(t, choice.AtMostOnce, "a")
 	r.Step(2, call("r"))
-	expect(t, r.Step(2.1, BranchFailed{1, Broken}))
+	expect(t, r.Step(2.1, BranchFailed{1, BrokenAfterSend}))
 	expect(t, r.Step(2.2, report(JobStarted)))
 	expect(t, r.Step(2.5, Tick{}))
 	expect(t, r.Step(3, report(JobDone)), served)
 
 	r = start(t, choice.AtMostOnce, "a")
 	r.Step(2, call("r"))
-	expect(t, r.Step(2.1, BranchFailed{1, Broken}))
+	expect(t, r.Step(2.1, BranchFailed{1, BrokenAfterSend}))
 	expect(t, r.Step(2.1+2*doubtTime, Tick{}), "give up a", failed)
 
 	r = start(t, choice.Idempotent, "a", "b")
 	r.Step(2, call("r"))
 	from := r.branches[1].worker
-	if got := brief(r.Step(2.1, BranchFailed{1, Broken})); len(got) != 2 || got[0] != "give up "+string(from) || got[1] == "send "+string(from) {
+	if got := brief(r.Step(2.1, BranchFailed{1, BrokenAfterSend})); len(got) != 2 || got[0] != "give up "+string(from) || got[1] == "send "+string(from) {
 		t.Fatalf("effects %q, want that one given up and another branch", got)
 	}
 	got := brief(r.Step(2.2, JobReported{Request: "r", From: from, State: JobDone, Result: []byte("x")}))
@@ -343,8 +343,8 @@
 	gone := workers("a", "b")
 	gone[0].State, gone[1].State = WorkerLeaving, WorkerLeft
 	r.Step(2, call("r"))
-	r.Step(2.99, BranchFailed{1, TurnedAway})
-	r.Step(2.991, BranchFailed{2, TurnedAway}) // both were full: a timer tries again soon
+	r.Step(2.99, BranchFailed{1, WorkerBusy})
+	r.Step(2.991, BranchFailed{2, WorkerBusy}) // both were full: a timer tries again soon
 	expect(t, r.Step(3.1, RouteSetTold{RouteSet: RouteSet{Version: 2, Workers: gone}}), "core.DropWorker", "core.DropWorker")
 	expect(t, r.Step(4, RouteSetTold{RouteSet: RouteSet{Version: 3, Workers: gone[:1]}})) // what left before is not dropped again
 
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -101,14 +101,14 @@
 
 // The faults of a branch.
 const (
-	NoConnect  Fault = iota // no connection came up: it never ran
-	Cut                     // a connection came up and broke before the last byte: it never ran
-	TurnedAway              // the worker gave a busy answer: it never ran
-	Broken                  // the connection broke after the last byte: it may have run
-	Stale                   // a kept connection broke under the request: it may have run
-	Errored                 // the worker answered with an error: it may have run
-	Unfit                   // the worker can't use the request, whoever is asked: it never ran
-	NotSent                 // this dispatcher had no place for it, or called it off: the worker knows nothing
+	NoConnect        Fault = iota // no connection came up: it never ran
+	BrokenBeforeSend              // a connection came up and broke before the last byte: it never ran
+	WorkerBusy                    // the worker gave a busy answer: it never ran
+	BrokenAfterSend               // the connection broke after the last byte: it may have run
+	StaleConnection               // a kept connection broke under the request: it may have run
+	Errored                       // the worker answered with an error: it may have run
+	RequestUnusable               // the worker can't use the request, whoever is asked: it never ran
+	NotSent                       // this dispatcher had no place for it, or called it off: the worker knows nothing
 )
 
 // BranchFailed says that a branch's exchange ended without the worker taking the job.
@@ -193,11 +193,11 @@
 
 // The verdicts.
 const (
-	Served   Verdict = iota
-	Busy             // a busy answer: asking again is harmless
-	Failed           // no promise
-	Rejected         // the request itself is at fault
-	Unowned          // nothing is said: another process may be the one to ask
+	Served         Verdict = iota
+	Busy                   // a busy answer: asking again is harmless
+	Failed                 // no promise
+	Rejected               // the request itself is at fault
+	UnknownRequest         // nothing is said: another process may be the one to ask
 )
 
 // Answer is the one final answer on an exchange.
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -18,7 +18,7 @@
 type FleetTold struct{ Records []membership.Record }
 
 // FleetLooked brings whom the transport reaches. It comes twice a second.
-type FleetLooked struct{ Sight membership.Sight }
+type FleetLooked struct{ Sight membership.Reachability }
 
 // FleetRefused says that a member's machine told that nobody listens there.
 type FleetRefused struct{ Process uint64 }
@@ -80,7 +80,7 @@
 	case FleetTold:
 		r.fleet.Merge(r.now, ev.Records)
 	case FleetLooked:
-		r.fleet.Look(r.now, ev.Sight)
+		r.fleet.UpdateReachability(r.now, ev.Sight)
 		r.saysOfItself()
 		r.hintsPass()
 		r.contestPass()
@@ -91,11 +91,11 @@
 	case FleetFloored, FleetContacted, FloorOrdered:
 		r.floorsOf(ev)
 	case FleetRefused:
-		r.fleet.Refused(r.now, ev.Process)
+		r.fleet.ConnectionRefused(r.now, ev.Process)
 	case FleetEntered:
-		r.fleet.Enter(r.now, ev.State)
+		r.fleet.AdvanceState(r.now, ev.State)
 	case FleetEnded:
-		r.fleet, r.acting, r.says, r.routesName = nil, 0, membership.Says{}, ""
+		r.fleet, r.acting, r.says, r.routesName = nil, 0, membership.SelfInfo{}, ""
 		r.lease, r.fenceUntil = 0, 0 // as there is no fleet to be in touch with
 		r.emit(Fenced{Until: r.Fence()})
 		clear(r.hints)
@@ -122,7 +122,7 @@
 		r.emit(r.Config())
 		self.Config = r.audited.Config
 	}
-	r.says = membership.Says{Generation: self.Generation, Program: self.Program, Config: self.Config, Zone: self.Zone}
+	r.says = membership.SelfInfo{Generation: self.Generation, Program: self.Program, Config: self.Config, Zone: self.Zone}
 	r.saysOfItself()
 	r.fleetMoved(true)
 }
@@ -133,7 +133,7 @@
 		return // an upgrade's follower has not begun itself
 	}
 	r.says.Routes = r.routes()
-	r.fleet.Say(r.now, r.says, r.draining)
+	r.fleet.UpdateSelf(r.now, r.says, r.draining)
 }
 
 // fleetMoved tells others and the decision module of what has changed. After a look, or anything else that a picture is due for, all is told.
@@ -145,8 +145,8 @@
 	}
 	r.fence()
 	r.bringUp()
-	moved := r.fleet.Moved()
-	news, fresh := r.fleet.News(), r.fleet.Fresh()
+	moved := r.fleet.ChangedSincePicture()
+	news, fresh := r.fleet.RecordUpdates(), r.fleet.NewChanges()
 	if len(news) > 0 {
 		r.emit(FleetNews{Records: news})
 	}
@@ -155,7 +155,7 @@
 	}
 	p := r.fleet.Picture()
 	r.sayClashes(p.Clashes)
-	p.FloorsTold = r.fleet.FloorsTold(r.settings.Dispatchers)
+	p.FloorsHeldByMajority = r.fleet.FloorsHeldByMajority(r.settings.Dispatchers)
 	if r.fenced() {
 		p.Fenced = r.fenceWhy
 	}
@@ -165,7 +165,7 @@
 // FleetState is the view's part of a reducer's state.
 type FleetState struct {
 	View   membership.ViewState
-	Says   membership.Says
+	Says   membership.SelfInfo
 	Acting int
 	Routes string      `cbor:",omitempty"`
 	Hints  []HintState `cbor:",omitempty"`
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -40,13 +40,13 @@
 		t.Errorf("one that has met nobody counts %d, and the settings' number should stand", r.acting)
 	}
 	r.Step(1.1, FleetTold{Records: []membership.Record{other(membership.Serving, membership.Fine)}})
-	p, _ = pictured(r.Step(1.5, FleetLooked{Sight: membership.Sight{Reached: []uint64{2}}}))
+	p, _ = pictured(r.Step(1.5, FleetLooked{Sight: membership.Reachability{Reached: []uint64{2}}}))
 	if p.Acting != 2 || r.acting != 2 || p.Members[0].State != membership.Serving {
 		t.Errorf("met: %+v, the module counts %d", p.Members, r.acting)
 	}
 	r.Step(2, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 7, Workers: workers("b")}})
 	r.Step(2.1, DrainOrdered{})
-	if p, _ = pictured(r.Step(2.5, FleetLooked{Sight: membership.Sight{Reached: []uint64{2}}})); p.Members[0].Routes.No != 7 || p.Members[0].State != membership.SentAway {
+	if p, _ = pictured(r.Step(2.5, FleetLooked{Sight: membership.Reachability{Reached: []uint64{2}}})); p.Members[0].Routes.No != 7 || p.Members[0].State != membership.SentAway {
 		t.Errorf("says of itself: %+v", p.Members[0])
 	}
 	st, err := r.Export()
--- a/internal/core/floors.go
+++ b/internal/core/floors.go
@@ -46,18 +46,18 @@
 func (r *Reducer) floorsOf(ev Event) {
 	switch ev := ev.(type) {
 	case FleetFloored:
-		r.fleet.TakeFloors(r.now, ev.Floors)
+		r.fleet.MergeFloors(r.now, ev.Floors)
 	case FleetContacted:
 		r.fleet.Contact(r.now, ev.Contact)
 	case FloorOrdered:
-		f, hit, fault := r.fleet.TellFloor(r.now, ev.Floor, ev.Force)
+		f, hit, fault := r.fleet.AnnounceFloor(r.now, ev.Floor, ev.Force)
 		r.emit(FloorTold{Order: ev.Order, Floor: f, Hit: hit, Fault: fault})
 	}
 }
 
 // fence works out until when this dispatcher may act, and tells of floors that have changed.
 func (r *Reducer) fence() {
-	news := r.fleet.FloorNews()
+	news := r.fleet.FloorUpdates()
 	if len(news) > 0 {
 		r.emit(FloorsNews{Floors: news})
 	}
@@ -67,7 +67,7 @@
 		r.emit(Fenced{Until: r.Fence()})
 	}
 	for _, f := range news {
-		if f.Kind == membership.OfRoutes && !f.Withdrawn && f.No > r.version && r.watching {
+		if f.Kind == membership.KindRoutes && !f.Withdrawn && f.No > r.version && r.watching {
 			r.emit(FetchRouteSet{Source: r.source}) // a straggler brings itself up
 		}
 	}
--- a/internal/core/hints_test.go
+++ b/internal/core/hints_test.go
@@ -162,7 +162,7 @@
 func TestStragglerAsksForDrains(t *testing.T) {
 	r := member(t, "a", "b")
 	asked := func(at float64) (n int) {
-		for _, e := range r.Step(at, FleetLooked{Sight: membership.Sight{Reached: []uint64{2}}}) {
+		for _, e := range r.Step(at, FleetLooked{Sight: membership.Reachability{Reached: []uint64{2}}}) {
 			if a, is := e.(AskHints); is {
 				if n++; a.Process != 2 {
 					t.Errorf("asks process %d", a.Process)
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -54,7 +54,7 @@
 }
 
 // Publish has f told of the route set every viewEvery seconds, from the loop's goroutine. The loop must not run yet.
-func (l *Loop) Publish(f func(View)) { l.publish = f }
+func (l *Loop) PublishViews(f func(View)) { l.publish = f }
 
 // Run steps the reducer until the context ends.
 func (l *Loop) Run(ctx context.Context) {
@@ -74,7 +74,7 @@
 		for _, e := range effects {
 			l.perform(e)
 		}
-		due, ok := l.reducer.Due()
+		due, ok := l.reducer.NextTimer()
 		if l.publish != nil {
 			if now >= l.viewAt {
 				l.publish(l.reducer.View(now))
@@ -134,7 +134,7 @@
 
 // Drain takes all posted events out of the queues into the backlog, news first, so that nobody waits to post. The
 // loop must be held, or not run yet.
-func (l *Loop) Drain() {
+func (l *Loop) DrainQueues() {
 	for {
 		select {
 		case ev := <-l.news:
@@ -159,8 +159,8 @@
 func (l *Loop) Backlog() []Event { return l.backlog }
 
 // Precede puts events before all that are posted. The loop must be held, or not run yet.
-func (l *Loop) Precede(events []Event) { l.backlog = append(events, l.backlog...) }
+func (l *Loop) Prepend(events []Event) { l.backlog = append(events, l.backlog...) }
 
 // Watch has f told of every step, before its effects are performed. f is called from the loop's goroutine and must
 // not block; nil ends it. The loop must be held, or not run yet.
-func (l *Loop) Watch(f func(now float64, ev Event, effects []Effect)) { l.watch = f }
+func (l *Loop) Observe(f func(now float64, ev Event, effects []Effect)) { l.watch = f }
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -24,10 +24,10 @@
 	l.Post(call("one"))
 	l.Post(HealthAsked{Exchange: 99})
 	l.Post(news)
-	l.Drain()
+	l.DrainQueues()
 	l.Post(RouteSetRefused{Source: Source{Addr: "other"}})
 	l.Post(call("two"))
-	l.Drain()
+	l.DrainQueues()
 	want := []Event{news, RouteSetRefused{Source: Source{Addr: "other"}}, call("one"), HealthAsked{Exchange: 99}, call("two")}
 	if got := l.Backlog(); !reflect.DeepEqual(got, want) {
 		t.Fatalf("backlog %+v", got)
@@ -47,9 +47,9 @@
 	twin := start(t, choice.Idempotent, "a")
 	other := NewLoop(twin, func() float64 { return 2 }, func(e Effect) { effects <- e })
 	other.Post(HealthAsked{Exchange: 100})
-	other.Precede(want)
+	other.Prepend(want)
 	steps := 0
-	other.Watch(func(float64, Event, []Effect) { steps++ })
+	other.Observe(func(float64, Event, []Effect) { steps++ })
 	ctx, stop = context.WithCancel(context.Background())
 	defer stop()
 	go other.Run(ctx)
--- a/internal/core/reducer.go
+++ b/internal/core/reducer.go
@@ -47,12 +47,12 @@
 	stopping   bool                 // all that was taken has been answered, and the process ends
 	doubted    bool                 // the source was asked for its whole list, since what it told was odd
 	tally      Tally
-	fleet      *membership.View // nil where this dispatcher keeps none
-	says       membership.Says  // of itself, to the fleet
-	recorder   *audit.Recorder  // nil where there is none
-	auditNo    uint64           // the process's number in its account
-	lease      float64          // seconds that it may act without touch with the fleet; 0 for any time
-	fenceUntil float64          // when it may act no longer
+	fleet      *membership.View    // nil where this dispatcher keeps none
+	says       membership.SelfInfo // of itself, to the fleet
+	recorder   *audit.Recorder     // nil where there is none
+	auditNo    uint64              // the process's number in its account
+	lease      float64             // seconds that it may act without touch with the fleet; 0 for any time
+	fenceUntil float64             // when it may act no longer
 	fenceWhy   string
 	audited    audit.Versions // as the recorder holds them
 	shared     []byte         // the configuration's shared part, as text; empty where it is not known
@@ -63,10 +63,10 @@
 	acted      int64          // newest version of the source's route set that was held
 	routeSum   uint64         // digest of the route set, where it is summed up
 	summed     bool
-	contested  int64                     // newest number of a list with two contents of which only what it takes out counts; 0 for none
-	askAt      float64                   // when the source may be asked again for its whole list in place of one that is contested
-	clashed    map[membership.Clash]bool // numbers of which it was said
-	acting     int                       // members that may be acting, as last told to the decision module; 0 for the settings' number
+	contested  int64                               // newest number of a list with two contents of which only what it takes out counts; 0 for none
+	askAt      float64                             // when the source may be asked again for its whole list in place of one that is contested
+	clashed    map[membership.VersionConflict]bool // numbers of which it was said
+	acting     int                                 // members that may be acting, as last told to the decision module; 0 for the settings' number
 	timers     timerHeap
 	timerSeq   uint64
 	lastID     BranchID
@@ -97,7 +97,7 @@
 func empty(now float64, s choice.Settings) *Reducer {
 	r := &Reducer{now: now, settings: s, classes: map[string]int{}, tenants: map[string]int{}, requests: map[RequestID]*request{},
 		spent: map[RequestID]bool{}, exchanges: map[ExchangeID]*request{}, branches: map[BranchID]*branch{}, workers: map[WorkerID]Worker{},
-		banned: map[WorkerID]bool{}, returned: map[WorkerID]float64{}, hints: map[WorkerID]hint{}, clashed: map[membership.Clash]bool{}}
+		banned: map[WorkerID]bool{}, returned: map[WorkerID]float64{}, hints: map[WorkerID]hint{}, clashed: map[membership.VersionConflict]bool{}}
 	for i, c := range s.Classes {
 		r.classes[c.Name] = i
 	}
@@ -108,7 +108,7 @@
 }
 
 // Due tells when the reducer next wants a Tick.
-func (r *Reducer) Due() (float64, bool) {
+func (r *Reducer) NextTimer() (float64, bool) {
 	if len(r.timers) == 0 {
 		return 0, false
 	}
@@ -150,7 +150,7 @@
 		if ev.Exchange != 0 {
 			a := Answer{Exchange: ev.Exchange, Verdict: Served}
 			if r.requests[ev.Request] == nil && !r.spent[ev.Request] {
-				a.Verdict = Unowned
+				a.Verdict = UnknownRequest
 			}
 			r.emit(a)
 		}
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -248,14 +248,14 @@
 	return []Effect{Watch{On: true, Source: r.source, Since: r.version}}
 }
 
-// StoodStill says that everything was held until now, so that the time is not taken for slowness of the workers.
-func (r *Reducer) StoodStill() { r.decider.ProcessStalled() }
+// ProcessStalled says that everything was held until now, so that the time is not taken for slowness of the workers.
+func (r *Reducer) ProcessStalled() { r.decider.ProcessStalled() }
 
 // Open counts the requests that callers wait for.
-func (r *Reducer) Open() int { return len(r.exchanges) }
+func (r *Reducer) OpenRequests() int { return len(r.exchanges) }
 
 // Open counts the requests that callers wait for.
-func (s *State) Open() int {
+func (s *State) OpenRequests() int {
 	n := 0
 	for _, q := range s.Requests {
 		if !q.Over {
--- a/internal/gossip/handover.go
+++ b/internal/gossip/handover.go
@@ -36,7 +36,7 @@
 }
 
 // Take makes sockets of those that another process handed over.
-func Take(st State, files *hold.Received) (*Sockets, error) {
+func ImportSockets(st State, files *hold.Received) (*Sockets, error) {
 	ln, err := files.Listener(st.Stream)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
--- a/internal/ingest/run.go
+++ b/internal/ingest/run.go
@@ -42,7 +42,7 @@
 	}
 	following, stopFollowing := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopFollowing()
-	return Follow(following, Options{Settings: settings, Log: log}).run(ctx)
+	return Start(following, Options{Settings: settings, Log: log}).run(ctx)
 }
 
 // Process is the dispatcher role of one process. Create it with Follow.
@@ -54,7 +54,7 @@
 }
 
 // Follow makes a dispatcher that follows the control plane until the context ends. It listens on nothing.
-func Follow(ctx context.Context, options Options) *Process {
+func Start(ctx context.Context, options Options) *Process {
 	client := cluster.Start(ctx, cluster.Options{
 		Settings:     options.Settings,
 		Role:         cluster.RoleDispatcher,
--- a/internal/lab/bad.go
+++ b/internal/lab/bad.go
@@ -71,7 +71,7 @@
 		return err
 	}
 	for {
-		m, err := p.Receive(snapshot.MostBytes)
+		m, err := p.Receive(snapshot.MaxBytes)
 		if err != nil {
 			return err
 		}
--- a/internal/snapshot/twin_test.go
+++ b/internal/snapshot/twin_test.go
@@ -114,8 +114,8 @@
 				t.Fatalf("step %d, event %+v:\n%+v\nthe twin:\n%+v", i, ev, a, b)
 			}
 			p.saw(a)
-			da, oka := first.Due()
-			db, okb := second.Due()
+			da, oka := first.NextTimer()
+			db, okb := second.NextTimer()
 			if da != db || oka != okb {
 				t.Fatalf("step %d: due at %v, the twin at %v", i, da, db)
 			}
@@ -163,7 +163,7 @@
 		r.Step(2, core.CallArrived{Call: core.Call{Exchange: core.ExchangeID(i + 1), ID: core.RequestID(fmt.Sprint("q", i)), Class: []string{"safe", "once"}[i%2],
 			Remaining: 3, Slots: 1, Message: core.Message{Verb: "POST", Target: "/api", Body: []byte("body")}}})
 		if i%3 == 0 {
-			r.Step(2, core.BranchFailed{Branch: core.BranchID(i + 1), Fault: core.TurnedAway})
+			r.Step(2, core.BranchFailed{Branch: core.BranchID(i + 1), Fault: core.WorkerBusy})
 		}
 	}
 	return r
@@ -259,15 +259,15 @@
 			}
 		}
 	}
-	if answers != st.Open() {
-		t.Errorf("%d answers, %d requests were open", answers, st.Open())
+	if answers != st.OpenRequests() {
+		t.Errorf("%d answers, %d requests were open", answers, st.OpenRequests())
 	}
 }
 
 // TestEveryEventIsCarried: what Pack takes Unpack gives back.
 func TestEveryEventIsCarried(t *testing.T) {
 	for _, ev := range []core.Event{core.CallArrived{Call: core.Call{ID: "x", Message: core.Message{Body: []byte("b")}}}, core.CallerLeft{Exchange: 3},
-		core.HealthAsked{Exchange: 4}, core.BranchFailed{Branch: 1, Fault: core.Cut}, core.BranchTaken{Branch: 2}, core.BranchReleased{Branch: 3, Told: true},
+		core.HealthAsked{Exchange: 4}, core.BranchFailed{Branch: 1, Fault: core.BrokenBeforeSend}, core.BranchTaken{Branch: 2}, core.BranchReleased{Branch: 3, Told: true},
 		core.JobReported{Request: "r", From: "h", State: core.JobDone, Result: []byte("x")}, core.RouteSetTold{RouteSet: core.RouteSet{Version: 4}},
 		core.RouteSetRefused{}, core.Reloaded{Discovery: "d"}, core.Stopping{}, core.Tick{}} {
 		packed, err := Pack(ev)
--- a/internal/storenode/config_confirmation_test.go
+++ b/internal/storenode/config_confirmation_test.go
@@ -24,7 +24,7 @@
 		owner, epoch := w.owner(0)
 		w.control.muted.Store(true)
 		w.dropRoute()
-		time.Sleep(cluster.ConfirmBound(owner.settings))
+		time.Sleep(cluster.ConfirmationTTL(owner.settings))
 		late := w.immediateMessage("late")
 		late.Route = "dropped"
 		must.Eq(t, rpc.PutStatus_STORED, w.put(owner, rpc.PutMode_OWNER, epoch, late))
--- a/internal/storenode/sim_control_test.go
+++ b/internal/storenode/sim_control_test.go
@@ -452,7 +452,7 @@
 
 // ConfigConfirmed implements coordinator.
 func (f *fakeCluster) ConfigConfirmed(version uint64) bool {
-	return f.confirmations.Within(version, cluster.ConfirmBound(f.process.node.settings))
+	return f.confirmations.ConfirmedWithin(version, cluster.ConfirmationTTL(f.process.node.settings))
 }
 
 // Kick implements coordinator.
@@ -559,7 +559,7 @@
 		return c.renew(request)
 	})
 	if ok {
-		f.confirmations.Note(newest, sent)
+		f.confirmations.Record(newest, sent)
 	}
 	if !ok || !granted {
 		return
--- a/internal/upgrade/pipe.go
+++ b/internal/upgrade/pipe.go
@@ -89,13 +89,13 @@
 	return &Pipe{messages: messageConn, files: fileConn}, nil
 }
 
-// Send writes a message. It returns an error that wraps snapshot.ErrTooLarge if the message is over snapshot.MostBytes.
+// Send writes a message. It returns an error that wraps snapshot.ErrTooLarge if the message is over snapshot.MaxBytes.
 func (p *Pipe) Send(m any) error {
 	kind, text, err := encode(m)
 	if err != nil {
 		return err
 	}
-	if len(text) > snapshot.MostBytes {
+	if len(text) > snapshot.MaxBytes {
 		return fmt.Errorf("%w: a message of %d bytes", snapshot.ErrTooLarge, len(text))
 	}
 	head := binary.BigEndian.AppendUint32([]byte{kind}, uint32(len(text)))
--- a/internal/upgrade/receiver.go
+++ b/internal/upgrade/receiver.go
@@ -74,7 +74,7 @@
 	received := &Taken{pipe: p, Files: gate.Receive()}
 	var follower *core.Reducer
 	for {
-		m, err := p.Receive(snapshot.MostBytes)
+		m, err := p.Receive(snapshot.MaxBytes)
 		if err != nil {
 			return nil, fmt.Errorf("no further message from the old process: %w", err)
 		}
@@ -183,7 +183,7 @@
 	if err := r.pipe.Send(NeedState{}); err != nil {
 		return nil, err
 	}
-	m, err := r.pipe.Receive(snapshot.MostBytes)
+	m, err := r.pipe.Receive(snapshot.MaxBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/upgrade/runtime.go
+++ b/internal/upgrade/runtime.go
@@ -89,7 +89,7 @@
 	}
 	state, err := r.Reducer.Export()
 	if err == nil {
-		r.Loop.Watch(func(now float64, ev core.Event, effects []core.Effect) {
+		r.Loop.Observe(func(now float64, ev core.Event, effects []core.Effect) {
 			packed, err := snapshot.Pack(ev)
 			if err != nil {
 				packed = snapshot.Event{} // the new process refuses it
@@ -116,7 +116,7 @@
 // StopFollowing ends the calls of SnapshotAndFollow's callback.
 func (r *Runtime) StopFollowing() {
 	if resumeLoop, ok := r.Loop.Hold(); ok {
-		r.Loop.Watch(nil)
+		r.Loop.Observe(nil)
 		resumeLoop()
 	}
 }
@@ -148,12 +148,12 @@
 	if !ok {
 		return fmt.Errorf("upgrade: the loop has ended")
 	}
-	if err := r.Gate.Hold(maxWait, r.Loop.Drain); err != nil {
+	if err := r.Gate.Hold(maxWait, r.Loop.DrainQueues); err != nil {
 		resumeLoop()
 		return err
 	}
-	r.Loop.Watch(nil)
-	r.Loop.Drain()
+	r.Loop.Observe(nil)
+	r.Loop.DrainQueues()
 	r.resumeLoop = resumeLoop
 	return nil
 }
@@ -161,7 +161,7 @@
 // Release resumes everything after a hold.
 func (r *Runtime) Release() {
 	if r.resumeLoop != nil {
-		r.Reducer.StoodStill()
+		r.Reducer.ProcessStalled()
 		r.Gate.Release()
 		r.resumeLoop()
 		r.resumeLoop = nil
--- a/internal/workerconn/sender_test.go
+++ b/internal/workerconn/sender_test.go
@@ -99,8 +99,8 @@
 	if o.DialTimeout == 0 {
 		o.DialTimeout = patience
 	}
-	if o.MostConns == 0 {
-		o.MostConns = 8
+	if o.MaxConns == 0 {
+		o.MaxConns = 8
 	}
 	others := make(chan core.Event, 64)
 	s := NewSender(o, hold.NewGate(), func() float64 { return 0 }, func(e core.Event) {
@@ -182,16 +182,16 @@
 		play func(l *link)
 		want core.Fault
 	}{
-		{"turned away 503", func(l *link) { l.say("503 Busy\r\nX-Turned-Away: 1") }, core.TurnedAway},
-		{"turned away 504", func(l *link) { l.say("504 Busy\r\nX-Turned-Away: 1") }, core.TurnedAway},
+		{"turned away 503", func(l *link) { l.say("503 Busy\r\nX-Turned-Away: 1") }, core.WorkerBusy},
+		{"turned away 504", func(l *link) { l.say("504 Busy\r\nX-Turned-Away: 1") }, core.WorkerBusy},
 		{"503 without the mark may have run", func(l *link) { l.say("503 Busy") }, core.Errored},
 		{"a marked 500 may have run", func(l *link) { l.say("500 Odd\r\nX-Turned-Away: 1") }, core.Errored},
-		{"400 is the request's fault", func(l *link) { l.say("400 Bad Request") }, core.Unfit},
-		{"404 is the request's fault", func(l *link) { l.say("404 Not Found") }, core.Unfit},
+		{"400 is the request's fault", func(l *link) { l.say("400 Bad Request") }, core.RequestUnusable},
+		{"404 is the request's fault", func(l *link) { l.say("404 Not Found") }, core.RequestUnusable},
 		{"200 is no taking", func(l *link) { l.say("200 OK") }, core.Errored},
-		{"ends before the answer", func(l *link) { l.Close() }, core.Broken},
-		{"ends inside the answer", func(l *link) { io.WriteString(l, "HTTP/1.1 202 Acc"); l.Close() }, core.Broken},
-		{"no HTTP", func(l *link) { io.WriteString(l, "what\r\n\r\n"); l.Close() }, core.Broken},
+		{"ends before the answer", func(l *link) { l.Close() }, core.BrokenAfterSend},
+		{"ends inside the answer", func(l *link) { io.WriteString(l, "HTTP/1.1 202 Acc"); l.Close() }, core.BrokenAfterSend},
+		{"no HTTP", func(l *link) { io.WriteString(l, "what\r\n\r\n"); l.Close() }, core.BrokenAfterSend},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := listen(t)
@@ -314,7 +314,7 @@
 		{"the branch is given up", func(s *Sender, _ *atomic.Int64, _ *atomic.Bool, p *peer) {
 			s.GiveUp(core.GiveUpBranch{Branch: 1, Request: "r", Addr: p.addr()})
 		}},
-		{"its worker drains", func(s *Sender, _ *atomic.Int64, _ *atomic.Bool, p *peer) { s.Drop(p.addr()) }},
+		{"its worker drains", func(s *Sender, _ *atomic.Int64, _ *atomic.Bool, p *peer) { s.CancelUnsent(p.addr()) }},
 		{"its caller goes, and nobody has told", func(_ *Sender, _ *atomic.Int64, gone *atomic.Bool, _ *peer) { gone.Store(true) }},
 		{"its time is over", func(_ *Sender, now *atomic.Int64, _ *atomic.Bool, _ *peer) { now.Store(30) }},
 		{"the time for a repeat is over", func(_ *Sender, now *atomic.Int64, _ *atomic.Bool, _ *peer) { now.Store(8) }},
@@ -323,7 +323,7 @@
 			p := listen(t)
 			var now atomic.Int64 // seconds
 			var gone atomic.Bool
-			s, events := sender(Options{IdleClose: time.Minute, Present: func(exchange core.ExchangeID) bool { return exchange == 5 && !gone.Load() }})
+			s, events := sender(Options{IdleClose: time.Minute, CallerPresent: func(exchange core.ExchangeID) bool { return exchange == 5 && !gone.Load() }})
 			s.clock = func() float64 { return float64(now.Load()) }
 			up, on := heldDials(s)
 			b := branch(1, p.addr())
@@ -452,7 +452,7 @@
 		return nil, ctx.Err()
 	}
 	s.Send(branch(2, p.addr()))
-	s.Drop(p.addr())
+	s.CancelUnsent(p.addr())
 	wantFault(t, events, 2, core.NotSent)
 	p.ln.(*net.TCPListener).SetDeadline(time.Now())
 	if c, err := p.ln.Accept(); err == nil {
@@ -489,7 +489,7 @@
 	s.Send(branch(2, p.addr()))
 	l.request()
 	l.Close()
-	wantFault(t, events, 2, core.Stale)
+	wantFault(t, events, 2, core.StaleConnection)
 	if s.pool.limit != s.pool.idleFor {
 		t.Errorf("kept for %v after one break", s.pool.limit)
 	}
@@ -532,7 +532,7 @@
 
 func TestBudget(t *testing.T) {
 	p, q := listen(t), listen(t)
-	s, events := sender(Options{IdleClose: time.Minute, MostConns: 1})
+	s, events := sender(Options{IdleClose: time.Minute, MaxConns: 1})
 	s.Send(branch(1, p.addr()))
 	l := p.accept()
 	l.request()
