--- a/cmd/foldlb/node.go
+++ b/cmd/foldlb/node.go
@@ -32,15 +32,15 @@
 	clients *clientconn.Server
 	workers *workerconn.Sender
 	routes  *routeset.Client
-	body    *upgrade.Body
-	giver   *upgrade.Giver    // nil where upgrades are off
-	lines   chan string       // of the reducer's log
-	tallies chan core.Figures // asked for by logFigures, which waits for one at a time
-	door    *ops.Door         // nil where there is none
-	behind  ops.Node          // what is put behind it
-	ending  atomic.Bool       // SIGTERM has come
-	member  *member           // of a fleet; nil where there is none
-	auditor *auditor          // nil where no account is kept
+	body    *upgrade.Runtime
+	giver   *upgrade.HandoverSender // nil where upgrades are off
+	lines   chan string             // of the reducer's log
+	tallies chan core.Figures       // asked for by logFigures, which waits for one at a time
+	door    *ops.Door               // nil where there is none
+	behind  ops.Node                // what is put behind it
+	ending  atomic.Bool             // SIGTERM has come
+	member  *member                 // of a fleet; nil where there is none
+	auditor *auditor                // nil where no account is kept
 
 	now atomic.Pointer[core.Limits] // those in force
 
@@ -65,13 +65,13 @@
 		CallerPresent: n.clients.CallerPresent,
 	}, n.gate, clock.Now, n.loop.Post, log)
 	n.routes = routeset.NewClient(n.gate, n.loop.Post, log)
-	n.body = &upgrade.Body{Loop: n.loop, Reducer: reducer, Gate: n.gate, Clock: clock, Generation: 1, Started: time.Now(),
+	n.body = &upgrade.Runtime{Loop: n.loop, Reducer: reducer, Gate: n.gate, Clock: clock, Generation: 1, Started: time.Now(),
 		Parts: []upgrade.Part{
 			upgrade.NewPart("callers", n.clients.Export, n.clients.Import),
 			upgrade.NewPart("next hops", n.workers.Export, n.workers.Import),
 			upgrade.NewPart("routes", n.routes.Export, n.routes.Import),
 			upgrade.NewPart("door", n.exportDoor, n.importDoor),
-			upgrade.NewPart("fleet", n.exportFleet, n.importFleet).OrNone(),
+			upgrade.NewPart("fleet", n.exportFleet, n.importFleet).AsOptional(),
 		}}
 	return n
 }
@@ -222,7 +222,7 @@
 		if n.giver == nil {
 			n.reload()
 		} else {
-			n.giver.Order(syscall.SIGHUP, n.reload)
+			n.giver.RunAsOwner(syscall.SIGHUP, n.reload)
 		}
 	}
 }
--- a/internal/clientconn/close_test.go
+++ b/internal/clientconn/close_test.go
@@ -80,7 +80,7 @@
 	}
 	before := bytesReceived(t, conn)
 	c.send(callRequest, "hi") // after the claim and before the write side is shut down
-	for limit := time.Now().Add(testTimeout / 2); bytesReceived(t, conn) == before || !conn.Silent(); runtime.Gosched() {
+	for limit := time.Now().Add(testTimeout / 2); bytesReceived(t, conn) == before || !conn.OpenWithoutData(); runtime.Gosched() {
 		if time.Now().After(limit) {
 			t.Fatal("the request was not read")
 		}
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	c.send(callRequest, "ho")
-	for limit := time.Now().Add(testTimeout); conn.Silent(); runtime.Gosched() {
+	for limit := time.Now().Add(testTimeout); conn.OpenWithoutData(); runtime.Gosched() {
 		if time.Now().After(limit) {
 			t.Fatal("no input arrived")
 		}
--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -73,7 +73,7 @@
 func (c *conn) claim() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.inputClosed || c.closed || !(c.phase == phaseIdle && c.Silent() || c.phase == phaseReading && !c.validated) {
+	if c.inputClosed || c.closed || !(c.phase == phaseIdle && c.OpenWithoutData() || c.phase == phaseReading && !c.validated) {
 		return false
 	}
 	c.inputClosed = true
@@ -107,7 +107,7 @@
 			return
 		}
 		n += count
-		c.Mark(0)
+		c.MarkConsumed(0)
 	}
 }
 
@@ -172,7 +172,7 @@
 		return evictFirst, c.since
 	case c.closed || c.phase >= phaseServing || c.validated && c.phase == phaseReading:
 		return notEvictable, c.since
-	case c.phase == phaseIdle && !c.Silent():
+	case c.phase == phaseIdle && !c.OpenWithoutData():
 		return notEvictable, c.since
 	case c.validated:
 		return idleKeepAlive, c.since
@@ -188,7 +188,7 @@
 func (c *conn) idleTime(now time.Time, of peerKind) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if of != peerUnknown && c.peerKind != of || c.closed || c.inputClosed || c.phase != phaseIdle || !c.Silent() {
+	if of != peerUnknown && c.peerKind != of || c.closed || c.inputClosed || c.phase != phaseIdle || !c.OpenWithoutData() {
 		return 0
 	}
 	return now.Sub(c.since)
@@ -198,5 +198,5 @@
 func (c *conn) isSilent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.validated && c.phase == phaseIdle && c.Silent()
+	return !c.validated && c.phase == phaseIdle && c.OpenWithoutData()
 }
--- a/internal/clientconn/serve.go
+++ b/internal/clientconn/serve.go
@@ -60,7 +60,7 @@
 
 // serveNext reads and answers one request, and reports whether the connection stays open.
 func (s *Server) serveNext(c *conn) bool {
-	if c.First() != nil {
+	if c.WaitForData() != nil {
 		// A time-out is not answered: the response could cross with a late request and be taken as the response to it. A
 		// close can't be mistaken.
 		return false
--- a/internal/clientconn/server.go
+++ b/internal/clientconn/server.go
@@ -314,7 +314,7 @@
 	x := s.exchanges[id]
 	waits := x != nil && !x.answered
 	s.mu.Unlock()
-	return waits && !x.conn.Ended()
+	return waits && !x.conn.PeerClosed()
 }
 
 // Answer passes the final answer to its exchange. Later answers to the same exchange are ignored. It does not block.
--- a/internal/hold/hold_test.go
+++ b/internal/hold/hold_test.go
@@ -12,36 +12,36 @@
 	"pgregory.net/rapid"
 )
 
-const patience = 10 * time.Second
+const holdTimeout = 10 * time.Second
 
-// pair is both ends of a TCP connection, one behind a gate.
+// pair returns both ends of a TCP connection; the first is behind the gate.
 func pair(t interface{ Fatal(...any) }, g *Gate) (*Conn, net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	far, err := net.Dial("tcp", ln.Addr().String())
+	peer, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	near, err := ln.Accept()
+	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return g.Wrap(near), far
+	return g.Wrap(conn), peer
 }
 
-// TestNothingIsTakenWhileHeld: what arrives during a hold stays in the kernel, and is read after it.
-func TestNothingIsTakenWhileHeld(t *testing.T) {
+// TestNoBytesReadWhileHeld checks that bytes which arrive during a hold stay in the kernel, and are read after it.
+func TestNoBytesReadWhileHeld(t *testing.T) {
 	g := NewGate()
-	near, far := pair(t, g)
-	defer far.Close()
+	conn, peer := pair(t, g)
+	defer peer.Close()
 	got := make(chan string, 4)
 	g.Go(func() {
 		b := make([]byte, 16)
 		for {
-			n, err := near.Read(b)
+			n, err := conn.Read(b)
 			if err != nil {
 				got <- err.Error()
 				return
@@ -50,15 +50,15 @@
 		}
 	})
 	for i := range 50 {
-		io.WriteString(far, "a")
+		io.WriteString(peer, "a")
 		if s := <-got; s != "a" {
 			t.Fatal(s)
 		}
-		if err := g.Hold(patience, nil); err != nil {
+		if err := g.Hold(holdTimeout, nil); err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(far, "b")
-		if st := near.Export(); len(got) != 0 || len(st.Ahead) != i*2+1 {
+		io.WriteString(peer, "b")
+		if st := conn.Export(); len(got) != 0 || len(st.Ahead) != i*2+1 {
 			t.Fatalf("round %d: %d reads while held, exported %+v", i, len(got), st)
 		}
 		g.Release()
@@ -67,31 +67,31 @@
 			if s != "b" {
 				t.Fatal(s)
 			}
-		case <-time.After(patience):
-			t.Fatal("what came during the hold is never read")
+		case <-time.After(holdTimeout):
+			t.Fatal("bytes that arrived during the hold were not read after it")
 		}
 	}
-	far.Close()
+	peer.Close()
 	if s := <-got; s != io.EOF.Error() {
 		t.Error(s)
 	}
 }
 
-// TestDeadlinesOutliveAHold: a reader's own deadline is its own before and after a hold, also one that passes
-// meanwhile; a hold's end is none.
-func TestDeadlinesOutliveAHold(t *testing.T) {
+// TestReadDeadlineSurvivesHold checks that a reader's own deadline takes effect, and not before its time, if the gate is
+// held several times meanwhile: the release of a hold must not look like an expired deadline.
+func TestReadDeadlineSurvivesHold(t *testing.T) {
 	g := NewGate()
-	near, far := pair(t, g)
-	defer far.Close()
+	conn, peer := pair(t, g)
+	defer peer.Close()
 	ended := make(chan error, 1)
-	near.SetReadDeadline(time.Now().Add(150 * time.Millisecond))
+	conn.SetReadDeadline(time.Now().Add(150 * time.Millisecond))
 	begin := time.Now()
 	g.Go(func() {
-		_, err := near.Read(make([]byte, 1))
+		_, err := conn.Read(make([]byte, 1))
 		ended <- err
 	})
 	for range 3 {
-		if err := g.Hold(patience, nil); err != nil {
+		if err := g.Hold(holdTimeout, nil); err != nil {
 			t.Fatal(err)
 		}
 		g.Release()
@@ -101,137 +101,138 @@
 	}
 }
 
-// TestInterrupt ends a ReadAhead whatever it is doing, and no byte that came is lost.
+// TestInterrupt checks that Interrupt ends a ReadAhead in each of its states, and that no received byte is lost.
 func TestInterrupt(t *testing.T) {
 	g := NewGate()
-	near, far := pair(t, g)
-	defer far.Close()
+	conn, peer := pair(t, g)
+	defer peer.Close()
 	ended := make(chan error)
 	g.Go(func() {
 		for range 4 {
-			err := near.ReadAhead()
+			err := conn.ReadAhead()
 			ended <- err
 		}
 	})
-	near.Interrupt()
+	conn.Interrupt()
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(far, "xyz")
-	near.Interrupt() // before or after the first byte is taken ahead
+	io.WriteString(peer, "xyz")
+	conn.Interrupt() // before or after the first byte is read
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	if err := g.Hold(patience, nil); err != nil {
+	if err := g.Hold(holdTimeout, nil); err != nil {
 		t.Fatal(err)
 	}
-	near.Interrupt() // while held: it is active now, and not at rest any more
+	conn.Interrupt() // while held: the reader counts as active from here on
 	g.Release()
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	near.Interrupt()
+	conn.Interrupt()
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
 	b := make([]byte, 3)
-	if _, err := io.ReadFull(near, b); err != nil || string(b) != "xyz" {
+	if _, err := io.ReadFull(conn, b); err != nil || string(b) != "xyz" {
 		t.Errorf("%q, %v", b, err)
 	}
 }
 
-// TestHoldTellsOfWhatKeepsWorking: a hold that can't come about lets everything go on.
-func TestHoldTellsOfWhatKeepsWorking(t *testing.T) {
+// TestHoldTimesOutWhileActive checks that a hold which reaches its time limit releases the gate, and that a gate can't be held twice.
+func TestHoldTimesOutWhileActive(t *testing.T) {
 	g := NewGate()
 	stop, called := make(chan struct{}), 0
 	g.Go(func() { <-stop })
 	if err := g.Hold(20*time.Millisecond, func() { called++ }); !errors.Is(err, ErrBusy) || called == 0 {
-		t.Errorf("%v, called %d times meanwhile", err, called)
+		t.Errorf("%v, whileBusy called %d times", err, called)
 	}
 	done := make(chan struct{})
 	g.Go(func() { close(done) })
 	<-done
 	close(stop)
-	if err := g.Hold(patience, nil); err != nil {
+	if err := g.Hold(holdTimeout, nil); err != nil {
 		t.Error(err)
 	}
-	if err := g.Hold(patience, nil); !errors.Is(err, ErrHeld) {
+	if err := g.Hold(holdTimeout, nil); !errors.Is(err, ErrHeld) {
 		t.Errorf("held twice: %v", err)
 	}
 	g.Release()
 }
 
-// TestBytesPassOnInOrder: whatever was read, marked and left by one connection, and written in whatever pieces, its
-// successor reads on from the same byte.
-func TestBytesPassOnInOrder(t *testing.T) {
+// TestExportedBytesResumeInOrder checks that a connection restored from an exported state continues with the first
+// unconsumed byte, however the bytes were written, read, marked as consumed and unread before the hold.
+func TestExportedBytesResumeInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOfN(rapid.Byte(), 1, 3000).Draw(t, "text")
 		first := NewGate()
-		near, far := pair(t, first)
-		defer far.Close()
-		defer near.Close()
+		conn, peer := pair(t, first)
+		defer peer.Close()
+		defer conn.Close()
 		written := rapid.IntRange(0, len(text)).Draw(t, "written before")
-		far.Write(text[:written])
-		read, marked := 0, 0 // of the text, by the first one; done with for good
+		peer.Write(text[:written])
+		read, consumed := 0, 0 // bytes of the text that the first connection read, and marked as consumed
 		first.Wake()
 		for read < written && rapid.Bool().Draw(t, "read more") {
 			b := make([]byte, rapid.IntRange(1, 700).Draw(t, "room"))
-			n, err := near.Read(b)
+			n, err := conn.Read(b)
 			if err != nil {
 				t.Fatal(err)
 			}
 			read += n
 			if rapid.Bool().Draw(t, "mark") {
-				left := rapid.IntRange(0, read-marked).Draw(t, "left")
-				near.Mark(left)
-				marked = read - left
+				left := rapid.IntRange(0, read-consumed).Draw(t, "left")
+				conn.MarkConsumed(left)
+				consumed = read - left
 			}
-			if left := rapid.IntRange(0, read-marked).Draw(t, "unread"); left > 0 && rapid.Bool().Draw(t, "does") {
-				near.Unread(text[read-left : read])
-				read, marked = read-left, read-left
+			if left := rapid.IntRange(0, read-consumed).Draw(t, "unread"); left > 0 && rapid.Bool().Draw(t, "does") {
+				conn.Unread(text[read-left : read])
+				read, consumed = read-left, read-left
 			}
 		}
 		first.Rest()
-		if err := first.Hold(patience, nil); err != nil {
+		if err := first.Hold(holdTimeout, nil); err != nil {
 			t.Fatal(err)
 		}
-		far.Write(text[written:])
+		peer.Write(text[written:])
 		second := NewGate()
-		next := second.Wrap(near.Conn)
-		next.adopt(near.Export())
+		next := second.Wrap(conn.Conn)
+		next.restore(conn.Export())
 		second.Wake()
-		next.SetReadDeadline(time.Now().Add(patience))
-		got := make([]byte, len(text)-marked)
-		if _, err := io.ReadFull(next, got); err != nil || string(got) != string(text[marked:]) {
-			t.Fatalf("%d bytes of %d, %v", len(got), len(text)-marked, err)
+		next.SetReadDeadline(time.Now().Add(holdTimeout))
+		got := make([]byte, len(text)-consumed)
+		if _, err := io.ReadFull(next, got); err != nil || string(got) != string(text[consumed:]) {
+			t.Fatalf("%d bytes of %d, %v", len(got), len(text)-consumed, err)
 		}
 	})
 }
 
-// TestForget: where nothing is ever handed over, nothing is kept, and what is unread comes again all the same.
-func TestForget(t *testing.T) {
+// TestDisableHandover checks that read bytes are not retained without handover, and that Unread works all the same.
+func TestDisableHandover(t *testing.T) {
 	g := NewGate()
-	g.Forget()
-	near, far := pair(t, g)
-	defer far.Close()
-	io.WriteString(far, "one two")
+	g.DisableHandover()
+	conn, peer := pair(t, g)
+	defer peer.Close()
+	io.WriteString(peer, "one two")
 	g.Wake()
 	b := make([]byte, 7)
-	if _, err := io.ReadFull(near, b); err != nil {
+	if _, err := io.ReadFull(conn, b); err != nil {
 		t.Fatal(err)
 	}
-	if kept := near.Export().Ahead; len(kept) != 0 {
-		t.Errorf("%q is kept", kept)
+	if retained := conn.Export().Ahead; len(retained) != 0 {
+		t.Errorf("%q is retained", retained)
 	}
-	near.Unread(b[4:])
-	if n, err := near.Read(b); err != nil || string(b[:n]) != "two" {
+	conn.Unread(b[4:])
+	if n, err := conn.Read(b); err != nil || string(b[:n]) != "two" {
 		t.Errorf("%q, %v", b[:n], err)
 	}
 	g.Rest()
 }
 
-// TestHoldRestsThoughTheSocketWasSetToBlocking: whoever shares the listening socket may set it to blocking, for all processes.
-func TestHoldRestsThoughTheSocketWasSetToBlocking(t *testing.T) {
+// TestHoldSucceedsAfterSocketWasSetToBlocking: a process that shares the listening socket may set it to blocking for all processes. An
+// accept then blocks in the kernel, where Hold can't interrupt it, unless the listener sets the socket to non-blocking again.
+func TestHoldSucceedsAfterSocketWasSetToBlocking(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -255,14 +256,14 @@
 			t.Fatal(err)
 		}
 		raw.Control(func(fd uintptr) { unix.SetNonblock(int(fd), false) })
-		far, err := net.Dial("tcp", ln.Addr().String())
+		peer, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		(<-accepted).Close()
-		far.Close()
-		if err := g.Hold(patience, nil); err != nil {
-			net.Dial("tcp", ln.Addr().String()) // wakes what waits in the kernel, which the close would wait for
+		peer.Close()
+		if err := g.Hold(holdTimeout, nil); err != nil {
+			net.Dial("tcp", ln.Addr().String()) // wakes the accept that blocks in the kernel; closing would wait for it
 			t.Fatal(err)
 		}
 		g.Release()
--- a/internal/routeset/watch.go
+++ b/internal/routeset/watch.go
@@ -245,7 +245,7 @@
 	if err := resp.ReadLimitBody(c.r, maxListBytes); err != nil {
 		return core.RouteSet{}, fmt.Errorf("discovery's answer: %w", err)
 	}
-	c.Mark(c.r.Buffered())
+	c.MarkConsumed(c.r.Buffered())
 	c.closes = resp.ConnectionClose()
 	if code := resp.StatusCode(); code != fasthttp.StatusOK {
 		return core.RouteSet{}, fmt.Errorf("discovery's answer: status %d", code)
--- a/internal/workerconn/conn.go
+++ b/internal/workerconn/conn.go
@@ -122,7 +122,7 @@
 	if c.r.Buffered() > 0 { // a second response would be taken for that to the next request
 		return false
 	}
-	c.Mark(0)
+	c.MarkConsumed(0)
 	readerPool.Put(c.r)
 	c.r = nil
 	return true
@@ -131,5 +131,5 @@
 // usable reports whether an idle connection is still open and has no input. A request written to one that the worker has
 // closed would fail with a reset, after which most classes must not be retried.
 func (c *conn) usable() bool {
-	return c.r == nil && c.Silent()
+	return c.r == nil && c.OpenWithoutData()
 }
--- a/internal/workerconn/state.go
+++ b/internal/workerconn/state.go
@@ -70,7 +70,7 @@
 	var st State
 	for _, id := range slices.Sorted(maps.Keys(s.exchanges)) {
 		switch x := s.exchanges[id]; {
-		case x.conn != nil && !x.conn.Untouched():
+		case x.conn != nil && !x.conn.WriteNotStarted():
 			link, err := exportLink(x.conn, files)
 			if err != nil {
 				return st, fmt.Errorf("workerconn: branch %d: %w", id, err)
