--- a/cmd/foldlb-control/control.go
+++ b/cmd/foldlb-control/control.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	hangups, stopHangups := settings.Hangups()
+	hangups, stopHangups := settings.NotifyHangup()
 	defer stopHangups()
 	go settings.Watch(running, path, hangups, func() { reload(path, server, log) })
 	return server.Run(running)
--- a/cmd/foldlb/audit.go
+++ b/cmd/foldlb/audit.go
@@ -75,22 +75,22 @@
 		s.log.WithError(err).Error("the configuration that a peer told before is not used")
 	}
 	// What was acted on before the start must not be gone behind after it: an older list is not used, and the whole one asked for.
-	if last := r.last.Versions.Routes; err == nil && last.Source == s.routesName() && s.cfg.Known.Version < last.No {
-		s.log.WithFields(logrus.Fields{"known": s.cfg.Known.Version, "acted_on": last.No}).Warn("the route set of the configuration is older than one that was acted on, and is not used")
-		s.cfg.Known = core.RouteSet{Version: core.VersionUnknown}
+	if last := r.last.Versions.Routes; err == nil && last.Source == s.routesName() && s.cfg.KnownRoutes.Version < last.No {
+		s.log.WithFields(logrus.Fields{"known": s.cfg.KnownRoutes.Version, "acted_on": last.No}).Warn("the route set of the configuration is older than one that was acted on, and is not used")
+		s.cfg.KnownRoutes = core.RouteSet{Version: core.VersionUnknown}
 	}
 }
 
 // routesName is what versions of the route set are said to be of.
 func (s *setup) routesName() string {
-	if f := s.operator.Fleet; f != nil && f.Routes != "" {
-		return f.Routes
+	if f := s.operator.Fleet; f != nil && f.RouteSource != "" {
+		return f.RouteSource
 	}
 	return s.cfg.Discovery
 }
 
 func recordOptions(member string, a operator.Audit, process uint64) trail.Options {
-	return trail.Options{Folder: a.Folder, Member: member, Process: process, Files: a.Files, Bytes: int64(a.FileMB) << 20, Wall: wall}
+	return trail.Options{Folder: a.Folder, Member: member, Process: process, Files: a.MaxFiles, Bytes: int64(a.MaxFileMB) << 20, Wall: wall}
 }
 
 // errOlder says that a configuration is older than one that was acted on.
@@ -105,7 +105,7 @@
 	}
 	x := &auditor{n: n, cfg: *a, process: gossip.NewProcess(), summed: make(chan struct{})}
 	if f := s.operator.Fleet; f != nil {
-		x.source, x.routes = f.Name, f.Routes
+		x.source, x.routes = f.Name, f.RouteSource
 	}
 	x.failed = s.trail.failed
 	held, process, kept := n.body.Reducer.HeldVersions()
@@ -117,7 +117,7 @@
 		x.writer.Store(s.trail.writer)
 		x.tellCut(s.trail.last.Cut)
 	}
-	now := core.ConfigHeld{Config: x.config(s.cfg, a.Version), Shared: s.cfg.Shared()}
+	now := core.ConfigHeld{Config: x.config(s.cfg, a.ConfigVersion), Shared: s.cfg.SharedSettings()}
 	if s.ahead != nil {
 		now = *s.ahead
 	}
@@ -125,7 +125,7 @@
 		return fmt.Errorf("%w: %d, and %d was acted on; state a higher number, also for a roll-back", errOlder, now.Config.No, held.Config.No)
 	}
 	x.held.Store(&now)
-	x.stated.Store(a.Version)
+	x.stated.Store(a.ConfigVersion)
 	n.auditor = x
 	return nil
 }
@@ -153,7 +153,7 @@
 	}
 	held := x.held.Load()
 	x.n.loop.Post(core.AuditBegun{Routes: x.routes, Process: x.process, Program: program(), Config: held.Config, Shared: held.Shared, By: held.By,
-		BringUp: x.cfg.BringUp && x.n.member != nil, Last: x.last})
+		BringUp: x.cfg.AdoptNewerConfig && x.n.member != nil, Last: x.last})
 	t := time.NewTicker(auditEvery)
 	defer t.Stop()
 	for {
@@ -222,23 +222,23 @@
 	if x == nil || a == nil {
 		return false, nil
 	}
-	held, stated := x.held.Load(), x.config(cfg, a.Version)
-	x.stated.Store(a.Version)
+	held, stated := x.held.Load(), x.config(cfg, a.ConfigVersion)
+	x.stated.Store(a.ConfigVersion)
 	switch {
 	case altered.Is("takes an older configuration"):
-	case a.Version < held.Config.No && held.By == "":
-		return false, fmt.Errorf("%w: %d, and %d is in force", errOlder, a.Version, held.Config.No)
-	case a.Version < held.Config.No:
-		x.n.log.WithFields(logrus.Fields{"stated": a.Version, "in_force": held.Config.No, "by": held.By}).
+	case a.ConfigVersion < held.Config.No && held.By == "":
+		return false, fmt.Errorf("%w: %d, and %d is in force", errOlder, a.ConfigVersion, held.Config.No)
+	case a.ConfigVersion < held.Config.No:
+		x.n.log.WithFields(logrus.Fields{"stated": a.ConfigVersion, "in_force": held.Config.No, "by": held.By}).
 			Warn("the files state an older configuration than the one that a peer told, which stays")
 		return false, nil
 	case stated == held.Config:
 		return true, nil
-	case a.Version == held.Config.No:
-		x.n.log.WithField("configuration", a.Version).Error("the files state other contents than the ones in force under this number, which stay; state a higher number")
+	case a.ConfigVersion == held.Config.No:
+		x.n.log.WithField("configuration", a.ConfigVersion).Error("the files state other contents than the ones in force under this number, which stay; state a higher number")
 		return false, nil
 	}
-	x.n.loop.Post(core.AuditConfigured{Config: stated, Settings: &cfg.Settings, Shared: cfg.Shared()})
+	x.n.loop.Post(core.AuditConfigured{Config: stated, Settings: &cfg.Settings, Shared: cfg.SharedSettings()})
 	return true, nil
 }
 
--- a/cmd/foldlb/bringup.go
+++ b/cmd/foldlb/bringup.go
@@ -29,10 +29,10 @@
 // goOn has the process act on a configuration that was in force before it, where that is newer than what its own file states.
 func (s *setup) goOn(held core.ConfigHeld) error {
 	a := s.operator.Audit
-	if a == nil || held.Config.Source != s.source() || held.Config.No <= a.Version {
+	if a == nil || held.Config.Source != s.source() || held.Config.No <= a.ConfigVersion {
 		return nil
 	}
-	cfg, err := s.cfg.With(held.Shared)
+	cfg, err := s.cfg.WithShared(held.Shared)
 	if err != nil {
 		return err
 	}
@@ -40,7 +40,7 @@
 		return fmt.Errorf("configuration %d: its text has the digest %016x, not %016x", held.Config.No, got, held.Config.Digest)
 	}
 	s.cfg, s.ahead = cfg, &held
-	s.log.WithField("configuration", held.Config.No).WithField("stated", a.Version).WithField("by", held.By).
+	s.log.WithField("configuration", held.Config.No).WithField("stated", a.ConfigVersion).WithField("by", held.By).
 		Warn("the operator file states an older configuration than the one in force, which goes on")
 	return nil
 }
@@ -105,7 +105,7 @@
 	}
 	go func() {
 		defer x.bringer.busy.Store(false)
-		cfg, err := x.n.cfg.With(held.Shared)
+		cfg, err := x.n.cfg.WithShared(held.Shared)
 		if err == nil && configured(cfg).Digest != held.Config.Digest {
 			err = errors.New("its digest is not what the view says")
 		}
--- a/cmd/foldlb/door.go
+++ b/cmd/foldlb/door.go
@@ -14,7 +14,7 @@
 var errEnding = errors.New("this process is ending")
 
 // listenDoor opens the operators' door, where the configuration names one. Nobody is behind it yet.
-func (s setup) listenDoor() (*ops.Door, error) {
+func (s setup) listenDoor() (*ops.AdminServer, error) {
 	if s.cfg.Mgmt == "" {
 		return nil, nil
 	}
@@ -59,7 +59,7 @@
 }
 
 // open puts the node behind its door, if it has one. The loop must not run yet.
-func (n *node) open(d *ops.Door) {
+func (n *node) open(d *ops.AdminServer) {
 	if d == nil {
 		return
 	}
@@ -73,15 +73,15 @@
 		classes = append(classes, c.Name)
 	}
 	n.clients.Count(classes)
-	n.behind = ops.Node{
+	n.behind = ops.Backend{
 		Ready: func() error {
 			if n.ending.Load() {
 				return errEnding
 			}
 			return nil
 		},
-		Figures: func() ops.Figures {
-			return ops.FiguresOf(n.clients.Tallies(), n.clients.InFlight(), n.workers.Sent(), *view.Load())
+		Stats: func() ops.Stats {
+			return ops.NewStats(n.clients.Tallies(), n.clients.InFlight(), n.workers.Sent(), *view.Load())
 		},
 		Post: n.loop.Post,
 	}
@@ -90,6 +90,6 @@
 // leaveDoor ends this process's answers to operators, once another one serves.
 func (n *node) leaveDoor() {
 	if n.door != nil {
-		n.door.Leave()
+		n.door.Detach()
 	}
 }
--- a/cmd/foldlb/figures_test.go
+++ b/cmd/foldlb/figures_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	clock := upgrade.NewClock()
-	reducer, err := core.New(clock.Now(), cfg.Settings, cfg.Known, cfg.Discovery)
+	reducer, err := core.New(clock.Now(), cfg.Settings, cfg.KnownRoutes, cfg.Discovery)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/foldlb/fleet.go
+++ b/cmd/foldlb/fleet.go
@@ -55,12 +55,12 @@
 	if s.cfg.Name == "" {
 		return errors.New("fleet: a member needs a name: set name, or NODE_NAME")
 	}
-	n.member = &member{n: n, routes: f.Routes, cfg: fleetConfig(s.cfg.Name, f)}
+	n.member = &member{n: n, routes: f.RouteSource, cfg: fleetConfig(s.cfg.Name, f)}
 	return nil
 }
 
 func fleetConfig(name string, f *operator.Fleet) gossip.Config {
-	return gossip.Config{Fleet: f.Name, Name: name, Listen: f.Listen, Advertise: f.Advertise, Seeds: f.Seeds, Allow: f.Allow, Probe: f.Probe, Lease: f.Lease}
+	return gossip.Config{Fleet: f.Name, Name: name, Listen: f.Listen, Advertise: f.Advertise, Seeds: f.Seeds, Allow: f.AllowedPrefixes, Probe: f.ProbeInterval, Lease: f.Lease}
 }
 
 // takePart begins this process's part in the fleet, or ends its predecessor's.
--- a/cmd/foldlb/handover_bench_test.go
+++ b/cmd/foldlb/handover_bench_test.go
@@ -65,7 +65,7 @@
 		cfg.Settings.Classes[i].Deadline = 3600
 	}
 	clock := upgrade.NewClock()
-	reducer, err := core.New(clock.Now(), cfg.Settings, cfg.Known, cfg.Discovery)
+	reducer, err := core.New(clock.Now(), cfg.Settings, cfg.KnownRoutes, cfg.Discovery)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/cmd/foldlb/main.go
+++ b/cmd/foldlb/main.go
@@ -84,6 +84,6 @@
 		return err
 	}
 	fmt.Printf("%s: %d classes, %d known workers, %d descriptors, %d MB\n", cfg.Name,
-		len(cfg.Settings.Classes), len(cfg.Known.Workers), cfg.Limits.Sockets, cfg.Limits.MemoryMB)
+		len(cfg.Settings.Classes), len(cfg.KnownRoutes.Workers), cfg.Limits.Sockets, cfg.Limits.MemoryMB)
 	return nil
 }
--- a/cmd/foldlb/node.go
+++ b/cmd/foldlb/node.go
@@ -36,8 +36,8 @@
 	giver   *upgrade.Giver    // nil where upgrades are off
 	lines   chan string       // of the reducer's log
 	tallies chan core.Figures // asked for by logFigures, which waits for one at a time
-	door    *ops.Door         // nil where there is none
-	behind  ops.Node          // what is put behind it
+	door    *ops.AdminServer  // nil where there is none
+	behind  ops.Backend       // what is put behind it
 	ending  atomic.Bool       // SIGTERM has come
 	member  *member           // of a fleet; nil where there is none
 	auditor *auditor          // nil where no account is kept
@@ -181,7 +181,7 @@
 	go n.loop.Run(background)
 	go n.logFigures(background, figuresEvery)
 	if n.door != nil {
-		n.door.Open(n.behind)
+		n.door.SetBackend(n.behind)
 		go n.door.Run()
 	}
 	go n.follow(reload, hup)
@@ -189,7 +189,7 @@
 		go n.giver.Run()
 		n.begins()
 	}
-	n.log.WithFields(logrus.Fields{"name": n.cfg.Name, "listen": n.cfg.Listen, "workers": len(n.cfg.Known.Workers)}).Info("serving")
+	n.log.WithFields(logrus.Fields{"name": n.cfg.Name, "listen": n.cfg.Listen, "workers": len(n.cfg.KnownRoutes.Workers)}).Info("serving")
 
 	select {
 	case err := <-served:
@@ -235,7 +235,7 @@
 		n.log.WithError(err).Error("reload refused, the old configuration stays")
 		return
 	}
-	if keys := slices.DeleteFunc(config.NeedRestart(n.cfg, next), func(k string) bool { return k == "settings" && applied }); len(keys) > 0 {
+	if keys := slices.DeleteFunc(config.KeysNeedingRestart(n.cfg, next), func(k string) bool { return k == "settings" && applied }); len(keys) > 0 {
 		n.log.WithField("keys", keys).Warn("changed keys that only a restart applies")
 	}
 	n.body.Reloads.Add(1)
--- a/cmd/foldlb/operate.go
+++ b/cmd/foldlb/operate.go
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	binary, since := executable(), time.Now()
-	n.giver = upgrade.NewGiver(n.body, limits(s.operator.Upgrade), s.operator.Upgrade.Strict, s.successor(binary), nil, n.log)
+	n.giver = upgrade.NewGiver(n.body, limits(s.operator.Upgrade), s.operator.Upgrade.RequireSameDecisions, s.successor(binary), nil, n.log)
 	handlers := map[string]control.Handler{
 		"status": func(_ json.RawMessage, say func(any) error) error {
 			return say(status{Name: n.cfg.Name, PID: os.Getpid(), Generation: n.body.Generation, Version: version, Binary: binary,
@@ -108,13 +108,13 @@
 	}
 	n.member.configure(n.cfg.Name, next.Fleet)
 	if n.giver != nil {
-		n.giver.Configure(limits(next.Upgrade), next.Upgrade.Strict)
+		n.giver.Configure(limits(next.Upgrade), next.Upgrade.RequireSameDecisions)
 	}
 	return settings
 }
 
 func limits(u operator.Upgrade) upgrade.Limits {
-	return upgrade.Limits{Start: u.Start, Probation: u.Probation, Hold: u.Hold, Offer: u.Offer, Commit: u.Commit}
+	return upgrade.Limits{Start: u.StartTimeout, Probation: u.Probation, Hold: u.HoldTimeout, Offer: u.TransferTimeout, Commit: u.CommitTimeout}
 }
 
 // executable is the path of this program's file, as of its start: a file put in its place is the new program.
--- a/cmd/foldlb/replacement.go
+++ b/cmd/foldlb/replacement.go
@@ -70,7 +70,7 @@
 
 // replaceRunning serves on the listener that the platform holds: from where a running process stands if there is one, else, or
 // where no hand-over can be had, from a fresh start.
-func (s setup) replaceRunning(ctx context.Context, ln *net.TCPListener, door *ops.Door, reload <-chan os.Signal) error {
+func (s setup) replaceRunning(ctx context.Context, ln *net.TCPListener, door *ops.AdminServer, reload <-chan os.Signal) error {
 	halved.Store(true)
 	until := time.Now().Add(takeOverMost)
 	path, err := meetingPath()
--- a/cmd/foldlb/serve.go
+++ b/cmd/foldlb/serve.go
@@ -127,10 +127,10 @@
 }
 
 // begin serves from a fresh start.
-func (s setup) begin(ctx context.Context, ln net.Listener, door *ops.Door, reload <-chan os.Signal) error {
+func (s setup) begin(ctx context.Context, ln net.Listener, door *ops.AdminServer, reload <-chan os.Signal) error {
 	clock := upgrade.NewClock()
 	s.openRecord()
-	reducer, err := core.New(clock.Now(), s.cfg.Settings, s.cfg.Known, s.cfg.Discovery)
+	reducer, err := core.New(clock.Now(), s.cfg.Settings, s.cfg.KnownRoutes, s.cfg.Discovery)
 	if err != nil {
 		return err
 	}
@@ -173,7 +173,7 @@
 
 // takeOver takes everything over that the process at the other end of the pipe hands over. On an error, which that process
 // is told, nothing is this one's own and nothing is left open.
-func (s setup) takeOver(pipe *upgrade.Pipe, door *ops.Door) (_ *takeover, err error) {
+func (s setup) takeOver(pipe *upgrade.Pipe, door *ops.AdminServer) (_ *takeover, err error) {
 	gate := hold.NewGate()
 	var taken *upgrade.Taken
 	defer func() {
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -60,7 +60,7 @@
 // watchSettings reloads the settings on SIGHUP and when the file changes. New seeds take effect at once; callers get
 // all other settings from Settings.
 func (c *Client) watchSettings(ctx context.Context) {
-	hangups, stop := settings.Hangups()
+	hangups, stop := settings.NotifyHangup()
 	c.run(ctx, func(ctx context.Context) {
 		defer stop()
 		settings.Watch(ctx, c.options.Settings.Path, hangups, c.reload)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,13 +20,13 @@
 
 // Config is all that a dispatcher is told at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Mgmt      string // where operators call; empty for nowhere
-	Limits    core.Limits
-	Known     core.RouteSet // as this dispatcher last held it; may be old
-	Settings  choice.Settings
+	Name        string
+	Listen      string
+	Discovery   string
+	Mgmt        string // where operators call; empty for nowhere
+	Limits      core.Limits
+	KnownRoutes core.RouteSet // as this dispatcher last held it; may be old
+	Settings    choice.Settings
 
 	raw []byte // the settings as they were read
 }
@@ -56,8 +56,8 @@
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known    jsoniter.RawMessage `json:"known"`
-	Settings jsoniter.RawMessage `json:"settings"`
+	KnownRoutes jsoniter.RawMessage `json:"known"`
+	Settings    jsoniter.RawMessage `json:"settings"`
 }
 
 // Load reads the file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_MGMT, where
@@ -85,8 +85,8 @@
 	})
 }
 
-// NeedRestart names the keys that differ between two configurations and that a reload does not change.
-func NeedRestart(old, now Config) (keys []string) {
+// KeysNeedingRestart names the keys that differ between two configurations and that a reload does not change.
+func KeysNeedingRestart(old, now Config) (keys []string) {
 	for _, k := range []struct {
 		name string
 		same bool
@@ -138,12 +138,12 @@
 	case c.Limits.Sockets < leastSockets:
 		return c, fmt.Errorf("limits.sockets: %d, at least %d are needed", c.Limits.Sockets, leastSockets)
 	}
-	if len(f.Known) > 0 && string(f.Known) != "null" {
-		set, err := routeset.Parse(f.Known)
+	if len(f.KnownRoutes) > 0 && string(f.KnownRoutes) != "null" {
+		set, err := routeset.Parse(f.KnownRoutes)
 		if err != nil {
 			return c, fmt.Errorf("known: %w", err)
 		}
-		c.Known = set
+		c.KnownRoutes = set
 	}
 	if len(f.Settings) == 0 {
 		return c, errors.New("settings: is missing")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,7 +24,7 @@
 	}
 	if c.Name != "n9" || c.Listen != "127.0.0.1:8443" || c.Limits != (core.Limits{Cores: 0.5, MemoryMB: 96, Sockets: 512}) ||
 		c.Settings.Seed != 0x8c1f30d27a5be964 || c.Settings.Self != 1 || len(c.Settings.Classes) != 1 ||
-		c.Known.Version != 41 || len(c.Known.Workers) != 1 || c.Known.Workers[0].Started != 1.5 {
+		c.KnownRoutes.Version != 41 || len(c.KnownRoutes.Workers) != 1 || c.KnownRoutes.Workers[0].Started != 1.5 {
 		t.Errorf("read as %+v", c)
 	}
 	if c.Settings.DialTimeout != defaultDialTimeout || c.Settings.ConnIdle != defaultIdleClose {
@@ -49,11 +49,11 @@
 	if err != nil || again.Discovery != "127.0.0.2:8500" || again.Listen != first.Listen {
 		t.Errorf("reloaded with %q at %q, %v", again.Discovery, again.Listen, err)
 	}
-	if keys := NeedRestart(first, again); len(keys) != 0 {
+	if keys := KeysNeedingRestart(first, again); len(keys) != 0 {
 		t.Errorf("a restart is wanted for %v", keys)
 	}
 	again.Name, again.Settings.MaxAttempts = "n7", 9
-	if keys := NeedRestart(first, again); !reflect.DeepEqual(keys, []string{"name", "settings"}) {
+	if keys := KeysNeedingRestart(first, again); !reflect.DeepEqual(keys, []string{"name", "settings"}) {
 		t.Errorf("a restart is wanted for %v", keys)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -90,7 +90,7 @@
 const defaultAskWithin = 10
 
 // Settings reads the settings object. Absent keys take the defaults set here.
-func Settings(text []byte) (choice.Settings, error) {
+func ParseSettings(text []byte) (choice.Settings, error) {
 	c := conf{Balancers: 1}
 	c.Allowed.MaxAttempts = 1
 	c.Allowed.MaxRetryAfter = 1
--- a/internal/config/shared_test.go
+++ b/internal/config/shared_test.go
@@ -28,7 +28,7 @@
 func TestSharedPart(t *testing.T) {
 	mine := parsed(t, `{"me":3,"zone":"north","balancers":5,`+classA+`}`)
 	theirs := parsed(t, `{ "zone":"south", `+classB+`, "me":1, "balancers": 6, "new_key": [1.50, "x"] }`)
-	got, err := mine.With(theirs.Shared())
+	got, err := mine.WithShared(theirs.SharedSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,11 +38,11 @@
 	if got.Listen != mine.Listen || got.Discovery != mine.Discovery {
 		t.Errorf("addresses of the process changed: %+v", got)
 	}
-	if text := theirs.Shared(); !bytes.Equal(got.Shared(), text) || !strings.Contains(string(text), `"new_key":[1.50,"x"]`) || strings.Contains(string(text), "south") {
-		t.Errorf("passed on: %s, told: %s", got.Shared(), text)
+	if text := theirs.SharedSettings(); !bytes.Equal(got.SharedSettings(), text) || !strings.Contains(string(text), `"new_key":[1.50,"x"]`) || strings.Contains(string(text), "south") {
+		t.Errorf("passed on: %s, told: %s", got.SharedSettings(), text)
 	}
-	if other := parsed(t, `{"balancers":5,"zone":"w",`+classA+`}`); !bytes.Equal(other.Shared(), mine.Shared()) {
-		t.Errorf("%s is not %s", other.Shared(), mine.Shared())
+	if other := parsed(t, `{"balancers":5,"zone":"w",`+classA+`}`); !bytes.Equal(other.SharedSettings(), mine.SharedSettings()) {
+		t.Errorf("%s is not %s", other.SharedSettings(), mine.SharedSettings())
 	}
 }
 
@@ -54,8 +54,8 @@
 		"a word for a number": `{"balancers":"x",` + classB + `}`, "an unknown word": `{"registry_mode":"x",` + classB + `}`,
 		"too long": `{` + classB + `,"x":"` + strings.Repeat("x", core.MaxSharedBytes) + `"}`,
 	} {
-		got, err := mine.With([]byte(text))
-		if !errors.Is(err, ErrShared) || !reflect.DeepEqual(got.Settings, mine.Settings) {
+		got, err := mine.WithShared([]byte(text))
+		if !errors.Is(err, ErrSharedSettings) || !reflect.DeepEqual(got.Settings, mine.Settings) {
 			t.Errorf("%s: %v, %+v", name, err, got.Settings.Classes)
 		}
 	}
@@ -69,14 +69,14 @@
 	f.Add([]byte(`[`))
 	mine := parsed(f, `{"me":3,"zone":"north",`+classA+`}`)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		got, err := mine.With(text)
+		got, err := mine.WithShared(text)
 		if err != nil {
 			return
 		}
 		if got.Settings.Self != 3 || got.Settings.Zone != "north" {
 			t.Fatalf("a peer's word on what is its own: %+v", got.Settings)
 		}
-		again, err := mine.With(got.Shared())
+		again, err := mine.WithShared(got.SharedSettings())
 		if err != nil || !reflect.DeepEqual(again.Settings, got.Settings) {
 			t.Fatalf("said again: %v, %+v", err, again.Settings)
 		}
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -112,7 +112,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", file, err)
 		}
-		s, err := Settings(conf)
+		s, err := ParseSettings(conf)
 		if err != nil || len(s.Classes) != len(classes) || s.ListOnRequest != (mode == `"ask"`) || fmt.Sprint(s.SecondCopies) != allow["second_copies"] {
 			t.Errorf("%s: taken as %+v, %v", file, s, err)
 		}
--- a/internal/controlplane/figures.go
+++ b/internal/controlplane/figures.go
@@ -14,7 +14,7 @@
 }
 
 // Figures are what monitoring sees of this process. Stores and dispatchers are counted at the leader alone.
-func (s *Server) Figures() []metrics.Figure {
+func (s *Server) Figures() []metrics.Metric {
 	status := s.Status()
 	leader := uint64(0)
 	if status.Leader {
@@ -24,7 +24,7 @@
 	if status.LeaderAddress != "" {
 		leaderKnown = 1
 	}
-	return []metrics.Figure{
+	return []metrics.Metric{
 		{Name: "foldlb_control_leader", Help: "1 where this process leads", Value: leader},
 		{Name: "foldlb_control_epoch", Help: "newest epoch that this process voted in or accepted", Value: status.Epoch},
 		{Name: "foldlb_control_config_version", Help: "configuration that is committed as far as is known here", Value: status.ConfigVersion},
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -198,7 +198,7 @@
 	defer cancel()
 	s.start(running)
 	heldUp := holdup.Watch(running, s.log)
-	figures := metrics.ServeRole(s.settings(), s.log, func() []metrics.Figure { return append(s.Figures(), heldUp.Figures()...) })
+	figures := metrics.ServeRole(s.settings(), s.log, func() []metrics.Metric { return append(s.Figures(), heldUp.Figures()...) })
 	defer func() { _ = figures.Close() }()
 	server := &http.Server{
 		Handler:           s.Handler(),
--- a/internal/holdup/holdup.go
+++ b/internal/holdup/holdup.go
@@ -60,8 +60,8 @@
 }
 
 // Figures tells the hold-ups.
-func (m *Meter) Figures() []metrics.Figure {
-	return []metrics.Figure{
+func (m *Meter) Figures() []metrics.Metric {
+	return []metrics.Metric{
 		{Name: "foldlb_process_holdups_total", Help: "times that the machine kept this process from running for 200 ms or more", Value: m.count.Load()},
 		{Name: "foldlb_process_holdups_ms_total", Help: "milliseconds of these", Value: milliseconds(m.total.Load())},
 		{Name: "foldlb_process_holdups_longest_ms", Help: "the longest of these since the start of the process", Value: milliseconds(m.longest.Load())},
--- a/internal/ingest/metrics.go
+++ b/internal/ingest/metrics.go
@@ -20,14 +20,14 @@
 }
 
 // collectMetrics returns the dispatcher's metrics.
-func (d *dispatcher) collectMetrics() []metrics.Figure {
+func (d *dispatcher) collectMetrics() []metrics.Metric {
 	view := d.cluster.View()
 	var mapVersion uint64
 	if view.Map != nil {
 		mapVersion = view.Map.Version
 	}
 	silentMs := uint64(d.cluster.TimeSinceRenewal().Milliseconds())
-	return []metrics.Figure{
+	return []metrics.Metric{
 		{Name: "foldlb_dispatcher_config_version", Help: "configuration in force", Value: view.ConfigVersion},
 		{Name: "foldlb_dispatcher_map_version", Help: "table of owners in force", Value: mapVersion},
 		{Name: "foldlb_dispatcher_control_silent_ms", Help: "since the newest renewal that the leader answered was sent", Value: silentMs},
--- a/internal/ingest/run.go
+++ b/internal/ingest/run.go
@@ -78,7 +78,7 @@
 		return err
 	}
 	holdups := holdup.Watch(ctx, p.log)
-	metricsServer := metrics.ServeRole(p.dispatcher.settings, p.log, func() []metrics.Figure {
+	metricsServer := metrics.ServeRole(p.dispatcher.settings, p.log, func() []metrics.Metric {
 		return append(p.dispatcher.collectMetrics(), holdups.Figures()...)
 	})
 	defer func() { _ = metricsServer.Close() }()
--- a/internal/lab/ops.go
+++ b/internal/lab/ops.go
@@ -166,7 +166,7 @@
 		return fmt.Errorf("figures: %d, %w", status, err)
 	}
 	after := l.ends()
-	var got ops.Figures
+	var got ops.Stats
 	if err := json.Unmarshal(text, &got); err != nil {
 		return err
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -26,7 +26,7 @@
 )
 
 // Figure is one number that a process tells of itself.
-type Figure struct {
+type Metric struct {
 	Name  string // in lower case with underscores; one that only grows ends in _total
 	Help  string // one line
 	Value uint64
@@ -39,7 +39,7 @@
 
 // Serve listens on an address, host:port, and answers GET Path with what figures returns then. The error names the address where it
 // can't be listened on. figures is called from several goroutines.
-func Serve(address string, figures func() []Figure) (*Server, error) {
+func Serve(address string, figures func() []Metric) (*Server, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "metrics: listen on %s; free the port or name another one", address)
@@ -53,7 +53,7 @@
 
 // ServeRole serves the figures of a role at the port that the command line names. A process that can't tell its figures works on: the
 // cause is logged, and the server is nil, as it is where no port is named.
-func ServeRole(role *settings.Settings, log logr.Logger, figures func() []Figure) *Server {
+func ServeRole(role *settings.Settings, log logr.Logger, figures func() []Metric) *Server {
 	port := role.MetricsPort
 	if port == 0 {
 		return nil
@@ -78,14 +78,14 @@
 }
 
 // Handler answers with what figures returns at that moment.
-func Handler(figures func() []Figure) http.Handler {
+func Handler(figures func() []Metric) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Type", "text/plain; version=0.0.4")
 		_, _ = writer.Write(encode(figures()))
 	})
 }
 
-func encode(figures []Figure) []byte {
+func encode(figures []Metric) []byte {
 	var text bytes.Buffer
 	for _, figure := range figures {
 		fmt.Fprintf(&text, "# HELP %s %s\n%s %d\n", figure.Name, figure.Help, figure.Name, figure.Value)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -24,9 +24,9 @@
 func TestFiguresAreServedAsTheyAreWhenAskedFor(t *testing.T) {
 	value := uint64(6)
 	address := freeAddress(t)
-	server, err := Serve(address, func() []Figure {
+	server, err := Serve(address, func() []Metric {
 		value++
-		return []Figure{{Name: "messages_queued", Help: "not ended", Value: value}, {Name: "lookups_total", Help: "asked", Value: 1}}
+		return []Metric{{Name: "messages_queued", Help: "not ended", Value: value}, {Name: "lookups_total", Help: "asked", Value: 1}}
 	})
 	must.NoError(t, err)
 	defer func() { must.NoError(t, server.Close()) }()
@@ -42,10 +42,10 @@
 
 func TestAddressInUseIsNamed(t *testing.T) {
 	address := freeAddress(t)
-	first, err := Serve(address, func() []Figure { return nil })
+	first, err := Serve(address, func() []Metric { return nil })
 	must.NoError(t, err)
 	defer func() { must.NoError(t, first.Close()) }()
-	_, err = Serve(address, func() []Figure { return nil })
+	_, err = Serve(address, func() []Metric { return nil })
 	must.ErrorContains(t, err, address)
 }
 
@@ -61,7 +61,7 @@
 	must.NoError(t, err)
 	port, err := strconv.Atoi(text)
 	must.NoError(t, err)
-	none := func() []Figure { return nil }
+	none := func() []Metric { return nil }
 	for name, role := range map[string]*settings.Settings{
 		"front":     {Listen: settings.Listen{Front: "10.0.0.1:" + text}},
 		"ready":     {Listen: settings.Listen{Ready: "10.0.0.1:" + text}},
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -33,23 +33,23 @@
 
 // Audit says how the dispatcher keeps account of what it acted on.
 type Audit struct {
-	Folder  string // for its record; empty for memory only
-	Version int64  // of the configuration, stated by the operators; 0 for none
-	Files   int    // that are kept
-	FileMB  int    // of each
-	BringUp bool   // a newer configuration is taken from members that act on it
+	Folder           string // for its record; empty for memory only
+	ConfigVersion    int64  // of the configuration, stated by the operators; 0 for none
+	MaxFiles         int    // that are kept
+	MaxFileMB        int    // of each
+	AdoptNewerConfig bool   // a newer configuration is taken from members that act on it
 }
 
 // Fleet says how the dispatcher is a member of its fleet.
 type Fleet struct {
-	Name      string         // that all its members say
-	Listen    netip.AddrPort // for datagrams and connections of other members
-	Advertise netip.AddrPort // where they find this one; the zero value for Listen
-	Seeds     []string       // host:port of some members
-	Allow     []netip.Prefix // of members; empty for loopback and private addresses
-	Probe     time.Duration  // between two questions to a member
-	Lease     time.Duration  // for which the dispatcher may act without touch with the fleet; 0 for any time
-	Routes    string         // what the members call the source of route sets, where its address differs among them; empty for its address
+	Name            string         // that all its members say
+	Listen          netip.AddrPort // for datagrams and connections of other members
+	Advertise       netip.AddrPort // where they find this one; the zero value for Listen
+	Seeds           []string       // host:port of some members
+	AllowedPrefixes []netip.Prefix // of members; empty for loopback and private addresses
+	ProbeInterval   time.Duration  // between two questions to a member
+	Lease           time.Duration  // for which the dispatcher may act without touch with the fleet; 0 for any time
+	RouteSource     string         // what the members call the source of route sets, where its address differs among them; empty for its address
 }
 
 // Control is the control socket.
@@ -59,15 +59,15 @@
 
 // Upgrade says how the dispatcher replaces itself. It needs the control socket.
 type Upgrade struct {
-	Binary    string        // of the new process; empty for the path that this one was started from
-	Start     time.Duration // for the new process to say hello, and again to take up a first snapshot
-	Probation time.Duration // for which it follows before it takes over
-	Hold      time.Duration // for this process to come to rest
-	Offer     time.Duration // for the new process to take everything up
-	Commit    time.Duration // for it to act
-	Strict    bool          // other decisions than this process's while it follows are a reason to fall back
-	KeepPID   bool          // a small first process stays, so that a supervisor sees one PID for ever
-	PIDFile   string        // rewritten at each upgrade; empty for none
+	Binary               string        // of the new process; empty for the path that this one was started from
+	StartTimeout         time.Duration // for the new process to say hello, and again to take up a first snapshot
+	Probation            time.Duration // for which it follows before it takes over
+	HoldTimeout          time.Duration // for this process to come to rest
+	TransferTimeout      time.Duration // for the new process to take everything up
+	CommitTimeout        time.Duration // for it to act
+	RequireSameDecisions bool          // other decisions than this process's while it follows are a reason to fall back
+	KeepPID              bool          // a small first process stays, so that a supervisor sees one PID for ever
+	PIDFile              string        // rewritten at each upgrade; empty for none
 }
 
 // Log says how the log is written.
@@ -77,8 +77,8 @@
 
 // Default is what an empty operator file says.
 func Default() Config {
-	return Config{Upgrade: Upgrade{Start: 10 * time.Second, Probation: 1500 * time.Millisecond, Hold: 150 * time.Millisecond,
-		Offer: 300 * time.Millisecond, Commit: 100 * time.Millisecond}, Log: Log{Format: "text"}}
+	return Config{Upgrade: Upgrade{StartTimeout: 10 * time.Second, Probation: 1500 * time.Millisecond, HoldTimeout: 150 * time.Millisecond,
+		TransferTimeout: 300 * time.Millisecond, CommitTimeout: 100 * time.Millisecond}, Log: Log{Format: "text"}}
 }
 
 // file is the format of the operator file.
@@ -87,38 +87,38 @@
 		Socket *string `hcl:"socket"`
 	} `hcl:"control,block"`
 	Upgrade *struct {
-		Binary    *string `hcl:"binary"`
-		Start     *string `hcl:"start_within"`
-		Probation *string `hcl:"probation"`
-		Hold      *string `hcl:"hold_at_most"`
-		Offer     *string `hcl:"take_within"`
-		Commit    *string `hcl:"act_within"`
-		Strict    *bool   `hcl:"same_decisions"`
-		KeepPID   *bool   `hcl:"keep_pid"`
-		PIDFile   *string `hcl:"pid_file"`
+		Binary               *string `hcl:"binary"`
+		StartTimeout         *string `hcl:"start_within"`
+		Probation            *string `hcl:"probation"`
+		HoldTimeout          *string `hcl:"hold_at_most"`
+		TransferTimeout      *string `hcl:"take_within"`
+		CommitTimeout        *string `hcl:"act_within"`
+		RequireSameDecisions *bool   `hcl:"same_decisions"`
+		KeepPID              *bool   `hcl:"keep_pid"`
+		PIDFile              *string `hcl:"pid_file"`
 	} `hcl:"upgrade,block"`
 	Log *struct {
 		Format *string `hcl:"format"`
 	} `hcl:"log,block"`
 	Fleet *fleetFile `hcl:"fleet,block"`
 	Audit *struct {
-		Folder  *string `hcl:"folder"`
-		Version *int64  `hcl:"version"`
-		Files   *int    `hcl:"files"`
-		FileMB  *int    `hcl:"file_mb"`
-		BringUp *bool   `hcl:"bring_up"`
+		Folder           *string `hcl:"folder"`
+		ConfigVersion    *int64  `hcl:"version"`
+		MaxFiles         *int    `hcl:"files"`
+		MaxFileMB        *int    `hcl:"file_mb"`
+		AdoptNewerConfig *bool   `hcl:"bring_up"`
 	} `hcl:"audit,block"`
 }
 
 type fleetFile struct {
-	Name      *string   `hcl:"name"`
-	Listen    *string   `hcl:"listen"`
-	Advertise *string   `hcl:"advertise"`
-	Seeds     *[]string `hcl:"seeds"`
-	Allow     *[]string `hcl:"allow"`
-	Probe     *string   `hcl:"probe_every"`
-	Lease     *string   `hcl:"lease"`
-	Routes    *string   `hcl:"routes"`
+	Name            *string   `hcl:"name"`
+	Listen          *string   `hcl:"listen"`
+	Advertise       *string   `hcl:"advertise"`
+	Seeds           *[]string `hcl:"seeds"`
+	AllowedPrefixes *[]string `hcl:"allow"`
+	ProbeInterval   *string   `hcl:"probe_every"`
+	Lease           *string   `hcl:"lease"`
+	RouteSource     *string   `hcl:"routes"`
 }
 
 // Load reads an operator file.
@@ -184,17 +184,17 @@
 	if x := f.Upgrade; x != nil {
 		full(x.Binary, &c.Upgrade.Binary)
 		full(x.PIDFile, &c.Upgrade.PIDFile)
-		duration("upgrade.start_within", x.Start, &c.Upgrade.Start, 100*time.Millisecond, 10*time.Minute)
+		duration("upgrade.start_within", x.StartTimeout, &c.Upgrade.StartTimeout, 100*time.Millisecond, 10*time.Minute)
 		duration("upgrade.probation", x.Probation, &c.Upgrade.Probation, 10*time.Millisecond, 10*time.Minute)
-		duration("upgrade.hold_at_most", x.Hold, &c.Upgrade.Hold, 10*time.Millisecond, time.Second)
-		duration("upgrade.take_within", x.Offer, &c.Upgrade.Offer, 10*time.Millisecond, time.Second)
-		duration("upgrade.act_within", x.Commit, &c.Upgrade.Commit, 10*time.Millisecond, time.Second)
+		duration("upgrade.hold_at_most", x.HoldTimeout, &c.Upgrade.HoldTimeout, 10*time.Millisecond, time.Second)
+		duration("upgrade.take_within", x.TransferTimeout, &c.Upgrade.TransferTimeout, 10*time.Millisecond, time.Second)
+		duration("upgrade.act_within", x.CommitTimeout, &c.Upgrade.CommitTimeout, 10*time.Millisecond, time.Second)
 		// Danger: a drain that is told while everything is held is known only afterwards, and must be within 750 ms.
-		if sum := c.Upgrade.Hold + c.Upgrade.Offer + c.Upgrade.Commit; sum > mostHeld {
+		if sum := c.Upgrade.HoldTimeout + c.Upgrade.TransferTimeout + c.Upgrade.CommitTimeout; sum > mostHeld {
 			fault("upgrade", "hold_at_most, take_within and act_within are %v together, %v at most: drains must be kept meanwhile", sum, mostHeld)
 		}
-		if x.Strict != nil {
-			c.Upgrade.Strict = *x.Strict
+		if x.RequireSameDecisions != nil {
+			c.Upgrade.RequireSameDecisions = *x.RequireSameDecisions
 		}
 		if x.KeepPID != nil {
 			c.Upgrade.KeepPID = *x.KeepPID
@@ -211,17 +211,17 @@
 	if x := f.Fleet; x != nil {
 		c.Fleet = x.read(fault)
 		duration("fleet.lease", x.Lease, &c.Fleet.Lease, 3*time.Second, time.Hour)
-		duration("fleet.probe_every", x.Probe, &c.Fleet.Probe, 50*time.Millisecond, time.Minute)
+		duration("fleet.probe_every", x.ProbeInterval, &c.Fleet.ProbeInterval, 50*time.Millisecond, time.Minute)
 	}
 	if x := f.Audit; x != nil {
-		c.Audit = &Audit{Files: 16, FileMB: 4, BringUp: true}
-		if x.BringUp != nil {
-			c.Audit.BringUp = *x.BringUp
+		c.Audit = &Audit{MaxFiles: 16, MaxFileMB: 4, AdoptNewerConfig: true}
+		if x.AdoptNewerConfig != nil {
+			c.Audit.AdoptNewerConfig = *x.AdoptNewerConfig
 		}
 		full(x.Folder, &c.Audit.Folder)
-		if x.Version != nil {
-			if c.Audit.Version = *x.Version; c.Audit.Version < 0 || c.Audit.Version > 1<<62 {
-				fault("audit.version", "%d is not from 0 to %d", c.Audit.Version, int64(1)<<62)
+		if x.ConfigVersion != nil {
+			if c.Audit.ConfigVersion = *x.ConfigVersion; c.Audit.ConfigVersion < 0 || c.Audit.ConfigVersion > 1<<62 {
+				fault("audit.version", "%d is not from 0 to %d", c.Audit.ConfigVersion, int64(1)<<62)
 			}
 		}
 		whole := func(key string, from *int, to *int, most int) {
@@ -232,8 +232,8 @@
 				fault(key, "%d is not from 1 to %d", *to, most)
 			}
 		}
-		whole("audit.files", x.Files, &c.Audit.Files, 10000)
-		whole("audit.file_mb", x.FileMB, &c.Audit.FileMB, 1024)
+		whole("audit.files", x.MaxFiles, &c.Audit.MaxFiles, 10000)
+		whole("audit.file_mb", x.MaxFileMB, &c.Audit.MaxFileMB, 1024)
 	}
 	return c, errors.Join(faults...)
 }
@@ -248,7 +248,7 @@
 // read checks the fleet block. Danger: whoever reaches the listener may speak as a member, so beyond loopback and private
 // addresses its peers must be named.
 func (x *fleetFile) read(fault func(key, format string, args ...any)) *Fleet {
-	f := &Fleet{Probe: 500 * time.Millisecond}
+	f := &Fleet{ProbeInterval: 500 * time.Millisecond}
 	address := func(key string, from *string, to *netip.AddrPort) {
 		if from == nil {
 			return
@@ -271,9 +271,9 @@
 	}
 	address("fleet.listen", x.Listen, &f.Listen)
 	address("fleet.advertise", x.Advertise, &f.Advertise)
-	if x.Routes != nil {
-		if f.Routes = *x.Routes; len(f.Routes) > 2*mostName {
-			fault("fleet.routes", "%d bytes, %d at most", len(f.Routes), 2*mostName)
+	if x.RouteSource != nil {
+		if f.RouteSource = *x.RouteSource; len(f.RouteSource) > 2*mostName {
+			fault("fleet.routes", "%d bytes, %d at most", len(f.RouteSource), 2*mostName)
 		}
 	}
 	if x.Seeds != nil {
@@ -287,23 +287,23 @@
 			fault("fleet.seeds", "%q is not host:port", s)
 		}
 	}
-	if x.Allow != nil {
-		for _, text := range *x.Allow {
+	if x.AllowedPrefixes != nil {
+		for _, text := range *x.AllowedPrefixes {
 			p, err := netip.ParsePrefix(text)
 			if err != nil {
 				fault("fleet.allow", "%q is not an address set such as \"10.0.0.0/24\"", text)
 				continue
 			}
-			f.Allow = append(f.Allow, p)
+			f.AllowedPrefixes = append(f.AllowedPrefixes, p)
 		}
 	}
 	switch at := f.Listen.Addr(); {
-	case len(f.Allow) > mostAllow:
-		fault("fleet.allow", "%d, %d at most", len(f.Allow), mostAllow)
+	case len(f.AllowedPrefixes) > mostAllow:
+		fault("fleet.allow", "%d, %d at most", len(f.AllowedPrefixes), mostAllow)
 	case !at.IsValid():
 	case at.IsUnspecified() && !f.Advertise.IsValid():
 		fault("fleet.listen", "%v is every address, so advertise must name one", at)
-	case len(f.Allow) == 0 && !at.IsLoopback() && !at.IsPrivate():
+	case len(f.AllowedPrefixes) == 0 && !at.IsLoopback() && !at.IsPrivate():
 		fault("fleet.listen", "%v is neither loopback nor private, so allow must name the members", at)
 	}
 	return f
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -25,7 +25,7 @@
 	}
 	want := Default()
 	want.Control.Socket = "/etc/foldlb/control.sock"
-	want.Upgrade.Binary, want.Upgrade.Probation, want.Upgrade.Strict, want.Upgrade.KeepPID = "/opt/foldlb", 3*time.Second, true, true
+	want.Upgrade.Binary, want.Upgrade.Probation, want.Upgrade.RequireSameDecisions, want.Upgrade.KeepPID = "/opt/foldlb", 3*time.Second, true, true
 	want.Log.Format = "json"
 	if !reflect.DeepEqual(c, want) {
 		t.Errorf("read as %+v, want %+v", c, want)
@@ -85,7 +85,7 @@
 // TestHoldsAreBounded: everything that may stand still must come to less than a drain's grace.
 func TestHoldsAreBounded(t *testing.T) {
 	d := Default().Upgrade
-	if sum := d.Hold + d.Offer + d.Commit; sum > mostHeld {
+	if sum := d.HoldTimeout + d.TransferTimeout + d.CommitTimeout; sum > mostHeld {
 		t.Errorf("the defaults hold for %v", sum)
 	}
 	_, err := Parse([]byte("control { socket = \"a\" }\n\nupgrade {\n take_within = \"500ms\"\n}"), "op.hcl")
--- a/internal/ops/call.go
+++ b/internal/ops/call.go
@@ -19,18 +19,18 @@
 
 // The kinds of calls.
 const (
-	Readiness Kind = iota
-	Stats
-	WorkerDown
-	WorkerUp
-	DrainStart
-	DrainStop
+	KindReadiness Kind = iota
+	KindStats
+	KindWorkerDown
+	KindWorkerUp
+	KindDrainStart
+	KindDrainStop
 )
 
 // Call is a well-formed call.
 type Call struct {
 	Kind   Kind
-	Worker core.WorkerID // of WorkerDown and WorkerUp
+	Worker core.WorkerID // of KindWorkerDown and KindWorkerUp
 }
 
 // Bounds of a call.
@@ -45,12 +45,12 @@
 	method string
 	kind   Kind
 }{
-	"/ops/readiness":          {fasthttp.MethodGet, Readiness},
-	"/ops/stats":              {fasthttp.MethodGet, Stats},
-	"/ops/quote-workers/down": {fasthttp.MethodPost, WorkerDown},
-	"/ops/quote-workers/up":   {fasthttp.MethodPost, WorkerUp},
-	"/ops/drain/start":        {fasthttp.MethodPost, DrainStart},
-	"/ops/drain/stop":         {fasthttp.MethodPost, DrainStop},
+	"/ops/readiness":          {fasthttp.MethodGet, KindReadiness},
+	"/ops/stats":              {fasthttp.MethodGet, KindStats},
+	"/ops/quote-workers/down": {fasthttp.MethodPost, KindWorkerDown},
+	"/ops/quote-workers/up":   {fasthttp.MethodPost, KindWorkerUp},
+	"/ops/drain/start":        {fasthttp.MethodPost, KindDrainStart},
+	"/ops/drain/stop":         {fasthttp.MethodPost, KindDrainStop},
 }
 
 // Answer is what a call is told.
@@ -73,7 +73,7 @@
 		return Call{}, line(fasthttp.StatusNotFound, "no such call: %.100q", path), false
 	case method != r.method:
 		return Call{}, line(fasthttp.StatusMethodNotAllowed, "%s is called by %s", path, r.method), false
-	case r.kind != WorkerDown && r.kind != WorkerUp:
+	case r.kind != KindWorkerDown && r.kind != KindWorkerUp:
 		return Call{Kind: r.kind}, Answer{}, true
 	}
 	id := bytes.TrimSpace(body)
--- a/internal/ops/door.go
+++ b/internal/ops/door.go
@@ -30,17 +30,17 @@
 )
 
 // Node is the dispatcher behind the door.
-type Node struct {
-	Ready   func() error     // nil where this process serves; else why not
-	Figures func() Figures   // of published state: it must never wait
-	Post    func(core.Event) // takes an order, ahead of traffic
+type Backend struct {
+	Ready func() error     // nil where this process serves; else why not
+	Stats func() Stats     // of published state: it must never wait
+	Post  func(core.Event) // takes an order, ahead of traffic
 }
 
 // Door serves operators. Its zero value is not ready for use: see New.
-type Door struct {
+type AdminServer struct {
 	ln   *net.TCPListener
 	log  logrus.FieldLogger
-	node atomic.Pointer[Node] // nil until there is a dispatcher
+	node atomic.Pointer[Backend] // nil until there is a dispatcher
 
 	running, left atomic.Bool
 
@@ -55,7 +55,7 @@
 type caller struct {
 	*net.TCPConn
 	raw   syscall.RawConn
-	door  *Door
+	door  *AdminServer
 	since time.Time
 
 	// Guarded by door.mu.
@@ -63,7 +63,7 @@
 	awaits bool // all that came has been read, and the call is not whole
 }
 
-func (d *Door) newCaller(connection *net.TCPConn) (*caller, error) {
+func (d *AdminServer) newCaller(connection *net.TCPConn) (*caller, error) {
 	raw, err := connection.SyscallConn()
 	if err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 }
 
 // Listen opens the door at an address. Until Open, readiness is denied and there are no figures.
-func Listen(addr string, log logrus.FieldLogger) (*Door, error) {
+func Listen(addr string, log logrus.FieldLogger) (*AdminServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -109,33 +109,33 @@
 }
 
 // New makes a door of a listener.
-func New(ln *net.TCPListener, log logrus.FieldLogger) *Door {
-	d := &Door{ln: ln, log: log, conns: map[*caller]struct{}{}, orders: map[core.OrderID]chan core.OrderFault{}}
+func New(ln *net.TCPListener, log logrus.FieldLogger) *AdminServer {
+	d := &AdminServer{ln: ln, log: log, conns: map[*caller]struct{}{}, orders: map[core.OrderID]chan core.OrderFault{}}
 	d.moved.L = &d.mu
 	return d
 }
 
 // Addr is where the door listens.
-func (d *Door) Addr() string { return d.ln.Addr().String() }
+func (d *AdminServer) Addr() string { return d.ln.Addr().String() }
 
 // FD calls f with the listener's descriptor.
-func (d *Door) FD(f func(fd int)) error { return hold.FD(d.ln, f) }
+func (d *AdminServer) FD(f func(fd int)) error { return hold.FD(d.ln, f) }
 
 // Open puts a dispatcher behind the door.
-func (d *Door) Open(n Node) { d.node.Store(&n) }
+func (d *AdminServer) SetBackend(n Backend) { d.node.Store(&n) }
 
 // Leave says that another process answers from now on: calls that still come here end without a word. Danger: what this
 // one would say is no longer true, and its orders would never be in force.
-func (d *Door) Leave() {
+func (d *AdminServer) Detach() {
 	d.left.Store(true)
 	d.ln.Close()
 }
 
 // Close closes the door. Calls that were read are answered.
-func (d *Door) Close() error { return d.ln.Close() }
+func (d *AdminServer) Close() error { return d.ln.Close() }
 
 // Run takes calls until the door is closed. A second call of it does nothing.
-func (d *Door) Run() {
+func (d *AdminServer) Run() {
 	if d.running.Swap(true) {
 		return
 	}
@@ -161,7 +161,7 @@
 }
 
 // admit counts a caller. Where all places are taken another one yields its place first.
-func (d *Door) admit(c *caller) {
+func (d *AdminServer) admit(c *caller) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for len(d.conns) >= mostCallers {
@@ -179,7 +179,7 @@
 // yielding returns the caller that has gone longest without finishing its call. Where all calls have been read it is the oldest caller;
 // where none can be told while calls that have come in are still being read, there is none. The lock is held.
 // Danger: callers that say nothing must not keep out those that do, nor push out one whose call was not read yet.
-func (d *Door) yielding() (out *caller, found bool) {
+func (d *AdminServer) yielding() (out *caller, found bool) {
 	reading := false
 	for c := range d.conns {
 		silent := c.awaits && tcp.Silent(c.TCPConn)
@@ -194,7 +194,7 @@
 	return out, out != nil && !(out.heard && reading)
 }
 
-func (d *Door) leave(c *caller) {
+func (d *AdminServer) leave(c *caller) {
 	c.Close()
 	d.mu.Lock()
 	delete(d.conns, c)
@@ -203,7 +203,7 @@
 }
 
 // serve reads the one call of a connection and answers it.
-func (d *Door) serve(c *caller) {
+func (d *AdminServer) serve(c *caller) {
 	c.SetDeadline(c.since.Add(readWait))
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -242,7 +242,7 @@
 	}
 }
 
-func (d *Door) answer(method, target string, body []byte) Answer {
+func (d *AdminServer) answer(method, target string, body []byte) Answer {
 	call, a, ok := parse(method, target, body)
 	if !ok {
 		return a
@@ -252,19 +252,19 @@
 		return line(fasthttp.StatusServiceUnavailable, "this process does not serve yet")
 	}
 	switch call.Kind {
-	case Readiness:
+	case KindReadiness:
 		if err := n.Ready(); err != nil {
 			return line(fasthttp.StatusServiceUnavailable, "%v", err)
 		}
 		return line(fasthttp.StatusOK, "ready")
-	case Stats:
-		return n.Figures().answer()
+	case KindStats:
+		return n.Stats().answer()
 	}
 	return d.order(n, call)
 }
 
 // order passes an order on and waits until it is in force.
-func (d *Door) order(n *Node, call Call) Answer {
+func (d *AdminServer) order(n *Backend, call Call) Answer {
 	done := make(chan core.OrderFault, 1)
 	d.mu.Lock()
 	d.last++
@@ -295,15 +295,15 @@
 
 func event(call Call, id core.OrderID) core.Event {
 	switch call.Kind {
-	case WorkerDown, WorkerUp:
-		return core.BanOrdered{Order: id, Worker: call.Worker, Lift: call.Kind == WorkerUp}
+	case KindWorkerDown, KindWorkerUp:
+		return core.BanOrdered{Order: id, Worker: call.Worker, Lift: call.Kind == KindWorkerUp}
 	default:
-		return core.DrainOrdered{Order: id, End: call.Kind == DrainStop}
+		return core.DrainOrdered{Order: id, End: call.Kind == KindDrainStop}
 	}
 }
 
 // Ordered tells whoever waits for an order how it went. It does not block.
-func (d *Door) Ordered(o core.Ordered) {
+func (d *AdminServer) Ordered(o core.Ordered) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if done := d.orders[o.Order]; done != nil {
--- a/internal/ops/door_test.go
+++ b/internal/ops/door_test.go
@@ -23,7 +23,7 @@
 const patience = 10 * time.Second // for what must come; nothing is timed
 
 // open makes a door with a node whose orders come out of the channel.
-func open(t *testing.T) (*Door, chan core.Event) {
+func open(t *testing.T) (*AdminServer, chan core.Event) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -34,17 +34,17 @@
 	go d.Run()
 	t.Cleanup(func() { d.Close() })
 	posted := make(chan core.Event)
-	d.Open(Node{
+	d.SetBackend(Backend{
 		Ready: func() error { return nil },
-		Figures: func() Figures {
-			return FiguresOf(map[string]clientconn.Tally{"c": {Served: 3, Failed: 1}, "d": {}}, 7, 9, core.View{Known: 5, Excluded: 2})
+		Stats: func() Stats {
+			return NewStats(map[string]clientconn.Tally{"c": {Served: 3, Failed: 1}, "d": {}}, 7, 9, core.View{Known: 5, Excluded: 2})
 		},
 		Post: func(ev core.Event) { posted <- ev },
 	})
 	return d, posted
 }
 
-func dial(t *testing.T, d *Door) net.Conn {
+func dial(t *testing.T, d *AdminServer) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", d.Addr())
 	if err != nil {
@@ -56,7 +56,7 @@
 }
 
 // say writes a text to the door and reads the answer, which must be the connection's last.
-func say(t *testing.T, d *Door, text string) (status int, body string) {
+func say(t *testing.T, d *AdminServer, text string) (status int, body string) {
 	t.Helper()
 	c := dial(t, d)
 	if _, err := io.WriteString(c, text); err != nil {
@@ -160,7 +160,7 @@
 			t.Errorf("%q: %d %q", call, status, body)
 		}
 	}
-	d.Open(Node{Ready: func() error { return errors.New("ending") }})
+	d.SetBackend(Backend{Ready: func() error { return errors.New("ending") }})
 	if status, body := say(t, d, "GET /ops/readiness HTTP/1.1\r\nHost: h\r\n\r\n"); status != 503 || body != "ending\n" {
 		t.Errorf("%d %q", status, body)
 	}
@@ -181,7 +181,7 @@
 			break
 		}
 	}
-	d.Leave()
+	d.Detach()
 	io.WriteString(half, "TP/1.1\r\nHost: h\r\n\r\n")
 	for _, x := range []net.Conn{c, half} {
 		if n, err := x.Read(make([]byte, 1)); n > 0 || err == nil {
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -12,7 +12,7 @@
 const watchPeriod = 2 * time.Second
 
 // Hangups returns a channel that tells of SIGHUP from now on; without one, the signal ends the process. The function ends that.
-func Hangups() (hangups <-chan os.Signal, stop func()) {
+func NotifyHangup() (hangups <-chan os.Signal, stop func()) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	return signals, func() { signal.Stop(signals) }
--- a/internal/storenode/metrics.go
+++ b/internal/storenode/metrics.go
@@ -19,14 +19,14 @@
 }
 
 // metricValues returns the metrics of this store.
-func (n *Node) metricValues() []metrics.Figure {
+func (n *Node) metricValues() []metrics.Metric {
 	var known, queued, ownedEnded, underCopiedEnded, bytes uint64
 	n.do(func() {
 		known, queued = uint64(n.table.Len()), uint64(n.table.Queued())
 		ownedEnded, underCopiedEnded = n.countEnded()
 		bytes = uint64(n.file.Size())
 	})
-	return []metrics.Figure{
+	return []metrics.Metric{
 		{Name: "foldlb_store_messages_queued", Help: "messages known here that have not ended", Value: queued},
 		{Name: "foldlb_store_messages_ended", Help: "messages known here whose end is remembered", Value: known - queued},
 		{Name: "foldlb_store_owned_ended", Help: "ended messages of partitions that this store owns", Value: ownedEnded},
--- a/internal/storenode/metrics_test.go
+++ b/internal/storenode/metrics_test.go
@@ -11,7 +11,7 @@
 )
 
 // metricNamed returns the value of the named metric.
-func metricNamed(t *testing.T, values []metrics.Figure, name string) uint64 {
+func metricNamed(t *testing.T, values []metrics.Metric, name string) uint64 {
 	for _, value := range values {
 		if value.Name == name {
 			return value.Value
--- a/internal/storenode/node.go
+++ b/internal/storenode/node.go
@@ -138,7 +138,7 @@
 	go func() { _ = server.Serve(listener) }()
 	n.Start()
 	holdups := holdup.Watch(ctx, n.log)
-	metricsServer := metrics.ServeRole(s, log, func() []metrics.Figure { return append(n.metricValues(), holdups.Figures()...) })
+	metricsServer := metrics.ServeRole(s, log, func() []metrics.Metric { return append(n.metricValues(), holdups.Figures()...) })
 	defer func() { _ = metricsServer.Close() }()
 	n.log.Info("store started", "node", s.Node, "disk", n.disk, "incarnation", n.incarnation, "messages", n.table.Len())
 	select {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -306,7 +306,7 @@
 	if m.err != nil {
 		return m.err
 	}
-	s, err := config.Settings([]byte(m.values[2]))
+	s, err := config.ParseSettings([]byte(m.values[2]))
 	if err != nil {
 		m.fail(2, err.Error())
 		return m.err
