--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where a dispatcher's configuration is read, checked and given defaults.
-// Its errors name the faulty key.
+// Package config reads and validates a dispatcher's configuration and sets its defaults. Errors name the
+// faulty key.
 package config
 
 import (
@@ -18,34 +18,34 @@
 	"foldlb.example/foldlb/internal/routeset"
 )
 
-// Config is all that a dispatcher is told at its start.
+// Config is the configuration that a dispatcher starts with.
 type Config struct {
 	Name        string
 	Listen      string
 	Discovery   string
-	Mgmt        string // where operators call; empty for nowhere
+	Mgmt        string // host:port of the admin HTTP interface; empty if there is none
 	Limits      core.Limits
-	KnownRoutes core.RouteSet // as this dispatcher last held it; may be old
+	KnownRoutes core.RouteSet // the last route set known to this dispatcher; may be outdated
 	Settings    choice.Settings
 
-	raw []byte // the settings as they were read
+	rawSettings []byte // the settings object as JSON, including unknown keys
 }
 
-// The defaults of what may be absent, and the least that a dispatcher runs with.
+// Defaults of optional keys, and the minimum limits that a dispatcher runs with.
 const (
-	defaultCores       = 1.0
-	defaultMemoryMB    = 192
-	defaultSockets     = 1024
-	defaultDialTimeout = 0.25 // seconds
-	defaultIdleClose   = 5.0
-	leastMemoryMB      = 32
-	leastSockets       = 128
+	defaultCores        = 1.0
+	defaultMemoryMB     = 192
+	defaultSockets      = 1024
+	defaultDialTimeoutS = 0.25
+	defaultIdleCloseS   = 5.0
+	minMemoryMB         = 32
+	minSockets          = 128
 )
 
 const envDiscovery = "NODE_DISCOVERY"
 
-// file is NODE_CONFIG's format. Keys it does not name are skipped.
-type file struct {
+// configFile is the JSON format of the file that NODE_CONFIG names. Unknown keys are ignored.
+type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -60,8 +60,8 @@
 	Settings    jsoniter.RawMessage `json:"settings"`
 }
 
-// Load reads the file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_MGMT, where
-// they are set, stand above the file.
+// Load reads and validates the file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and
+// NODE_MGMT override the file's values if they are set.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -74,8 +74,8 @@
 	return Parse(text, getenv)
 }
 
-// Reload reads the file again. Danger: NODE_DISCOVERY still holds the address of the start, and standing above
-// the file it would hide the new one.
+// Reload reads the file again and ignores NODE_DISCOVERY: that variable still holds the address given at the
+// start of the process, and would override a new address in the file.
 func Reload(getenv func(string) string) (Config, error) {
 	return Load(func(name string) string {
 		if name == envDiscovery {
@@ -85,7 +85,7 @@
 	})
 }
 
-// KeysNeedingRestart names the keys that differ between two configurations and that a reload does not change.
+// KeysNeedingRestart returns the keys that differ between two configurations and that a reload does not apply.
 func KeysNeedingRestart(old, now Config) (keys []string) {
 	for _, k := range []struct {
 		name string
@@ -103,9 +103,9 @@
 	return keys
 }
 
-// Parse reads a configuration's text.
+// Parse reads and validates a configuration from JSON. The environment overrides values as in Load.
 func Parse(text []byte, getenv func(string) string) (Config, error) {
-	f := file{}
+	f := configFile{}
 	f.Limits.Cores, f.Limits.MemoryMB, f.Limits.Sockets = defaultCores, defaultMemoryMB, defaultSockets
 	if err := decode(text, &f); err != nil {
 		return Config{}, fmt.Errorf("NODE_CONFIG: not a configuration object: %w", err)
@@ -119,24 +119,24 @@
 			*v.to = x
 		}
 	}
-	if err := checkAddr(c.Listen); err != nil {
+	if err := checkHostPort(c.Listen); err != nil {
 		return c, fmt.Errorf("listen: %w", err)
 	}
-	if err := checkAddr(c.Discovery); err != nil {
+	if err := checkHostPort(c.Discovery); err != nil {
 		return c, fmt.Errorf("discovery: %w", err)
 	}
 	if c.Mgmt != "" {
-		if err := checkAddr(c.Mgmt); err != nil {
+		if err := checkHostPort(c.Mgmt); err != nil {
 			return c, fmt.Errorf("mgmt: %w", err)
 		}
 	}
 	switch {
 	case c.Limits.Cores <= 0:
-		return c, fmt.Errorf("limits.cores: %v is not above 0", c.Limits.Cores)
-	case c.Limits.MemoryMB < leastMemoryMB:
-		return c, fmt.Errorf("limits.memory_mb: %d, at least %d are needed", c.Limits.MemoryMB, leastMemoryMB)
-	case c.Limits.Sockets < leastSockets:
-		return c, fmt.Errorf("limits.sockets: %d, at least %d are needed", c.Limits.Sockets, leastSockets)
+		return c, fmt.Errorf("limits.cores: %v must be above 0", c.Limits.Cores)
+	case c.Limits.MemoryMB < minMemoryMB:
+		return c, fmt.Errorf("limits.memory_mb: %d is below the minimum of %d", c.Limits.MemoryMB, minMemoryMB)
+	case c.Limits.Sockets < minSockets:
+		return c, fmt.Errorf("limits.sockets: %d is below the minimum of %d", c.Limits.Sockets, minSockets)
 	}
 	if len(f.KnownRoutes) > 0 && string(f.KnownRoutes) != "null" {
 		set, err := routeset.Parse(f.KnownRoutes)
@@ -146,23 +146,23 @@
 		c.KnownRoutes = set
 	}
 	if len(f.Settings) == 0 {
-		return c, errors.New("settings: is missing")
+		return c, errors.New("settings: missing")
 	}
-	s, err := checked(f.Settings)
+	s, err := parseAndCheck(f.Settings)
 	if err != nil {
 		return c, fmt.Errorf("settings: %w", err)
 	}
 	if f.Seed != "" {
 		if s.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-			return c, fmt.Errorf("seed: %q is not a number of up to 16 hex digits", f.Seed)
+			return c, fmt.Errorf("seed: %q must be a number of up to 16 hex digits", f.Seed)
 		}
 	}
-	c.Settings, c.raw = s, f.Settings
+	c.Settings, c.rawSettings = s, f.Settings
 	return c, nil
 }
 
-// decode reads an object. json-iterator's errors name Go's fields; the standard decoder is asked again then,
-// since it names the faulty key.
+// decode reads a JSON object. After an error of json-iterator, which names Go fields, the standard decoder
+// reads the object again, because its error names the faulty key.
 func decode(text []byte, to any) error {
 	err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(text, to)
 	if err == nil {
@@ -170,48 +170,48 @@
 	}
 	var typed *json.UnmarshalTypeError
 	if errors.As(json.Unmarshal(text, to), &typed) && typed.Field != "" {
-		return fmt.Errorf("%s: a %s where %s is wanted", typed.Field, typed.Value, typed.Type)
+		return fmt.Errorf("%s: got a %s, want %s", typed.Field, typed.Value, typed.Type)
 	}
 	return err
 }
 
-// checkSettings refuses what a dispatcher could not keep its promises with.
+// checkSettings returns an error for settings with which a dispatcher can't meet its guarantees.
 func checkSettings(s choice.Settings) error {
 	switch {
 	case len(s.Classes) == 0:
-		return errors.New("classes: at least one is needed")
+		return errors.New("classes: at least one is required")
 	case s.Dispatchers < 1:
-		return fmt.Errorf("balancers: %d, at least 1 is needed", s.Dispatchers)
+		return fmt.Errorf("balancers: %d is below the minimum of 1", s.Dispatchers)
 	case s.MaxAttempts < 1:
-		return fmt.Errorf("allowed.max_attempts: %d, at least 1 is needed", s.MaxAttempts)
+		return fmt.Errorf("allowed.max_attempts: %d is below the minimum of 1", s.MaxAttempts)
 	case s.DialTimeout < 0:
-		return fmt.Errorf("allowed.dial_timeout_s: %v is below 0", s.DialTimeout)
+		return fmt.Errorf("allowed.dial_timeout_s: %v must not be negative", s.DialTimeout)
 	case s.ConnIdle < 0:
-		return fmt.Errorf("allowed.idle_close_s: %v is below 0", s.ConnIdle)
+		return fmt.Errorf("allowed.idle_close_s: %v must not be negative", s.ConnIdle)
 	}
 	seen := map[string]bool{}
 	for i, c := range s.Classes {
 		if c.Name == "" || seen[c.Name] {
-			return fmt.Errorf("classes[%d].name: %q is empty or there twice", i, c.Name)
+			return fmt.Errorf("classes[%d].name: %q is empty or a duplicate", i, c.Name)
 		}
 		if c.Stream {
-			return fmt.Errorf("classes[%d].stream: streamed answers are not served", i)
+			return fmt.Errorf("classes[%d].stream: streamed responses are not supported", i)
 		}
 		seen[c.Name] = true
 	}
 	return nil
 }
 
-func checkAddr(addr string) error {
+func checkHostPort(addr string) error {
 	if addr == "" {
-		return errors.New("is missing")
+		return errors.New("missing")
 	}
 	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
-		return fmt.Errorf("%q is not host:port: %w", addr, err)
+		return fmt.Errorf("%q must be host:port: %w", addr, err)
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-		return fmt.Errorf("%q: port %q is not a number up to 65535", addr, port)
+		return fmt.Errorf("%q: port %q must be a number up to 65535", addr, port)
 	}
 	return nil
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -6,8 +6,9 @@
 	"foldlb.example/foldlb/choice"
 )
 
-// conf is the settings object, of NODE_CONFIG and of the simulator alike. Keys it does not name are skipped.
-type conf struct {
+// settingsFile is the JSON format of the settings object, both in the NODE_CONFIG file and in the simulator.
+// Unknown keys are ignored.
+type settingsFile struct {
 	Allowed struct {
 		Cancel        bool    `json:"cancel"`
 		DialTimeout   float64 `json:"dial_timeout_s"`
@@ -86,23 +87,24 @@
 		"zone": choice.GroupZone, "cell": choice.GroupCell}
 )
 
-// defaultAskWithin is within how many seconds a list must be asked for, where the settings name no time.
-const defaultAskWithin = 10
+// defaultAskWithinS is the default, in seconds, of contract.ask_within_s: the time within which the worker
+// list must be requested.
+const defaultAskWithinS = 10
 
-// Settings reads the settings object. Absent keys take the defaults set here.
+// ParseSettings decodes the settings object. Missing keys get their defaults.
 func ParseSettings(text []byte) (choice.Settings, error) {
-	c := conf{Balancers: 1}
+	c := settingsFile{Balancers: 1}
 	c.Allowed.MaxAttempts = 1
 	c.Allowed.MaxRetryAfter = 1
-	c.Contract.AskWithin = defaultAskWithin
+	c.Contract.AskWithin = defaultAskWithinS
 	c.Contract.OverloadFactor = 1
 	c.Contract.TipAfter = 1
 	var s choice.Settings
 	if err := decode(text, &c); err != nil {
 		return s, fmt.Errorf("not a settings object: %w", err)
 	}
-	if c.Contract.AskWithin <= 0 { // danger: pauses between calls to discovery are parts of it, and none would be a storm
-		c.Contract.AskWithin = defaultAskWithin
+	if c.Contract.AskWithin <= 0 { // the pauses between discovery calls are fractions of it; 0 would flood discovery
+		c.Contract.AskWithin = defaultAskWithinS
 	}
 	s = choice.Settings{
 		Self: c.Me, Dispatchers: c.Balancers, Zone: c.Zone,
@@ -125,7 +127,7 @@
 	case "on_request":
 		s.ListOnRequest = true
 	default:
-		return s, fmt.Errorf("registry_mode: unknown word %q", c.RegistryMode)
+		return s, fmt.Errorf("registry_mode: unknown value %q", c.RegistryMode)
 	}
 	switch c.Telemetry.How {
 	case "", "on_probe":
@@ -134,7 +136,7 @@
 	case "off":
 		s.ReportFields = nil
 	default:
-		return s, fmt.Errorf("telemetry.how: unknown word %q", c.Telemetry.How)
+		return s, fmt.Errorf("telemetry.how: unknown value %q", c.Telemetry.How)
 	}
 	meaning := map[string]string{"x0": c.FamilyInfo.X0, "x1": c.FamilyInfo.X1}
 	for i, f := range s.ReportFields {
@@ -155,11 +157,11 @@
 	for i, k := range c.Classes {
 		e, ok := effects[k.Effect]
 		if !ok {
-			return s, fmt.Errorf("classes.effect: unknown word %q", k.Effect)
+			return s, fmt.Errorf("classes.effect: unknown value %q", k.Effect)
 		}
 		g, ok := groups[k.Group]
 		if !ok {
-			return s, fmt.Errorf("classes.group: unknown word %q", k.Group)
+			return s, fmt.Errorf("classes.group: unknown value %q", k.Group)
 		}
 		class := choice.Class{Name: k.Name, Effect: e, Group: g, Window: k.Window, Aim: k.Aim,
 			Stretch: k.AimStretch, Deadline: k.Deadline, LateWorth: k.LateWorth, Worth: k.Worth, Stream: k.Stream}
--- a/internal/config/shared.go
+++ b/internal/config/shared.go
@@ -11,19 +11,20 @@
 	"foldlb.example/foldlb/internal/core"
 )
 
-// own are the keys of the settings that are a dispatcher's own; all others are shared by a fleet.
-var own = []string{"me", "zone"}
+// ownKeys are the settings keys that belong to a single dispatcher; a fleet shares all others.
+var ownKeys = []string{"me", "zone"}
 
-// ErrSharedSettings says that a shared part can't be. Errors of With wrap it.
-var ErrSharedSettings = errors.New("the settings' shared part")
+// ErrSharedSettings is wrapped by the errors of WithShared.
+var ErrSharedSettings = errors.New("shared settings")
 
-// sharedOf is the part of the settings that the dispatchers of a fleet share, in one format: keys sorted, no blanks.
+// sharedOf returns the settings without ownKeys in a canonical encoding: JSON with sorted keys and no blanks. It returns an error if the
+// settings or the result exceed core.MaxSharedBytes.
 func sharedOf(settings []byte) ([]byte, error) {
-	all, err := object(settings)
+	all, err := decodeObject(settings)
 	if err != nil {
 		return nil, err
 	}
-	for _, key := range own {
+	for _, key := range ownKeys {
 		delete(all, key)
 	}
 	text, err := json.Marshal(all)
@@ -31,15 +32,15 @@
 		return nil, fmt.Errorf("%w: %w", ErrSharedSettings, err)
 	}
 	if len(text) > core.MaxSharedBytes {
-		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrSharedSettings, len(text), core.MaxSharedBytes)
+		return nil, fmt.Errorf("%w: %d bytes, at most %d are allowed", ErrSharedSettings, len(text), core.MaxSharedBytes)
 	}
 	return text, nil
 }
 
-// object reads a JSON object and keeps its numbers as they are written.
-func object(text []byte) (map[string]any, error) {
+// decodeObject decodes a single JSON object and keeps the text of its numbers, so that encoding it again doesn't change them.
+func decodeObject(text []byte) (map[string]any, error) {
 	if len(text) > core.MaxSharedBytes {
-		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrSharedSettings, len(text), core.MaxSharedBytes)
+		return nil, fmt.Errorf("%w: %d bytes, at most %d are allowed", ErrSharedSettings, len(text), core.MaxSharedBytes)
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
@@ -48,32 +49,32 @@
 		return nil, fmt.Errorf("%w: %w", ErrSharedSettings, err)
 	}
 	if _, err := d.Token(); err != io.EOF || all == nil {
-		return nil, fmt.Errorf("%w: no object, or more than one", ErrSharedSettings)
+		return nil, fmt.Errorf("%w: must be exactly one JSON object", ErrSharedSettings)
 	}
 	return all, nil
 }
 
-// Shared is the part of the settings that the dispatchers of a fleet share, as text. It is empty where the settings are too large to pass on.
+// SharedSettings returns the settings that the dispatchers of a fleet share, as JSON. It is empty if they exceed core.MaxSharedBytes.
 func (c Config) SharedSettings() []byte {
-	text, err := sharedOf(c.raw)
+	text, err := sharedOf(c.rawSettings)
 	if err != nil {
 		return nil
 	}
 	return text
 }
 
-// With is the same configuration on another shared part. What is a dispatcher's own stays, whatever the text says of it, and the rest is
-// read and checked as a file's settings are: whole or not at all.
+// WithShared returns the configuration with the shared settings replaced. The keys in ownKeys keep their values even if the given JSON
+// contains them. The result is validated as the settings of a file are; on an error, which wraps ErrSharedSettings, c is returned unchanged.
 func (c Config) WithShared(shared []byte) (Config, error) {
-	all, err := object(shared)
+	all, err := decodeObject(shared)
 	if err != nil {
 		return c, err
 	}
-	mine, err := object(c.raw)
+	mine, err := decodeObject(c.rawSettings)
 	if err != nil {
 		return c, err
 	}
-	for _, key := range own {
+	for _, key := range ownKeys {
 		delete(all, key)
 		if v, has := mine[key]; has {
 			all[key] = v
@@ -83,17 +84,17 @@
 	if err != nil {
 		return c, fmt.Errorf("%w: %w", ErrSharedSettings, err)
 	}
-	s, err := checked(raw)
+	s, err := parseAndCheck(raw)
 	if err != nil {
 		return c, fmt.Errorf("%w: %w", ErrSharedSettings, err)
 	}
 	s.Seed = c.Settings.Seed
-	c.Settings, c.raw = s, raw
+	c.Settings, c.rawSettings = s, raw
 	return c, nil
 }
 
-// checked reads settings, checks them and sets what is absent.
-func checked(text []byte) (choice.Settings, error) {
+// parseAndCheck parses and validates settings, and sets the defaults of the connection timeouts.
+func parseAndCheck(text []byte) (choice.Settings, error) {
 	s, err := ParseSettings(text)
 	if err != nil {
 		return s, err
@@ -102,10 +103,10 @@
 		return s, err
 	}
 	if s.DialTimeout == 0 {
-		s.DialTimeout = defaultDialTimeout
+		s.DialTimeout = defaultDialTimeoutS
 	}
 	if s.ConnIdle == 0 {
-		s.ConnIdle = defaultIdleClose
+		s.ConnIdle = defaultIdleCloseS
 	}
 	return s, nil
 }
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -1,6 +1,6 @@
 package settings
 
-// Defaults of the keys that a settings file may leave out.
+// Defaults of the optional keys of a settings file, with the units of the fields in Settings.
 const (
 	defaultCPUShare       = 0.5
 	defaultCores          = 1
@@ -27,7 +27,8 @@
 	defaultCloudLagMs     = 800
 )
 
-// applyDefaults fills in the figures that the file left out.
+// applyDefaults sets each optional field that is zero to its default. An explicit 0 in the file is
+// therefore replaced too.
 func (s *Settings) applyDefaults() {
 	setDefault(&s.Limits.CPUShare, defaultCPUShare)
 	setDefault(&s.Limits.Cores, defaultCores)
@@ -39,7 +40,7 @@
 	s.Bounds.applyDefaults()
 }
 
-// applyDefaults fills in the bounds that the file left out.
+// applyDefaults sets each bound that is zero to its default.
 func (b *Bounds) applyDefaults() {
 	setDefault(&b.SeedLagS, defaultSeedLagS)
 	setDefault(&b.ReuseAfterS, defaultReuseAfterS)
@@ -59,7 +60,7 @@
 	setDefault(&b.OriginOverrun, defaultOriginOverrun)
 }
 
-// setDefault sets a field that is zero.
+// setDefault sets a field to value if it is zero.
 func setDefault[Number int | float64](field *Number, value Number) {
 	if *field == 0 {
 		*field = value
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -8,29 +8,28 @@
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 )
 
-// ReadError says that the settings file can't be read or is not YAML of the expected shape.
+// ReadError reports that the settings file can't be read or can't be parsed as YAML into Settings.
 type ReadError struct {
-	Path  string // empty where the content is at fault
+	Path  string // empty if the content is faulty
 	Cause error
 }
 
-// Error names the file and the remedy.
+// Error returns the cause and the remedy.
 func (e *ReadError) Error() string {
 	if e.Path == "" {
-		return fmt.Sprintf("settings can't be parsed: correct the YAML at the place named: %v", e.Cause)
+		return fmt.Sprintf("settings can't be parsed: correct the YAML at the given position: %v", e.Cause)
 	}
 	return fmt.Sprintf("settings can't be read: set FOLDLB_SETTINGS to a readable file: %v", e.Cause)
 }
 
-// Unwrap returns the cause.
 func (e *ReadError) Unwrap() error { return e.Cause }
 
-// ValidationError lists the keys of a settings file that are missing or wrong.
+// ValidationError lists the keys of a settings file that are missing or have invalid values.
 type ValidationError struct {
 	Faults validation.Errors // by the path of the key, such as "listen.front"
 }
 
-// Error names each key and what its value must be.
+// Error lists the keys in sorted order, each with the requirement that its value violates.
 func (e *ValidationError) Error() string {
 	keys := make([]string, 0, len(e.Faults))
 	for key := range e.Faults {
@@ -38,7 +37,7 @@
 	}
 	sort.Strings(keys)
 	var text strings.Builder
-	text.WriteString("settings are not valid:")
+	text.WriteString("invalid settings:")
 	for _, key := range keys {
 		fmt.Fprintf(&text, " %s: %v;", key, e.Faults[key])
 	}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// Load reads, completes and checks the settings file at path. Keys that the file leaves out take the
-// defaults of this package. The error is a *ReadError or a *ValidationError.
+// Load reads and validates the settings file at path. Missing keys get the defaults of this package. The
+// error is or wraps a *ReadError or a *ValidationError.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -22,7 +22,7 @@
 	return settings, nil
 }
 
-// parse reads settings from the bytes of a file.
+// parse reads and validates settings from YAML.
 func parse(data []byte) (*Settings, error) {
 	settings := &Settings{}
 	if err := yaml.Unmarshal(data, settings); err != nil {
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -36,7 +36,7 @@
 	return path
 }
 
-func TestLoadReadsAllAndIgnoresUnknownKeys(t *testing.T) {
+func TestLoadIgnoresUnknownKeys(t *testing.T) {
 	path := write(t, valid)
 	loaded, err := Load(path)
 	must.NoError(t, err)
@@ -61,7 +61,7 @@
 	must.Eq(t, defaultMemoryMb, loaded.Limits.MemoryMb)
 }
 
-func TestLoadNamesTheKeyAtFault(t *testing.T) {
+func TestLoadNamesTheFaultyKey(t *testing.T) {
 	cases := []struct{ key, old, new string }{
 		{"node", `node: "front-a-1"`, ``},
 		{"zone", `zone: "a"`, `zone: ""`},
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestLoadTellsWhatCannotBeRead(t *testing.T) {
+func TestLoadReturnsReadError(t *testing.T) {
 	for _, path := range []string{filepath.Join(t.TempDir(), "none"), write(t, "node: [unclosed"), write(t, "seeds: {a: 1}")} {
 		_, err := Load(path)
 		var unread *ReadError
--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks the settings file of a process of the system.
+// Package settings reads and validates the YAML settings file of a dispatcher, store or control process.
 package settings
 
 import (
@@ -6,11 +6,11 @@
 	"strconv"
 )
 
-// Settings is all that a process is told when it starts. Unknown keys of the file are ignored.
+// Settings holds the settings that a process starts with. Unknown keys of the file are ignored.
 type Settings struct {
-	// Path is the file that the settings were read from, so that a change of it can be seen.
+	// Path is the file that the settings were read from; Watch polls it for changes.
 	Path string `yaml:"-"`
-	// MetricsPort is where the process tells its own figures, from the command line; 0 for nowhere.
+	// MetricsPort is the port that serves the metrics of the process, from the command line; 0 for none.
 	MetricsPort int `yaml:"-"`
 
 	Node            string            `yaml:"node"`
@@ -20,14 +20,14 @@
 	IP              string            `yaml:"ip"`
 	Zone            string            `yaml:"zone"`
 	Region          string            `yaml:"region"`
-	Zones           map[string]string `yaml:"zones"` // zone to region
+	Zones           map[string]string `yaml:"zones"` // region of each zone
 	Listen          Listen            `yaml:"listen"`
-	PortRange       []int             `yaml:"portRange"` // first and last port for the internal protocol
-	Seeds           []string          `yaml:"seeds"`     // control addresses
-	Bootstrap       bool              `yaml:"bootstrap"` // only at the first start of the whole system
+	PortRange       []int             `yaml:"portRange"` // first and last port of the internal protocol
+	Seeds           []string          `yaml:"seeds"`     // host:port of control processes
+	Bootstrap       bool              `yaml:"bootstrap"` // true only at the first start of the whole system
 	CountsForQuorum bool              `yaml:"countsForQuorum"`
 	Limits          Limits            `yaml:"limits"`
-	DataDir         string            `yaml:"dataDir"` // empty where there is no disk
+	DataDir         string            `yaml:"dataDir"` // empty if there is no disk
 	HeartbeatMs     int               `yaml:"heartbeatMs"`
 	FaultTolerance  FaultTolerance    `yaml:"faultTolerance"`
 	Bounds          Bounds            `yaml:"bounds"`
@@ -41,7 +41,7 @@
 	Control string `yaml:"control"`
 }
 
-// Limits are the machine's.
+// Limits are the resource limits of the machine.
 type Limits struct {
 	CPUShare float64 `yaml:"cpuShare"`
 	Cores    float64 `yaml:"cores"`
@@ -51,14 +51,14 @@
 	DiskMb   int     `yaml:"diskMb"`
 }
 
-// FaultTolerance is what may be lost at one time while nothing acknowledged is.
+// FaultTolerance is the number of machines, zones and regions that may fail at the same time without the loss of an acknowledged message.
 type FaultTolerance struct {
 	Machines int `yaml:"machines"`
 	Zones    int `yaml:"zones"`
 	Regions  int `yaml:"regions"`
 }
 
-// Bounds are the figures of the rules. Those in S are seconds, those in Ms milliseconds.
+// Bounds are the time limits and other bounds of the system's rules. Names that end in S are in seconds, those in Ms in milliseconds.
 type Bounds struct {
 	SeedLagS       float64 `yaml:"seedLagS"`
 	ReuseAfterS    float64 `yaml:"reuseAfterS"`
@@ -78,14 +78,14 @@
 	OriginOverrun  float64 `yaml:"originOverrun"`
 }
 
-// Cloud is the platform's list of workers.
+// Cloud configures access to the platform's list of workers.
 type Cloud struct {
-	Address  string  `yaml:"address"` // host:port
-	RatePerS float64 `yaml:"ratePerS"`
+	Address  string  `yaml:"address"`  // host:port; empty for none
+	RatePerS float64 `yaml:"ratePerS"` // requests per second
 	LagMs    float64 `yaml:"lagMs"`
 }
 
-// UsesPort reports whether the deployment has given a port to something else: an interface that a role serves, or the internal protocol.
+// UsesPort reports whether the settings assign a port to an interface of a role or to the internal protocol.
 func (s *Settings) UsesPort(port int) bool {
 	if len(s.PortRange) == 2 && port >= s.PortRange[0] && port <= s.PortRange[1] {
 		return true
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -12,7 +12,7 @@
 const maxPort = 65535
 
 var (
-	required     = validation.Required.Error("is missing: set it in the settings file")
+	required     = validation.Required.Error("missing: set it in the settings file")
 	hostPort     = validation.By(checkHostPort)
 	notNegative  = validation.Min(0.0).Error("must be 0 or more")
 	notNegativeN = validation.Min(0).Error("must be 0 or more")
@@ -20,7 +20,7 @@
 	ports        = validation.By(checkPorts)
 )
 
-// Validate checks the settings and returns a *ValidationError that names every fault, or nil.
+// Validate returns a *ValidationError that lists all invalid keys, or nil.
 func (s *Settings) Validate() error {
 	faults := validation.Errors{
 		"node":                    validation.Validate(s.Node, required),
@@ -47,7 +47,7 @@
 	return asError(faults)
 }
 
-// asError returns the faults found as a *ValidationError, or nil where there are none.
+// asError returns the faults that aren't nil as a *ValidationError, or nil if there are none.
 func asError(faults validation.Errors) error {
 	found := validation.Errors{}
 	for key, fault := range faults {
@@ -61,7 +61,7 @@
 	return &ValidationError{Faults: found}
 }
 
-// checkHostPort accepts an empty value and host:port.
+// checkHostPort accepts an empty value, or host:port with a port from 1 to maxPort.
 func checkHostPort(value any) error {
 	address, _ := value.(string)
 	if address == "" {
@@ -69,7 +69,7 @@
 	}
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
-		return errors.Errorf("%q must be written as host:port", address)
+		return errors.Errorf("%q must have the form host:port", address)
 	}
 	number, err := strconv.Atoi(port)
 	if err != nil || number < 1 || number > maxPort {
@@ -86,14 +86,14 @@
 	return nil
 }
 
-// checkPorts accepts a first and a last port in rising order.
+// checkPorts accepts a first and a last port in ascending order.
 func checkPorts(value any) error {
 	list, _ := value.([]int)
 	if len(list) != 2 {
 		return errors.New("must list the first and the last port")
 	}
 	if list[0] < 1 || list[1] > maxPort || list[0] > list[1] {
-		return errors.Errorf("must be two ports from 1 to %d in rising order", maxPort)
+		return errors.Errorf("must be two ports from 1 to %d in ascending order", maxPort)
 	}
 	return nil
 }
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -8,21 +8,23 @@
 	"time"
 )
 
-// watchPeriod is the time between two looks at the settings file, which may change without a signal.
-const watchPeriod = 2 * time.Second
+// pollInterval is the time between two checks of the settings file, which may change without a signal.
+const pollInterval = 2 * time.Second
 
-// Hangups returns a channel that tells of SIGHUP from now on; without one, the signal ends the process. The function ends that.
+// NotifyHangup returns a channel that receives SIGHUP, and a function that stops the notification. Without it, the signal terminates the
+// process.
 func NotifyHangup() (hangups <-chan os.Signal, stop func()) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	return signals, func() { signal.Stop(signals) }
 }
 
-// Watch calls reload when the settings file at path has changed or a hangup comes, until the context ends. An empty path names no file.
+// Watch calls reload when the settings file at path has changed or a hangup signal is received, until ctx is done. With an empty path it
+// never calls reload.
 func Watch(ctx context.Context, path string, hangups <-chan os.Signal, reload func()) {
-	ticker := time.NewTicker(watchPeriod)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	last := markOf(path)
+	last := stampOf(path)
 	for {
 		forced := false
 		select {
@@ -32,7 +34,7 @@
 			forced = true
 		case <-ticker.C:
 		}
-		mark := markOf(path)
+		mark := stampOf(path)
 		if path != "" && (forced || mark != last) {
 			last = mark
 			reload()
@@ -40,16 +42,16 @@
 	}
 }
 
-// fileMark tells whether a file was written anew.
-type fileMark struct {
+// fileStamp is compared to detect that a file was rewritten. It is zero if the file can't be read.
+type fileStamp struct {
 	modified time.Time
 	size     int64
 }
 
-func markOf(path string) fileMark {
+func stampOf(path string) fileStamp {
 	info, err := os.Stat(path)
 	if err != nil {
-		return fileMark{}
+		return fileStamp{}
 	}
-	return fileMark{modified: info.ModTime(), size: info.Size()}
+	return fileStamp{modified: info.ModTime(), size: info.Size()}
 }
--- a/internal/settings/watch_test.go
+++ b/internal/settings/watch_test.go
@@ -9,9 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-const watchPatience = 10 * time.Second
+const reloadTimeout = 10 * time.Second
 
-func TestSettingsAreReadAnewAfterAHangup(t *testing.T) {
+func TestReloadAfterHangup(t *testing.T) {
 	hangups, reloads := make(chan os.Signal), make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -19,7 +19,7 @@
 		defer close(ended)
 		Watch(ctx, write(t, valid), hangups, func() { reloads <- struct{}{} })
 	}()
-	for range 2 { // the file stays as it was
+	for range 2 { // the file doesn't change
 		hangups <- os.Interrupt
 		<-reloads
 	}
@@ -27,7 +27,7 @@
 	<-ended
 }
 
-func TestSettingsAreReadAnewOnceTheirFileHasChanged(t *testing.T) {
+func TestReloadAfterFileChange(t *testing.T) {
 	path := write(t, valid)
 	hangups, reloads := make(chan os.Signal), make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -36,13 +36,13 @@
 		defer close(ended)
 		Watch(ctx, path, hangups, func() { reloads <- struct{}{} })
 	}()
-	hangups <- os.Interrupt // taken once the file has been looked at
+	hangups <- os.Interrupt // received only after Watch has read the initial state of the file
 	<-reloads
 	must.NoError(t, os.Chtimes(path, time.Time{}, time.Now().Add(time.Hour)))
 	select {
 	case <-reloads:
-	case <-time.After(watchPatience):
-		t.Fatal("the file was not read anew")
+	case <-time.After(reloadTimeout):
+		t.Fatal("no reload after the file changed")
 	}
 	cancel()
 	<-ended
