--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics serves the figures of a process as text over HTTP, in the exposition format that monitoring systems read: one
-// "name value" a line, with a line of help before it.
+// Package metrics serves the metrics of a process over HTTP in the Prometheus text exposition format: a HELP line and a "name value" line
+// for each metric.
 package metrics
 
 import (
@@ -16,60 +16,60 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// Path is where the figures are served.
+// Path is the HTTP path of the metrics.
 const Path = "/metrics"
 
 const (
-	readTimeout  = 2 * time.Second // of a request's header
-	writeTimeout = 5 * time.Second
-	headerBytes  = 4 << 10
+	readTimeout    = 2 * time.Second // for the header of a request
+	writeTimeout   = 5 * time.Second
+	maxHeaderBytes = 4 << 10
 )
 
-// Figure is one number that a process tells of itself.
+// Metric is a single value that a process exposes.
 type Metric struct {
-	Name  string // in lower case with underscores; one that only grows ends in _total
-	Help  string // one line
+	Name  string // snake case; names of counters end in _total
+	Help  string // a single line
 	Value uint64
 }
 
-// Server answers requests for the figures until it is closed.
+// Server serves the metrics until it is closed.
 type Server struct {
 	server *http.Server
 }
 
-// Serve listens on an address, host:port, and answers GET Path with what figures returns then. The error names the address where it
-// can't be listened on. figures is called from several goroutines.
-func Serve(address string, figures func() []Metric) (*Server, error) {
+// Serve listens on address, host:port, and answers GET Path with the metrics that collect returns for each request. It returns an error that
+// names the address if it can't listen there. collect is called concurrently.
+func Serve(address string, collect func() []Metric) (*Server, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
-		return nil, errors.Wrapf(err, "metrics: listen on %s; free the port or name another one", address)
+		return nil, errors.Wrapf(err, "metrics: listen on %s; free the port or choose another one", address)
 	}
 	mux := http.NewServeMux()
-	mux.Handle("GET "+Path, Handler(figures))
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: readTimeout, WriteTimeout: writeTimeout, MaxHeaderBytes: headerBytes}
+	mux.Handle("GET "+Path, Handler(collect))
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: readTimeout, WriteTimeout: writeTimeout, MaxHeaderBytes: maxHeaderBytes}
 	go func() { _ = server.Serve(listener) }()
 	return &Server{server: server}, nil
 }
 
-// ServeRole serves the figures of a role at the port that the command line names. A process that can't tell its figures works on: the
-// cause is logged, and the server is nil, as it is where no port is named.
-func ServeRole(role *settings.Settings, log logr.Logger, figures func() []Metric) *Server {
+// ServeRole serves the metrics of a role at the port that the command line names. It returns nil if no port is named or the port can't be
+// used; the cause is logged, and the process runs without metrics.
+func ServeRole(role *settings.Settings, log logr.Logger, collect func() []Metric) *Server {
 	port := role.MetricsPort
 	if port == 0 {
 		return nil
 	}
 	if role.UsesPort(port) {
-		log.Info("figures are not served: the settings use their port for something else; name another one", "port", port)
+		log.Info("metrics are not served: the settings use this port for something else; choose another one", "port", port)
 		return nil
 	}
-	server, err := Serve(net.JoinHostPort(role.IP, strconv.Itoa(port)), figures)
+	server, err := Serve(net.JoinHostPort(role.IP, strconv.Itoa(port)), collect)
 	if err != nil {
-		log.Error(err, "figures are not served")
+		log.Error(err, "metrics are not served")
 	}
 	return server
 }
 
-// Close ends the server and its connections. A nil server is closed already.
+// Close closes the listener and all connections. It does nothing on a nil server.
 func (s *Server) Close() error {
 	if s == nil {
 		return nil
@@ -77,18 +77,18 @@
 	return s.server.Close()
 }
 
-// Handler answers with what figures returns at that moment.
-func Handler(figures func() []Metric) http.Handler {
+// Handler answers each request with the metrics that collect returns.
+func Handler(collect func() []Metric) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Type", "text/plain; version=0.0.4")
-		_, _ = writer.Write(encode(figures()))
+		_, _ = writer.Write(encodeText(collect()))
 	})
 }
 
-func encode(figures []Metric) []byte {
+func encodeText(metrics []Metric) []byte {
 	var text bytes.Buffer
-	for _, figure := range figures {
-		fmt.Fprintf(&text, "# HELP %s %s\n%s %d\n", figure.Name, figure.Help, figure.Name, figure.Value)
+	for _, metric := range metrics {
+		fmt.Fprintf(&text, "# HELP %s %s\n%s %d\n", metric.Name, metric.Help, metric.Name, metric.Value)
 	}
 	return text.Bytes()
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -14,14 +14,14 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns a loopback address with an unused port.
 func freeAddress(t *testing.T) string {
 	address, err := loopback.Unused()
 	must.NoError(t, err)
 	return address.String()
 }
 
-func TestFiguresAreServedAsTheyAreWhenAskedFor(t *testing.T) {
+func TestMetricsAreCollectedForEachRequest(t *testing.T) {
 	value := uint64(6)
 	address := freeAddress(t)
 	server, err := Serve(address, func() []Metric {
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestAddressInUseIsNamed(t *testing.T) {
+func TestErrorNamesAddressInUse(t *testing.T) {
 	address := freeAddress(t)
 	first, err := Serve(address, func() []Metric { return nil })
 	must.NoError(t, err)
@@ -49,13 +49,13 @@
 	must.ErrorContains(t, err, address)
 }
 
-func TestClosingNoServerIsNoError(t *testing.T) {
+func TestCloseOfNilServer(t *testing.T) {
 	var server *Server
 	must.NoError(t, server.Close())
 }
 
-// A port that the deployment needs for something else is left alone, and a process works on without figures.
-func TestRoleLeavesPortsOfTheDeploymentAlone(t *testing.T) {
+// ServeRole must not listen on a port that the settings use for something else; the process then runs without metrics.
+func TestServeRoleDoesNotUsePortsOfTheSettings(t *testing.T) {
 	address := freeAddress(t)
 	_, text, err := net.SplitHostPort(address)
 	must.NoError(t, err)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator reads the operator file: what an installation switches on beyond the platform's configuration.
-// It is written in HCL. Every key has a default, and an error names file, line and key.
+// Package operator reads the operator file, which enables optional features of an installation beyond the platform's
+// configuration. The file is written in HCL. Every key has a default, and errors name file, line and key.
 package operator
 
 import (
@@ -16,72 +16,72 @@
 	"github.com/hashicorp/hcl/v2/hclparse"
 )
 
-// mostHeld bounds the time for which an upgrade may hold everything still.
-const mostHeld = 600 * time.Millisecond
+// maxHold bounds the total time for which an upgrade may suspend request handling: hold, transfer and commit.
+const maxHold = 600 * time.Millisecond
 
-// mostBytes bounds the file.
-const mostBytes = 1 << 20
+// maxFileBytes bounds the size of the operator file.
+const maxFileBytes = 1 << 20
 
-// Config is what the operator file says. The zero value is that of no file: everything is off.
+// Config is the content of the operator file. The zero value disables everything.
 type Config struct {
 	Control Control
 	Upgrade Upgrade
 	Log     Log
-	Audit   *Audit // nil where this dispatcher keeps no account of what it acted on
-	Fleet   *Fleet // nil where this dispatcher keeps no view of its fleet
+	Audit   *Audit // nil if the dispatcher keeps no audit record
+	Fleet   *Fleet // nil if the dispatcher isn't a member of a fleet
 }
 
-// Audit says how the dispatcher keeps account of what it acted on.
+// Audit configures the record of the settings, routes and programs that the dispatcher acted on.
 type Audit struct {
-	Folder           string // for its record; empty for memory only
-	ConfigVersion    int64  // of the configuration, stated by the operators; 0 for none
-	MaxFiles         int    // that are kept
-	MaxFileMB        int    // of each
-	AdoptNewerConfig bool   // a newer configuration is taken from members that act on it
+	Folder           string // of the audit record; empty to keep it in memory only
+	ConfigVersion    int64  // assigned by the operators; 0 for none
+	MaxFiles         int    // files of the record to keep
+	MaxFileMB        int    // size of each file
+	AdoptNewerConfig bool   // adopt a newer configuration from members that act on it
 }
 
-// Fleet says how the dispatcher is a member of its fleet.
+// Fleet configures the membership of the dispatcher in its fleet.
 type Fleet struct {
-	Name            string         // that all its members say
-	Listen          netip.AddrPort // for datagrams and connections of other members
-	Advertise       netip.AddrPort // where they find this one; the zero value for Listen
-	Seeds           []string       // host:port of some members
-	AllowedPrefixes []netip.Prefix // of members; empty for loopback and private addresses
-	ProbeInterval   time.Duration  // between two questions to a member
-	Lease           time.Duration  // for which the dispatcher may act without touch with the fleet; 0 for any time
-	RouteSource     string         // what the members call the source of route sets, where its address differs among them; empty for its address
+	Name            string         // name of the fleet, the same for all members
+	Listen          netip.AddrPort // for datagrams and connections from other members
+	Advertise       netip.AddrPort // address of this member for the others; the zero value means Listen
+	Seeds           []string       // host:port of members to contact first
+	AllowedPrefixes []netip.Prefix // addresses of members; empty for loopback and private addresses
+	ProbeInterval   time.Duration  // between two probes of a member
+	Lease           time.Duration  // how long the dispatcher may act without contact with over half of the fleet; 0 for no limit
+	RouteSource     string         // common name of the route set source if its address differs among the members; empty to use its address
 }
 
-// Control is the control socket.
+// Control configures the control socket.
 type Control struct {
-	Socket string // path; empty for none
+	Socket string // path of a Unix socket; empty for none
 }
 
-// Upgrade says how the dispatcher replaces itself. It needs the control socket.
+// Upgrade configures how the dispatcher replaces its own process. It requires the control socket.
 type Upgrade struct {
-	Binary               string        // of the new process; empty for the path that this one was started from
-	StartTimeout         time.Duration // for the new process to say hello, and again to take up a first snapshot
-	Probation            time.Duration // for which it follows before it takes over
-	HoldTimeout          time.Duration // for this process to come to rest
-	TransferTimeout      time.Duration // for the new process to take everything up
-	CommitTimeout        time.Duration // for it to act
-	RequireSameDecisions bool          // other decisions than this process's while it follows are a reason to fall back
-	KeepPID              bool          // a small first process stays, so that a supervisor sees one PID for ever
-	PIDFile              string        // rewritten at each upgrade; empty for none
+	Binary               string        // path of the new program; empty for the path that this process was started from
+	StartTimeout         time.Duration // for the hello message of the new process, and again for its loading of the first snapshot
+	Probation            time.Duration // time for which the new process replays the events of this one before it takes over
+	HoldTimeout          time.Duration // for this process to become idle
+	TransferTimeout      time.Duration // for the new process to receive the state and the sockets
+	CommitTimeout        time.Duration // for the new process to start acting
+	RequireSameDecisions bool          // fall back if the new process decides differently during probation
+	KeepPID              bool          // keep a small parent process, so that the PID seen by a supervisor never changes
+	PIDFile              string        // path of the PID file, rewritten at each upgrade; empty for none
 }
 
-// Log says how the log is written.
+// Log configures the log.
 type Log struct {
 	Format string // text or json
 }
 
-// Default is what an empty operator file says.
+// Default returns the configuration of an empty operator file.
 func Default() Config {
 	return Config{Upgrade: Upgrade{StartTimeout: 10 * time.Second, Probation: 1500 * time.Millisecond, HoldTimeout: 150 * time.Millisecond,
 		TransferTimeout: 300 * time.Millisecond, CommitTimeout: 100 * time.Millisecond}, Log: Log{Format: "text"}}
 }
 
-// file is the format of the operator file.
+// file is the HCL schema of the operator file.
 type file struct {
 	Control *struct {
 		Socket *string `hcl:"socket"`
@@ -121,15 +121,15 @@
 	RouteSource     *string   `hcl:"routes"`
 }
 
-// Load reads an operator file.
+// Load reads and validates the operator file at path.
 func Load(path string) (Config, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return Config{}, fmt.Errorf("operator file: %w", err)
 	}
 	defer f.Close()
-	if info, err := f.Stat(); err == nil && info.Size() > mostBytes {
-		return Config{}, fmt.Errorf("operator file: %s: %d bytes, %d at most", path, info.Size(), mostBytes)
+	if info, err := f.Stat(); err == nil && info.Size() > maxFileBytes {
+		return Config{}, fmt.Errorf("operator file: %s: %d bytes, at most %d are allowed", path, info.Size(), maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -138,18 +138,19 @@
 	return Parse(text, path)
 }
 
-// Parse reads an operator file's text. Paths in it that are not absolute count from the file's folder.
+// Parse reads and validates an operator file from its text. Relative paths in it are relative to the file's folder. The
+// error joins all faults found.
 func Parse(text []byte, path string) (Config, error) {
 	parsed, diags := hclparse.NewParser().ParseHCL(text, path)
 	if diags.HasErrors() {
-		return Config{}, named(diags)
+		return Config{}, diagnosticsError(diags)
 	}
 	var f file
 	if diags := gohcl.DecodeBody(parsed.Body, nil, &f); diags.HasErrors() {
-		return Config{}, named(diags)
+		return Config{}, diagnosticsError(diags)
 	}
 	c := Default()
-	at := places(parsed.Body)
+	at := keyPositions(parsed.Body)
 	var faults []error
 	fault := func(key, format string, args ...any) {
 		faults = append(faults, fmt.Errorf("%s: %s: %s", at(key), key, fmt.Sprintf(format, args...)))
@@ -161,9 +162,9 @@
 		d, err := time.ParseDuration(*from)
 		switch {
 		case err != nil:
-			fault(key, "%q is not a time such as \"250ms\" or \"2s\"", *from)
+			fault(key, "%q must be a duration such as \"250ms\" or \"2s\"", *from)
 		case d < least || d > most:
-			fault(key, "%v is not from %v to %v", d, least, most)
+			fault(key, "%v must be from %v to %v", d, least, most)
 		default:
 			*to = d
 		}
@@ -178,7 +179,7 @@
 	}
 	if x := f.Control; x != nil {
 		if full(x.Socket, &c.Control.Socket); len(c.Control.Socket) > 100 {
-			fault("control.socket", "a Unix socket's path has 100 bytes at most, this one %d", len(c.Control.Socket))
+			fault("control.socket", "the path of a Unix socket must not exceed 100 bytes, got %d", len(c.Control.Socket))
 		}
 	}
 	if x := f.Upgrade; x != nil {
@@ -189,9 +190,9 @@
 		duration("upgrade.hold_at_most", x.HoldTimeout, &c.Upgrade.HoldTimeout, 10*time.Millisecond, time.Second)
 		duration("upgrade.take_within", x.TransferTimeout, &c.Upgrade.TransferTimeout, 10*time.Millisecond, time.Second)
 		duration("upgrade.act_within", x.CommitTimeout, &c.Upgrade.CommitTimeout, 10*time.Millisecond, time.Second)
-		// Danger: a drain that is told while everything is held is known only afterwards, and must be within 750 ms.
-		if sum := c.Upgrade.HoldTimeout + c.Upgrade.TransferTimeout + c.Upgrade.CommitTimeout; sum > mostHeld {
-			fault("upgrade", "hold_at_most, take_within and act_within are %v together, %v at most: drains must be kept meanwhile", sum, mostHeld)
+		// A drain announced during the hold is noticed only after it, and must be noticed within 750 ms.
+		if sum := c.Upgrade.HoldTimeout + c.Upgrade.TransferTimeout + c.Upgrade.CommitTimeout; sum > maxHold {
+			fault("upgrade", "hold_at_most, take_within and act_within add up to %v, at most %v is allowed so that drains are noticed in time", sum, maxHold)
 		}
 		if x.RequireSameDecisions != nil {
 			c.Upgrade.RequireSameDecisions = *x.RequireSameDecisions
@@ -200,12 +201,12 @@
 			c.Upgrade.KeepPID = *x.KeepPID
 		}
 		if c.Control.Socket == "" {
-			fault("upgrade", "needs control.socket, over which an upgrade is asked for")
+			fault("upgrade", "requires control.socket, which receives upgrade commands")
 		}
 	}
 	if x := f.Log; x != nil && x.Format != nil {
 		if c.Log.Format = *x.Format; c.Log.Format != "text" && c.Log.Format != "json" {
-			fault("log.format", "%q is neither text nor json", c.Log.Format)
+			fault("log.format", "%q must be text or json", c.Log.Format)
 		}
 	}
 	if x := f.Fleet; x != nil {
@@ -221,7 +222,7 @@
 		full(x.Folder, &c.Audit.Folder)
 		if x.ConfigVersion != nil {
 			if c.Audit.ConfigVersion = *x.ConfigVersion; c.Audit.ConfigVersion < 0 || c.Audit.ConfigVersion > 1<<62 {
-				fault("audit.version", "%d is not from 0 to %d", c.Audit.ConfigVersion, int64(1)<<62)
+				fault("audit.version", "%d must be from 0 to %d", c.Audit.ConfigVersion, int64(1)<<62)
 			}
 		}
 		whole := func(key string, from *int, to *int, most int) {
@@ -229,7 +230,7 @@
 				return
 			}
 			if *to = *from; *to < 1 || *to > most {
-				fault(key, "%d is not from 1 to %d", *to, most)
+				fault(key, "%d must be from 1 to %d", *to, most)
 			}
 		}
 		whole("audit.files", x.MaxFiles, &c.Audit.MaxFiles, 10000)
@@ -238,15 +239,15 @@
 	return c, errors.Join(faults...)
 }
 
-// The bounds of lists in the fleet block.
+// Bounds of the fleet block.
 const (
-	mostSeeds = 64
-	mostAllow = 256
-	mostName  = 64
+	maxSeeds           = 64
+	maxAllowedPrefixes = 256
+	maxNameBytes       = 64
 )
 
-// read checks the fleet block. Danger: whoever reaches the listener may speak as a member, so beyond loopback and private
-// addresses its peers must be named.
+// read validates the fleet block. Any host that reaches the listener can send as a member, so allow must list the peers
+// unless the listener has a loopback or private address.
 func (x *fleetFile) read(fault func(key, format string, args ...any)) *Fleet {
 	f := &Fleet{ProbeInterval: 500 * time.Millisecond}
 	address := func(key string, from *string, to *netip.AddrPort) {
@@ -255,7 +256,7 @@
 		}
 		at, err := netip.ParseAddrPort(*from)
 		if err != nil || at.Port() == 0 {
-			fault(key, "%q is not an address with a port, such as \"10.0.0.4:7946\"", *from)
+			fault(key, "%q must be an address with a port, such as \"10.0.0.4:7946\"", *from)
 			return
 		}
 		*to = at
@@ -263,54 +264,54 @@
 	if x.Name != nil {
 		f.Name = *x.Name
 	}
-	if f.Name == "" || len(f.Name) > mostName {
-		fault("fleet.name", "%d bytes, 1 to %d are needed", len(f.Name), mostName)
+	if f.Name == "" || len(f.Name) > maxNameBytes {
+		fault("fleet.name", "%d bytes, must be from 1 to %d", len(f.Name), maxNameBytes)
 	}
 	if x.Listen == nil {
-		fault("fleet.listen", "is needed")
+		fault("fleet.listen", "missing")
 	}
 	address("fleet.listen", x.Listen, &f.Listen)
 	address("fleet.advertise", x.Advertise, &f.Advertise)
 	if x.RouteSource != nil {
-		if f.RouteSource = *x.RouteSource; len(f.RouteSource) > 2*mostName {
-			fault("fleet.routes", "%d bytes, %d at most", len(f.RouteSource), 2*mostName)
+		if f.RouteSource = *x.RouteSource; len(f.RouteSource) > 2*maxNameBytes {
+			fault("fleet.routes", "%d bytes, at most %d are allowed", len(f.RouteSource), 2*maxNameBytes)
 		}
 	}
 	if x.Seeds != nil {
 		f.Seeds = *x.Seeds
 	}
-	if len(f.Seeds) > mostSeeds {
-		fault("fleet.seeds", "%d, %d at most", len(f.Seeds), mostSeeds)
+	if len(f.Seeds) > maxSeeds {
+		fault("fleet.seeds", "%d seeds, at most %d are allowed", len(f.Seeds), maxSeeds)
 	}
 	for _, s := range f.Seeds {
 		if host, port, err := net.SplitHostPort(s); err != nil || host == "" || port == "" {
-			fault("fleet.seeds", "%q is not host:port", s)
+			fault("fleet.seeds", "%q must be host:port", s)
 		}
 	}
 	if x.AllowedPrefixes != nil {
 		for _, text := range *x.AllowedPrefixes {
 			p, err := netip.ParsePrefix(text)
 			if err != nil {
-				fault("fleet.allow", "%q is not an address set such as \"10.0.0.0/24\"", text)
+				fault("fleet.allow", "%q must be an address prefix such as \"10.0.0.0/24\"", text)
 				continue
 			}
 			f.AllowedPrefixes = append(f.AllowedPrefixes, p)
 		}
 	}
 	switch at := f.Listen.Addr(); {
-	case len(f.AllowedPrefixes) > mostAllow:
-		fault("fleet.allow", "%d, %d at most", len(f.AllowedPrefixes), mostAllow)
+	case len(f.AllowedPrefixes) > maxAllowedPrefixes:
+		fault("fleet.allow", "%d prefixes, at most %d are allowed", len(f.AllowedPrefixes), maxAllowedPrefixes)
 	case !at.IsValid():
 	case at.IsUnspecified() && !f.Advertise.IsValid():
-		fault("fleet.listen", "%v is every address, so advertise must name one", at)
+		fault("fleet.listen", "%v listens on every address, so advertise must name one", at)
 	case len(f.AllowedPrefixes) == 0 && !at.IsLoopback() && !at.IsPrivate():
-		fault("fleet.listen", "%v is neither loopback nor private, so allow must name the members", at)
+		fault("fleet.listen", "%v is neither loopback nor private, so allow must list the members", at)
 	}
 	return f
 }
 
-// named words HCL's errors with file, line and what is at fault.
-func named(diags hcl.Diagnostics) error {
+// diagnosticsError joins the errors among the HCL diagnostics, each with file and line.
+func diagnosticsError(diags hcl.Diagnostics) error {
 	var all []error
 	for _, d := range diags {
 		if d.Severity == hcl.DiagError {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -28,15 +28,15 @@
 	want.Upgrade.Binary, want.Upgrade.Probation, want.Upgrade.RequireSameDecisions, want.Upgrade.KeepPID = "/opt/foldlb", 3*time.Second, true, true
 	want.Log.Format = "json"
 	if !reflect.DeepEqual(c, want) {
-		t.Errorf("read as %+v, want %+v", c, want)
+		t.Errorf("parsed as %+v, want %+v", c, want)
 	}
 	if c, err := Parse(nil, "x.hcl"); err != nil || !reflect.DeepEqual(c, Default()) {
 		t.Errorf("an empty file: %+v, %v", c, err)
 	}
 }
 
-// TestFaultsNameFileLineAndKey: whoever edits the file must find the fault at once.
-func TestFaultsNameFileLineAndKey(t *testing.T) {
+// TestErrorsNameFileLineAndKey checks that errors name the position of the fault.
+func TestErrorsNameFileLineAndKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"control {\n socket = 3 +\n}":    "op.hcl:2",
 		"control {\n sockets = \"a\"\n}": "op.hcl:2",
@@ -74,7 +74,7 @@
 	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), path) {
 		t.Errorf("no file: %v", err)
 	}
-	if err := os.WriteFile(path, make([]byte, mostBytes+1), 0o600); err != nil {
+	if err := os.WriteFile(path, make([]byte, maxFileBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), "at most") {
@@ -82,11 +82,11 @@
 	}
 }
 
-// TestHoldsAreBounded: everything that may stand still must come to less than a drain's grace.
+// TestHoldsAreBounded checks that an upgrade can't suspend request handling for longer than a drain may take to be noticed.
 func TestHoldsAreBounded(t *testing.T) {
 	d := Default().Upgrade
-	if sum := d.HoldTimeout + d.TransferTimeout + d.CommitTimeout; sum > mostHeld {
-		t.Errorf("the defaults hold for %v", sum)
+	if sum := d.HoldTimeout + d.TransferTimeout + d.CommitTimeout; sum > maxHold {
+		t.Errorf("the defaults add up to %v", sum)
 	}
 	_, err := Parse([]byte("control { socket = \"a\" }\n\nupgrade {\n take_within = \"500ms\"\n}"), "op.hcl")
 	if err == nil || !strings.Contains(err.Error(), "op.hcl:3: upgrade: hold_at_most") {
--- a/internal/platformapi/instances.go
+++ b/internal/platformapi/instances.go
@@ -1,26 +1,26 @@
-// Package platformapi holds the wire form of the platform's list of workers, GET /instances: what control reads, and what stand-ins of
-// the platform answer.
+// Package platformapi holds the JSON types of the platform's list of workers, GET /instances. The control process reads it; simulated
+// platforms serve it.
 package platformapi
 
-// States of an instance.
+// States of an instance. A draining instance completes its running messages and must get no new ones.
 const (
 	StateReady    = "ready"
-	StateDraining = "draining" // it serves what it has, and is to get nothing new
+	StateDraining = "draining"
 )
 
-// Instance is one worker on the list.
+// Instance is one worker of the list.
 type Instance struct {
-	ID              string  `json:"id"` // of this start of the worker
+	ID              string  `json:"id"` // new at each start of the worker
 	Service         string  `json:"service"`
 	Address         string  `json:"address"` // host:port
 	Zone            string  `json:"zone"`
-	Version         string  `json:"version"`         // of the worker's software
-	Capacity        float64 `json:"capacity"`        // messages that it works on at a time
+	Version         string  `json:"version"`         // version of the worker's software
+	Capacity        float64 `json:"capacity"`        // messages processed at the same time
 	State           string  `json:"state"`           // StateReady or StateDraining
-	ColdRemainingMs float64 `json:"coldRemainingMs"` // for which it is still slow after its start
+	ColdRemainingMs float64 `json:"coldRemainingMs"` // remaining warm-up time in milliseconds
 }
 
-// Page is one answer. NextToken asks for the page after it, and is nil on the last one.
+// Page is one page of the list. NextToken requests the next page; it is nil on the last one.
 type Page struct {
 	Instances []Instance `json:"instances"`
 	NextToken *string    `json:"nextToken"`
