--- a/internal/rpc/stream.go
+++ b/internal/rpc/stream.go
@@ -10,17 +10,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Parts of the stream of updates. Each is the encoding of a View with the fields of that part alone.
+// Parts of the update stream. Each is encoded as a View that has only the fields of that part.
 const (
 	StreamHeader    = iota // the leader's epoch
 	StreamConfig           // the operator's configuration
-	StreamMap              // stores and owners of partitions
-	StreamWorkers          // the platform's list; dispatchers do without it
-	StreamAddresses        // the control processes
-	StreamParts            // the number of parts
+	StreamMap              // stores and the owners of partitions
+	StreamWorkers          // the platform's list of workers; not needed by dispatchers
+	StreamAddresses        // addresses of the control processes
+	StreamParts            // number of parts
 )
 
-// PartVersion names the value of a part by its numbers: the version of a configuration or of a table, the epoch and the version of a list.
+// PartVersion formats the version of a part as its numbers with dots between them: the version of a configuration or of a table, or the
+// epoch and the version of the worker list.
 func PartVersion(numbers ...uint64) string {
 	var name []byte
 	for position, number := range numbers {
@@ -32,14 +33,14 @@
 	return string(name)
 }
 
-// MaxViewBytes bounds a decompressed frame of the stream.
+// MaxViewBytes bounds the decompressed size of a frame. DecodeView reads no further.
 const MaxViewBytes = 64 << 20
 
-// gzipMagic begins a compressed frame. No encoding of a View begins so.
+// gzipMagic is the prefix of a compressed frame. The encoding of a View never starts with it.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// EncodeView encodes and compresses a part of the stream, once for all subscribers. Compressed members and encodings of protobuf
-// messages may both be concatenated, so a frame of several parts decodes as one View.
+// EncodeView encodes and compresses a part of the stream; the result is sent to all subscribers. Gzip members and encoded protobuf
+// messages may both be concatenated, so a frame of several parts decodes to one View.
 func EncodeView(view *View) ([]byte, error) {
 	encoded, err := proto.Marshal(view)
 	if err != nil {
@@ -47,25 +48,25 @@
 	}
 	var compressed bytes.Buffer
 	writer := gzip.NewWriter(&compressed)
-	_, _ = writer.Write(encoded) // a buffer takes all that it is given
+	_, _ = writer.Write(encoded) // writes to a bytes.Buffer never fail
 	_ = writer.Close()
 	return compressed.Bytes(), nil
 }
 
-// DecodeView decodes a frame of the stream, compressed or not.
+// DecodeView decodes a frame, compressed or not. After an error the subscriber must reconnect.
 func DecodeView(frame []byte) (*View, error) {
 	if bytes.HasPrefix(frame, gzipMagic) {
 		reader, err := gzip.NewReader(bytes.NewReader(frame))
 		if err != nil {
-			return nil, errors.Wrap(err, "decompress an update: connect anew")
+			return nil, errors.Wrap(err, "decompress an update: reconnect")
 		}
 		if frame, err = io.ReadAll(io.LimitReader(reader, MaxViewBytes)); err != nil {
-			return nil, errors.Wrap(err, "decompress an update: connect anew")
+			return nil, errors.Wrap(err, "decompress an update: reconnect")
 		}
 	}
 	view := &View{}
 	if err := proto.Unmarshal(frame, view); err != nil {
-		return nil, errors.Wrap(err, "read an update: connect anew")
+		return nil, errors.Wrap(err, "decode an update: reconnect")
 	}
 	return view, nil
 }
--- a/internal/rpc/stream_test.go
+++ b/internal/rpc/stream_test.go
@@ -25,7 +25,7 @@
 	must.Eq(t, 9, view.Map.Version)
 }
 
-func TestFrameThatIsNotCompressedDecodes(t *testing.T) {
+func TestUncompressedFrameDecodes(t *testing.T) {
 	encoded, err := proto.Marshal(&View{LeaderEpoch: 7})
 	must.NoError(t, err)
 	view, err := DecodeView(encoded)
@@ -33,7 +33,7 @@
 	must.Eq(t, 7, view.LeaderEpoch)
 }
 
-func TestBrokenFrameIsRefused(t *testing.T) {
+func TestTruncatedFrameIsRejected(t *testing.T) {
 	encoded, err := EncodeView(&View{Config: &ConfigView{Version: 3, Config: make([]byte, 1000)}})
 	must.NoError(t, err)
 	for _, cut := range []int{3, len(encoded) / 2, len(encoded) - 1} {
