--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -71,13 +71,13 @@
 func (v *View) partVersions() map[int]string {
 	versions := map[int]string{}
 	if v.ConfigVersion > 0 {
-		versions[rpc.StreamConfig] = rpc.PartVersion(v.ConfigVersion)
+		versions[rpc.StreamConfig] = rpc.FormatPartVersion(v.ConfigVersion)
 	}
 	if v.Map != nil {
-		versions[rpc.StreamMap] = rpc.PartVersion(v.Map.Version)
+		versions[rpc.StreamMap] = rpc.FormatPartVersion(v.Map.Version)
 	}
 	if v.Workers != nil {
-		versions[rpc.StreamWorkers] = rpc.PartVersion(v.Workers.Epoch, v.Workers.Version)
+		versions[rpc.StreamWorkers] = rpc.FormatPartVersion(v.Workers.Epoch, v.Workers.Version)
 	}
 	return versions
 }
--- a/internal/controlplane/view.go
+++ b/internal/controlplane/view.go
@@ -18,7 +18,7 @@
 	partMap       = rpc.StreamMap
 	partWorkers   = rpc.StreamWorkers
 	partAddresses = rpc.StreamAddresses
-	partCount     = rpc.StreamParts
+	partCount     = rpc.StreamPartCount
 )
 
 // encodeView encodes one part of the stream.
@@ -42,7 +42,7 @@
 	}
 	view := &rpc.ConfigView{Version: state.ConfigVersion, Config: state.Config}
 	part := encodeView(partConfig, &rpc.View{Config: view})
-	part.Version = rpc.PartVersion(state.ConfigVersion)
+	part.Version = rpc.FormatPartVersion(state.ConfigVersion)
 	return part
 }
 
@@ -70,14 +70,14 @@
 		Copies:     uint32(copies),
 	}
 	part := encodeView(partMap, &rpc.View{Map: view})
-	part.Version = rpc.PartVersion(state.MapVersion)
+	part.Version = rpc.FormatPartVersion(state.MapVersion)
 	return part
 }
 
 // workersPart is the platform's list, with what is new against the one streamed before; nil for none.
 func workersPart(before, list *rpc.WorkerList) watch.Part {
 	part := encodeView(partWorkers, &rpc.View{Workers: list})
-	part.Version = rpc.PartVersion(list.Epoch, list.Version)
+	part.Version = rpc.FormatPartVersion(list.Epoch, list.Version)
 	if before == nil {
 		return part
 	}
--- a/internal/rpc/stream.go
+++ b/internal/rpc/stream.go
@@ -17,12 +17,12 @@
 	StreamMap              // stores and the owners of partitions
 	StreamWorkers          // the platform's list of workers; not needed by dispatchers
 	StreamAddresses        // addresses of the control processes
-	StreamParts            // number of parts
+	StreamPartCount        // number of parts
 )
 
-// PartVersion formats the version of a part as its numbers with dots between them: the version of a configuration or of a table, or the
+// FormatPartVersion formats the version of a part as its numbers with dots between them: the version of a configuration or of a table, or the
 // epoch and the version of the worker list.
-func PartVersion(numbers ...uint64) string {
+func FormatPartVersion(numbers ...uint64) string {
 	var name []byte
 	for position, number := range numbers {
 		if position > 0 {
