--- a/internal/metrics/flag.go
+++ b/internal/metrics/flag.go
@@ -15,10 +15,10 @@
 func PortFlag() cli.Flag {
 	return &cli.IntFlag{
 		Name:  PortFlagName,
-		Usage: "port of the machine's address at which the figures of this process are served as text; 0 for none",
+		Usage: "port of the machine's address that serves the metrics of this process as text; 0 for none",
 		Validator: func(port int) error {
 			if port < 0 || port > maxPort {
-				return errors.Errorf("--%s is %d: name a port from 1 to %d, or 0 for none", PortFlagName, port, maxPort)
+				return errors.Errorf("--%s is %d: choose a port from 1 to %d, or 0 for none", PortFlagName, port, maxPort)
 			}
 			return nil
 		},
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -33,10 +33,10 @@
 
 // Audit configures the record of the settings, routes and programs that the dispatcher acted on.
 type Audit struct {
-	Folder           string // of the audit record; empty to keep it in memory only
+	Folder           string // path of the folder of the audit record; empty to keep it in memory only
 	ConfigVersion    int64  // assigned by the operators; 0 for none
 	MaxFiles         int    // files of the record to keep
-	MaxFileMB        int    // size of each file
+	MaxFileMB        int    // maximum size of each file, in MB
 	AdoptNewerConfig bool   // adopt a newer configuration from members that act on it
 }
 
@@ -49,7 +49,7 @@
 	AllowedPrefixes []netip.Prefix // addresses of members; empty for loopback and private addresses
 	ProbeInterval   time.Duration  // between two probes of a member
 	Lease           time.Duration  // how long the dispatcher may act without contact with over half of the fleet; 0 for no limit
-	RouteSource     string         // common name of the route set source if its address differs among the members; empty to use its address
+	RouteSource     string         // name of the route set source, the same for all members, if its address differs among them; empty to use the address
 }
 
 // Control configures the control socket.
--- a/internal/operator/positions.go
+++ b/internal/operator/positions.go
@@ -21,6 +21,7 @@
 
 func position(r hcl.Range) string { return fmt.Sprintf("%s:%d", r.Filename, r.Start.Line) }
 
+// keyRange returns the position of a key in a block: of the attribute, or of the innermost block that exists.
 func keyRange(b *hclsyntax.Body, key string) hcl.Range {
 	name, rest, deeper := strings.Cut(key, ".")
 	if a := b.Attributes[name]; a != nil && !deeper {
--- a/internal/ops/server.go
+++ b/internal/ops/server.go
@@ -183,9 +183,9 @@
 func (s *AdminServer) evictable() (out *clientConn, found bool) {
 	reading := false
 	for c := range s.conns {
-		silent := c.awaitingInput && tcp.Silent(c.TCPConn)
-		reading = reading || !c.requestRead && !silent
-		if !c.requestRead && !silent {
+		idle := c.awaitingInput && tcp.Silent(c.TCPConn)
+		reading = reading || !c.requestRead && !idle
+		if !c.requestRead && !idle {
 			continue
 		}
 		if out == nil || out.requestRead && !c.requestRead || out.requestRead == c.requestRead && c.acceptedAt.Before(out.acceptedAt) {
--- a/internal/ops/server_test.go
+++ b/internal/ops/server_test.go
@@ -171,19 +171,19 @@
 	srv, _ := newTestServer(t) // nothing receives the orders
 	c := dial(t, srv)
 	io.WriteString(c, postRequest("/ops/drain/start", ""))
-	half := dial(t, srv)
-	io.WriteString(half, "GET /ops/stats HT")
+	partial := dial(t, srv)
+	io.WriteString(partial, "GET /ops/stats HT")
 	for { // until both are accepted
 		srv.mu.Lock()
-		taken := len(srv.conns)
+		accepted := len(srv.conns)
 		srv.mu.Unlock()
-		if taken == 2 {
+		if accepted == 2 {
 			break
 		}
 	}
 	srv.Detach()
-	io.WriteString(half, "TP/1.1\r\nHost: h\r\n\r\n")
-	for _, x := range []net.Conn{c, half} {
+	io.WriteString(partial, "TP/1.1\r\nHost: h\r\n\r\n")
+	for _, x := range []net.Conn{c, partial} {
 		if n, err := x.Read(make([]byte, 1)); n > 0 || err == nil {
 			t.Error("got a response after Detach")
 		}
@@ -198,13 +198,13 @@
 // order that the dispatcher doesn't execute blocks no other request.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	srv, _ := newTestServer(t) // nothing receives the orders
-	stuck := dial(t, srv)
-	io.WriteString(stuck, postRequest("/ops/drain/start", ""))
-	silent := make([]net.Conn, 3*maxConns)
-	for i := range silent {
-		silent[i] = dial(t, srv)
+	pending := dial(t, srv)
+	io.WriteString(pending, postRequest("/ops/drain/start", ""))
+	idle := make([]net.Conn, 3*maxConns)
+	for i := range idle {
+		idle[i] = dial(t, srv)
 		if i%2 == 0 {
-			io.WriteString(silent[i], "GET /ops/stats HT")
+			io.WriteString(idle[i], "GET /ops/stats HT")
 		}
 	}
 	for range 3 * maxConns {
@@ -218,11 +218,11 @@
 	if held > maxConns {
 		t.Errorf("%d open connections, at most %d are allowed", held, maxConns)
 	}
-	if status, body := readResponse(t, stuck); status != 503 || !strings.Contains(body, "not in force yet") {
+	if status, body := readResponse(t, pending); status != 503 || !strings.Contains(body, "not in force yet") {
 		t.Errorf("%d %q", status, body)
 	}
 	var b [1]byte
-	if _, err := silent[0].Read(b[:]); err == nil { // closed for other connections, or after requestTimeout
+	if _, err := idle[0].Read(b[:]); err == nil { // closed for other connections, or after requestTimeout
 		t.Error("an idle connection got a response")
 	}
 }
@@ -234,7 +234,7 @@
 	srv, err := Listen("127.0.0.1:0", log)
 	must.NoError(t, err)
 	t.Cleanup(func() { srv.Close() })
-	take := func(text string) *clientConn {
+	accept := func(text string) *clientConn {
 		client := dial(t, srv)
 		connection, err := srv.ln.AcceptTCP()
 		must.NoError(t, err)
@@ -245,25 +245,25 @@
 		must.NoError(t, err)
 		return c
 	}
-	first := take(postRequest("/ops/drain/start", ""))
+	first := accept(postRequest("/ops/drain/start", ""))
 	for tcp.Silent(first.TCPConn) {
 		runtime.Gosched()
 	}
 	srv.admit(first)
-	var silent []*clientConn
+	var idle []*clientConn
 	for range maxConns - 1 {
-		c := take("")
+		c := accept("")
 		srv.admit(c)
 		go c.Read(make([]byte, 1))
-		silent = append(silent, c)
+		idle = append(idle, c)
 	}
-	for range silent {
-		srv.admit(take(""))
+	for range idle {
+		srv.admit(accept(""))
 	}
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	must.MapContainsKey(t, srv.conns, first)
-	for _, c := range silent {
+	for _, c := range idle {
 		must.MapNotContainsKey(t, srv.conns, c)
 	}
 }
--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -27,8 +27,8 @@
 	Bootstrap       bool              `yaml:"bootstrap"` // true only at the first start of the whole system
 	CountsForQuorum bool              `yaml:"countsForQuorum"`
 	Limits          Limits            `yaml:"limits"`
-	DataDir         string            `yaml:"dataDir"` // empty if there is no disk
-	HeartbeatMs     int               `yaml:"heartbeatMs"`
+	DataDir         string            `yaml:"dataDir"`     // folder of the persistent state; empty if there is no disk
+	HeartbeatMs     int               `yaml:"heartbeatMs"` // maximum time between two renewals of a dispatcher
 	FaultTolerance  FaultTolerance    `yaml:"faultTolerance"`
 	Bounds          Bounds            `yaml:"bounds"`
 	Cloud           Cloud             `yaml:"cloud"`
@@ -45,10 +45,10 @@
 type Limits struct {
 	CPUShare float64 `yaml:"cpuShare"`
 	Cores    float64 `yaml:"cores"`
-	MemoryMb int     `yaml:"memoryMb"`
-	MaxFds   int     `yaml:"maxFds"`
-	LinkMbps float64 `yaml:"linkMbps"`
-	DiskMb   int     `yaml:"diskMb"`
+	MemoryMb int     `yaml:"memoryMb"` // MB
+	MaxFds   int     `yaml:"maxFds"`   // open file descriptors
+	LinkMbps float64 `yaml:"linkMbps"` // Mbit/s of the network link
+	DiskMb   int     `yaml:"diskMb"`   // MB of disk space
 }
 
 // FaultTolerance is the number of machines, zones and regions that may fail at the same time without the loss of an acknowledged message.
@@ -66,13 +66,13 @@
 	AckMs          float64 `yaml:"ackMs"`
 	SyncS          float64 `yaml:"syncS"`
 	DrainMs        float64 `yaml:"drainMs"`
-	GraceS         float64 `yaml:"graceS"`
+	GraceS         float64 `yaml:"graceS"` // for a process to shut down
 	LossSlackMs    float64 `yaml:"lossSlackMs"`
-	ConfigApplyMs  float64 `yaml:"configApplyMs"`
+	ConfigApplyMs  float64 `yaml:"configApplyMs"` // until an acknowledged change of the configuration is in force everywhere
 	DowngradeMs    float64 `yaml:"downgradeMs"`
 	RecoveryS      float64 `yaml:"recoveryS"`
 	FinishS        float64 `yaml:"finishS"`
-	StatusS        float64 `yaml:"statusS"`
+	StatusS        float64 `yaml:"statusS"` // minimum time for which the final state of a message is kept
 	EarlyMs        float64 `yaml:"earlyMs"`
 	CeilingWindowS float64 `yaml:"ceilingWindowS"`
 	OriginOverrun  float64 `yaml:"originOverrun"`
