--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -6,9 +6,9 @@
 	"foldlb.example/foldlb/choice"
 )
 
-// settingsFile is the JSON format of the settings object, both in the NODE_CONFIG file and in the simulator.
+// settingsObject is the JSON format of the settings object, both in the NODE_CONFIG file and in the simulator.
 // Unknown keys are ignored.
-type settingsFile struct {
+type settingsObject struct {
 	Allowed struct {
 		Cancel        bool    `json:"cancel"`
 		DialTimeout   float64 `json:"dial_timeout_s"`
@@ -93,7 +93,7 @@
 
 // ParseSettings decodes the settings object. Missing keys get their defaults.
 func ParseSettings(text []byte) (choice.Settings, error) {
-	c := settingsFile{Balancers: 1}
+	c := settingsObject{Balancers: 1}
 	c.Allowed.MaxAttempts = 1
 	c.Allowed.MaxRetryAfter = 1
 	c.Contract.AskWithin = defaultAskWithinS
--- a/internal/config/shared.go
+++ b/internal/config/shared.go
@@ -17,9 +17,9 @@
 // ErrSharedSettings is wrapped by the errors of WithShared.
 var ErrSharedSettings = errors.New("shared settings")
 
-// sharedOf returns the settings without ownKeys in a canonical encoding: JSON with sorted keys and no blanks. It returns an error if the
+// encodeShared returns the settings without ownKeys in a canonical encoding: JSON with sorted keys and no blanks. It returns an error if the
 // settings or the result exceed core.MaxSharedBytes.
-func sharedOf(settings []byte) ([]byte, error) {
+func encodeShared(settings []byte) ([]byte, error) {
 	all, err := decodeObject(settings)
 	if err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 
 // SharedSettings returns the settings that the dispatchers of a fleet share, as JSON. It is empty if they exceed core.MaxSharedBytes.
 func (c Config) SharedSettings() []byte {
-	text, err := sharedOf(c.rawSettings)
+	text, err := encodeShared(c.rawSettings)
 	if err != nil {
 		return nil
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -152,24 +152,24 @@
 	c := Default()
 	at := keyPositions(parsed.Body)
 	var faults []error
-	fault := func(key, format string, args ...any) {
+	addFault := func(key, format string, args ...any) {
 		faults = append(faults, fmt.Errorf("%s: %s: %s", at(key), key, fmt.Sprintf(format, args...)))
 	}
-	duration := func(key string, from *string, to *time.Duration, least, most time.Duration) {
+	duration := func(key string, from *string, to *time.Duration, minimum, maximum time.Duration) {
 		if from == nil {
 			return
 		}
 		d, err := time.ParseDuration(*from)
 		switch {
 		case err != nil:
-			fault(key, "%q must be a duration such as \"250ms\" or \"2s\"", *from)
-		case d < least || d > most:
-			fault(key, "%v must be from %v to %v", d, least, most)
+			addFault(key, "%q must be a duration such as \"250ms\" or \"2s\"", *from)
+		case d < minimum || d > maximum:
+			addFault(key, "%v must be from %v to %v", d, minimum, maximum)
 		default:
 			*to = d
 		}
 	}
-	full := func(from *string, to *string) {
+	resolvePath := func(from *string, to *string) {
 		if from == nil || *from == "" {
 			return
 		}
@@ -178,13 +178,13 @@
 		}
 	}
 	if x := f.Control; x != nil {
-		if full(x.Socket, &c.Control.Socket); len(c.Control.Socket) > 100 {
-			fault("control.socket", "the path of a Unix socket must not exceed 100 bytes, got %d", len(c.Control.Socket))
+		if resolvePath(x.Socket, &c.Control.Socket); len(c.Control.Socket) > 100 {
+			addFault("control.socket", "the path of a Unix socket must not exceed 100 bytes, got %d", len(c.Control.Socket))
 		}
 	}
 	if x := f.Upgrade; x != nil {
-		full(x.Binary, &c.Upgrade.Binary)
-		full(x.PIDFile, &c.Upgrade.PIDFile)
+		resolvePath(x.Binary, &c.Upgrade.Binary)
+		resolvePath(x.PIDFile, &c.Upgrade.PIDFile)
 		duration("upgrade.start_within", x.StartTimeout, &c.Upgrade.StartTimeout, 100*time.Millisecond, 10*time.Minute)
 		duration("upgrade.probation", x.Probation, &c.Upgrade.Probation, 10*time.Millisecond, 10*time.Minute)
 		duration("upgrade.hold_at_most", x.HoldTimeout, &c.Upgrade.HoldTimeout, 10*time.Millisecond, time.Second)
@@ -192,7 +192,7 @@
 		duration("upgrade.act_within", x.CommitTimeout, &c.Upgrade.CommitTimeout, 10*time.Millisecond, time.Second)
 		// A drain announced during the hold is noticed only after it, and must be noticed within 750 ms.
 		if sum := c.Upgrade.HoldTimeout + c.Upgrade.TransferTimeout + c.Upgrade.CommitTimeout; sum > maxHold {
-			fault("upgrade", "hold_at_most, take_within and act_within add up to %v, at most %v is allowed so that drains are noticed in time", sum, maxHold)
+			addFault("upgrade", "hold_at_most, take_within and act_within add up to %v, at most %v is allowed so that drains are noticed in time", sum, maxHold)
 		}
 		if x.RequireSameDecisions != nil {
 			c.Upgrade.RequireSameDecisions = *x.RequireSameDecisions
@@ -201,16 +201,16 @@
 			c.Upgrade.KeepPID = *x.KeepPID
 		}
 		if c.Control.Socket == "" {
-			fault("upgrade", "requires control.socket, which receives upgrade commands")
+			addFault("upgrade", "requires control.socket, which receives upgrade commands")
 		}
 	}
 	if x := f.Log; x != nil && x.Format != nil {
 		if c.Log.Format = *x.Format; c.Log.Format != "text" && c.Log.Format != "json" {
-			fault("log.format", "%q must be text or json", c.Log.Format)
+			addFault("log.format", "%q must be text or json", c.Log.Format)
 		}
 	}
 	if x := f.Fleet; x != nil {
-		c.Fleet = x.read(fault)
+		c.Fleet = x.read(addFault)
 		duration("fleet.lease", x.Lease, &c.Fleet.Lease, 3*time.Second, time.Hour)
 		duration("fleet.probe_every", x.ProbeInterval, &c.Fleet.ProbeInterval, 50*time.Millisecond, time.Minute)
 	}
@@ -219,22 +219,22 @@
 		if x.AdoptNewerConfig != nil {
 			c.Audit.AdoptNewerConfig = *x.AdoptNewerConfig
 		}
-		full(x.Folder, &c.Audit.Folder)
+		resolvePath(x.Folder, &c.Audit.Folder)
 		if x.ConfigVersion != nil {
 			if c.Audit.ConfigVersion = *x.ConfigVersion; c.Audit.ConfigVersion < 0 || c.Audit.ConfigVersion > 1<<62 {
-				fault("audit.version", "%d must be from 0 to %d", c.Audit.ConfigVersion, int64(1)<<62)
+				addFault("audit.version", "%d must be from 0 to %d", c.Audit.ConfigVersion, int64(1)<<62)
 			}
 		}
-		whole := func(key string, from *int, to *int, most int) {
+		positiveInt := func(key string, from *int, to *int, maximum int) {
 			if from == nil {
 				return
 			}
-			if *to = *from; *to < 1 || *to > most {
-				fault(key, "%d must be from 1 to %d", *to, most)
+			if *to = *from; *to < 1 || *to > maximum {
+				addFault(key, "%d must be from 1 to %d", *to, maximum)
 			}
 		}
-		whole("audit.files", x.MaxFiles, &c.Audit.MaxFiles, 10000)
-		whole("audit.file_mb", x.MaxFileMB, &c.Audit.MaxFileMB, 1024)
+		positiveInt("audit.files", x.MaxFiles, &c.Audit.MaxFiles, 10000)
+		positiveInt("audit.file_mb", x.MaxFileMB, &c.Audit.MaxFileMB, 1024)
 	}
 	return c, errors.Join(faults...)
 }
