--- a/cmd/foldlb-control/status_test.go
+++ b/cmd/foldlb-control/status_test.go
@@ -117,6 +117,6 @@
 	must.StrNotContains(t, printed(), "being exchanged")
 	status.VotersWanted = 5
 	must.StrContains(t, printed(), "2 voters, but 5 are needed to bear the loss of 2")
-	status.VotersExchanging = true
+	status.VotersChanging = true
 	must.StrContains(t, printed(), "voters are being exchanged")
 }
--- a/cmd/foldlb-control/statustext.go
+++ b/cmd/foldlb-control/statustext.go
@@ -26,7 +26,7 @@
 			status.Address, status.Epoch)
 	}
 	fmt.Fprintf(out, "voters %s\n", strings.Join(status.Voters, " "))
-	if status.VotersExchanging {
+	if status.VotersChanging {
 		fmt.Fprintln(out, "voters are being exchanged: take no other control process away until this is over")
 	}
 	if len(status.Voters) < status.VotersWanted {
@@ -120,7 +120,7 @@
 
 // printWaiting tells of partitions that wait for stores, and what to do where they wait for more than may be lost.
 func printWaiting(out io.Writer, status *controlplane.Status) {
-	partitions, silent := status.Waiting()
+	partitions, silent := status.PendingTakeovers()
 	if !status.Leader || partitions == 0 {
 		return
 	}
--- a/cmd/foldlb/audit.go
+++ b/cmd/foldlb/audit.go
@@ -51,7 +51,7 @@
 // record is the folder's record, opened before there is a reducer: what the process before acted on bounds what this one may.
 type record struct {
 	writer  *trail.Writer
-	last    trail.Last
+	last    trail.Predecessor
 	process uint64
 	failed  bool // it can't be written to, and that was said
 }
@@ -63,7 +63,7 @@
 	if a == nil || a.Folder == "" {
 		return
 	}
-	r := record{process: gossip.NewProcess()}
+	r := record{process: gossip.NewProcessID()}
 	var err error
 	r.writer, r.last, err = trail.Open(recordOptions(s.cfg.Name, *a, r.process), func(err error) { s.log.WithError(err).Error("audit") })
 	if err != nil && !errors.Is(err, trail.ErrBusy) {
@@ -103,7 +103,7 @@
 	if a == nil {
 		return nil
 	}
-	x := &auditor{n: n, cfg: *a, process: gossip.NewProcess(), summed: make(chan struct{})}
+	x := &auditor{n: n, cfg: *a, process: gossip.NewProcessID(), summed: make(chan struct{})}
 	if f := s.operator.Fleet; f != nil {
 		x.source, x.routes = f.Name, f.RouteSource
 	}
--- a/cmd/foldlb/auditcmd.go
+++ b/cmd/foldlb/auditcmd.go
@@ -83,7 +83,7 @@
 func lags(all []membership.Member, now float64) []lag {
 	out := make([]lag, len(all))
 	for i, m := range all {
-		if m.Over() {
+		if m.Departed() {
 			continue
 		}
 		l := &out[i]
@@ -293,12 +293,12 @@
 		fmt.Println(string(text))
 	} else {
 		fmt.Printf("%d members, %d records in %d bytes, %d acts, %d records missing behind gaps, %d ends cut off\n", v.Members, v.Records, v.Bytes, v.Acts, v.Missing, v.Cuts)
-		for _, b := range v.Breaks {
+		for _, b := range v.Violations {
 			fmt.Printf("BROKEN %s: %s: %s\n", b.Member, b.Where, b.What)
 		}
 	}
-	if len(v.Breaks) > 0 {
-		return cli.Exit(fmt.Sprintf("%d promises are broken", len(v.Breaks)), exitBroken)
+	if len(v.Violations) > 0 {
+		return cli.Exit(fmt.Sprintf("%d promises are broken", len(v.Violations)), exitBroken)
 	}
 	return nil
 }
--- a/cmd/foldlb/door.go
+++ b/cmd/foldlb/door.go
@@ -72,7 +72,7 @@
 	for _, c := range n.cfg.Settings.Classes {
 		classes = append(classes, c.Name)
 	}
-	n.clients.Count(classes)
+	n.clients.CountClasses(classes)
 	n.behind = ops.Backend{
 		Ready: func() error {
 			if n.ending.Load() {
--- a/cmd/foldlb/figures.go
+++ b/cmd/foldlb/figures.go
@@ -31,7 +31,7 @@
 // figures names a tally's figures and those of the connections. All but the last four count from the process's start.
 func (n *node) figures(f core.Figures) logrus.Fields {
 	opened, refused := n.workers.Connections()
-	calls, failures := n.routes.Asked()
+	calls, failures := n.routes.CallCounts()
 	t := f.Tally
 	return logrus.Fields{"requests": t.Calls, "attempts": t.Branches, "moves": t.Moves, "refused_at_once": t.RefusedAtOnce,
 		"refused_tried": t.RefusedTried, "failed": t.Failed, "connections": opened, "connections_refused": refused,
--- a/cmd/foldlb/fleet.go
+++ b/cmd/foldlb/fleet.go
@@ -81,7 +81,7 @@
 	for told := false; sockets == nil; {
 		var err error
 		if sockets, err = gossip.Listen(m.cfg.Listen); err == nil {
-			process = gossip.NewProcess()
+			process = gossip.NewProcessID()
 			break
 		}
 		if !told {
@@ -177,7 +177,7 @@
 	if n.member == nil || st.Packet < 0 || st.Listen != n.member.cfg.Listen.String() {
 		return nil
 	}
-	sockets, err := gossip.Take(st, files)
+	sockets, err := gossip.ImportSockets(st, files)
 	if err != nil {
 		return err
 	}
--- a/cmd/foldlb/fleetcmd.go
+++ b/cmd/foldlb/fleetcmd.go
@@ -97,10 +97,10 @@
 	for _, k := range []struct {
 		flag string
 		kind membership.Kind
-	}{{"config", membership.OfConfig}, {"routes", membership.OfRoutes}, {"program", membership.OfProgram}} {
+	}{{"config", membership.KindConfig}, {"routes", membership.KindRoutes}, {"program", membership.KindProgram}} {
 		if c.IsSet(k.flag) {
 			n++
-			if o.Kind = k.kind; k.kind == membership.OfProgram {
+			if o.Kind = k.kind; k.kind == membership.KindProgram {
 				o.Program = c.String(k.flag)
 			} else {
 				o.No = c.Int64(k.flag)
--- a/cmd/foldlb/fleetview.go
+++ b/cmd/foldlb/fleetview.go
@@ -87,7 +87,7 @@
 		return fleetView{}, errNoFleet
 	}
 	p, now := g.Picture(), m.n.body.Clock.Now()
-	v := fleetView{Self: p.Self.Name, Fleet: m.cfg.Fleet, Digest: fmt.Sprintf("%016x", p.Digest), Settled: now - p.Changed,
+	v := fleetView{Self: p.Self.Name, Fleet: m.cfg.Fleet, Digest: fmt.Sprintf("%016x", p.Digest), Settled: now - p.ChangedAt,
 		Acting: p.Acting, Reached: p.Reached, Zones: p.Zones, Counts: g.Counts(), Dropped: p.Dropped}
 	behind := lags(p.Members, now)
 	for i, x := range p.Members {
--- a/cmd/foldlb/floororder.go
+++ b/cmd/foldlb/floororder.go
@@ -34,12 +34,12 @@
 func (m *member) floor(o floorOrder, say func(any) error) error {
 	f := membership.Floor{Kind: o.Kind, No: o.No, Within: o.Within, Why: o.Why, Withdrawn: o.Withdraw, Source: m.cfg.Fleet}
 	switch o.Kind {
-	case membership.OfRoutes:
+	case membership.KindRoutes:
 		f.Source = m.routes
 		if f.Source == "" {
 			f.Source = m.n.cfg.Discovery
 		}
-	case membership.OfProgram:
+	case membership.KindProgram:
 		f.Source = o.Program
 	}
 	begin := time.Now()
@@ -52,7 +52,7 @@
 	}
 	for time.Since(begin) < toldMost {
 		// Danger: the picture may still be of the moment before.
-		if p := m.gossip.Load().Picture(); p.FloorsTold && slices.ContainsFunc(p.Floors, t.Floor.Same) {
+		if p := m.gossip.Load().Picture(); p.FloorsHeldByMajority && slices.ContainsFunc(p.Floors, t.Floor.Same) {
 			a := floorAnswer{Hit: t.Hit, Told: true, Bound: -1}
 			if m.cfg.Lease > 0 {
 				a.Bound = max(0, o.Within-time.Since(begin).Seconds()) + m.cfg.Lease.Seconds()
--- a/cmd/foldlb/handover_bench_test.go
+++ b/cmd/foldlb/handover_bench_test.go
@@ -97,7 +97,7 @@
 			b.Fatal(err)
 		}
 		held := time.Now()
-		files := hold.Files{Ahead: ahead}
+		files := hold.Files{SentAhead: ahead}
 		parcel, err := n.body.Pack(&files)
 		if err != nil {
 			b.Fatal(err)
@@ -108,7 +108,7 @@
 		}
 		packed := time.Now()
 		b.StopTimer() // descriptors pass ahead, and the twin stands ready
-		st, err := n.body.State()
+		st, err := n.body.Snapshot()
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -126,7 +126,7 @@
 			b.Fatal(err)
 		}
 		received := gate.Receive()
-		if err := received.Early(twins(b, conns)); err != nil {
+		if err := received.ReceiveAhead(twins(b, conns)); err != nil {
 			b.Fatal(err)
 		}
 		next := build(cfg, r2, gate, clock, quiet())
@@ -146,7 +146,7 @@
 		for _, c := range next.gate.Conns() {
 			c.Close()
 		}
-		n.body.LetGo()
+		n.body.Release()
 		debug.SetGCPercent(100)
 		b.StartTimer()
 	}
--- a/cmd/foldlb/node.go
+++ b/cmd/foldlb/node.go
@@ -32,15 +32,15 @@
 	clients *clientconn.Server
 	workers *workerconn.Sender
 	routes  *routeset.Client
-	body    *upgrade.Body
-	giver   *upgrade.Giver    // nil where upgrades are off
-	lines   chan string       // of the reducer's log
-	tallies chan core.Figures // asked for by logFigures, which waits for one at a time
-	door    *ops.AdminServer  // nil where there is none
-	behind  ops.Backend       // what is put behind it
-	ending  atomic.Bool       // SIGTERM has come
-	member  *member           // of a fleet; nil where there is none
-	auditor *auditor          // nil where no account is kept
+	body    *upgrade.Runtime
+	giver   *upgrade.HandoverSender // nil where upgrades are off
+	lines   chan string             // of the reducer's log
+	tallies chan core.Figures       // asked for by logFigures, which waits for one at a time
+	door    *ops.AdminServer        // nil where there is none
+	behind  ops.Backend             // what is put behind it
+	ending  atomic.Bool             // SIGTERM has come
+	member  *member                 // of a fleet; nil where there is none
+	auditor *auditor                // nil where no account is kept
 
 	now atomic.Pointer[core.Limits] // those in force
 
@@ -59,19 +59,19 @@
 	forCallers, forWorkers := connections(cfg.Limits)
 	n.clients = clientconn.NewServer(forCallers, n.gate, n.loop.Post, log)
 	n.workers = workerconn.NewSender(workerconn.Options{
-		DialTimeout: time.Duration(cfg.Settings.DialTimeout * secondsToNanos),
-		IdleClose:   time.Duration(cfg.Settings.ConnIdle * secondsToNanos),
-		MostConns:   forWorkers,
-		Present:     n.clients.Present,
+		DialTimeout:   time.Duration(cfg.Settings.DialTimeout * secondsToNanos),
+		IdleClose:     time.Duration(cfg.Settings.ConnIdle * secondsToNanos),
+		MaxConns:      forWorkers,
+		CallerPresent: n.clients.CallerPresent,
 	}, n.gate, clock.Now, n.loop.Post, log)
 	n.routes = routeset.NewClient(n.gate, n.loop.Post, log)
-	n.body = &upgrade.Body{Loop: n.loop, Reducer: reducer, Gate: n.gate, Clock: clock, Generation: 1, Started: time.Now(),
+	n.body = &upgrade.Runtime{Loop: n.loop, Reducer: reducer, Gate: n.gate, Clock: clock, Generation: 1, Started: time.Now(),
 		Parts: []upgrade.Part{
 			upgrade.NewPart("callers", n.clients.Export, n.clients.Import),
 			upgrade.NewPart("next hops", n.workers.Export, n.workers.Import),
 			upgrade.NewPart("routes", n.routes.Export, n.routes.Import),
 			upgrade.NewPart("door", n.exportDoor, n.importDoor),
-			upgrade.NewPart("fleet", n.exportFleet, n.importFleet).OrNone(),
+			upgrade.NewPart("fleet", n.exportFleet, n.importFleet).AsOptional(),
 		}}
 	return n
 }
@@ -91,7 +91,7 @@
 	case core.CloseIdle:
 		n.workers.CloseIdle(e.Addr)
 	case core.DropWorker:
-		n.workers.Drop(e.Addr)
+		n.workers.CancelUnsent(e.Addr)
 	case core.Watch:
 		n.routes.Watch(e)
 	case core.FetchRouteSet:
@@ -119,8 +119,8 @@
 		setMachine(e.Limits)
 		n.now.Store(&e.Limits)
 		callers, next := connections(e.Limits)
-		n.clients.SetMost(callers)
-		n.workers.SetMost(next)
+		n.clients.SetMaxConns(callers)
+		n.workers.SetMaxConns(next)
 	case core.Figures:
 		select {
 		case n.tallies <- e:
@@ -222,7 +222,7 @@
 		if n.giver == nil {
 			n.reload()
 		} else {
-			n.giver.Order(syscall.SIGHUP, n.reload)
+			n.giver.RunAsOwner(syscall.SIGHUP, n.reload)
 		}
 	}
 }
--- a/cmd/foldlb/operate.go
+++ b/cmd/foldlb/operate.go
@@ -51,11 +51,11 @@
 		return nil, err
 	}
 	binary, since := executable(), time.Now()
-	n.giver = upgrade.NewGiver(n.body, limits(s.operator.Upgrade), s.operator.Upgrade.RequireSameDecisions, s.successor(binary), nil, n.log)
+	n.giver = upgrade.NewHandoverSender(n.body, limits(s.operator.Upgrade), s.operator.Upgrade.RequireSameDecisions, s.successor(binary), nil, n.log)
 	handlers := map[string]control.Handler{
 		"status": func(_ json.RawMessage, say func(any) error) error {
 			return say(status{Name: n.cfg.Name, PID: os.Getpid(), Generation: n.body.Generation, Version: version, Binary: binary,
-				Since: since, Started: n.body.Started, Listen: n.cfg.Listen, PutOff: n.giver.PutOff(), Upgrade: n.giver.Last()})
+				Since: since, Started: n.body.Started, Listen: n.cfg.Listen, PutOff: n.giver.DeferredOrders(), Upgrade: n.giver.LastResult()})
 		},
 		"upgrade": func(_ json.RawMessage, say func(any) error) error {
 			cfg, err := config.Reload(os.Getenv)
--- a/cmd/foldlb/replacement.go
+++ b/cmd/foldlb/replacement.go
@@ -65,7 +65,7 @@
 	if folder == "" {
 		return "", errors.New("TMPDIR: not set")
 	}
-	return upgrade.MeetPath(folder)
+	return upgrade.RendezvousPath(folder)
 }
 
 // replaceRunning serves on the listener that the platform holds: from where a running process stands if there is one, else, or
@@ -76,7 +76,7 @@
 	path, err := meetingPath()
 	for met, pause := false, meetAgain; err == nil; pause *= 2 {
 		var pipe *upgrade.Pipe
-		if pipe, err = upgrade.Meet(ctx, path, until); err == nil {
+		if pipe, err = upgrade.DialRendezvous(ctx, path, until); err == nil {
 			met = true
 			var t *takeover
 			if t, err = s.takeOver(pipe, door); err == nil {
@@ -109,22 +109,22 @@
 		return
 	}
 	path, err := meetingPath()
-	var m *upgrade.Meeting
+	var m *upgrade.RendezvousListener
 	if err == nil {
-		m, err = upgrade.Listen(path)
+		m, err = upgrade.ListenRendezvous(path)
 	}
 	if err != nil {
 		n.log.WithError(err).Warn("no process can take over from this one")
-		n.clients.Shares(time.Duration(math.MaxInt64 / 2)) // a newcomer will serve beside it, and can't say so
+		n.clients.ShareListener(time.Duration(math.MaxInt64 / 2)) // a newcomer will serve beside it, and can't say so
 		return
 	}
 	limits := upgrade.Limits{Start: meetStart, Probation: meetFollow, Hold: meetHold, Offer: meetOffer, Commit: meetCommit}
 	if n.giver == nil {
-		n.giver = upgrade.NewGiver(n.body, limits, false, nil, func(int) { n.leaveDoor() }, n.log)
+		n.giver = upgrade.NewHandoverSender(n.body, limits, false, nil, func(int) { n.leaveDoor() }, n.log)
 	}
-	n.giver.Shed = n.shed
-	n.giver.Apart = func() {
-		n.clients.Shares(overlapMost)
+	n.giver.ShedConns = n.shed
+	n.giver.OnSeparateStart = func() {
+		n.clients.ShareListener(overlapMost)
 		time.AfterFunc(overlapMost, func() { wholeMachine(n.limits()) })
 	}
 	begins := n.begins
@@ -132,7 +132,7 @@
 		if begins != nil {
 			begins()
 		}
-		go n.giver.Meet(m, limits)
+		go n.giver.Accept(m, limits)
 	}
 }
 
@@ -144,6 +144,6 @@
 	halved.Store(true)
 	setMachine(l)
 	over := len(n.gate.Conns()) - (l.Sockets-reservedFiles)/2
-	over -= n.workers.Shed(over)
-	n.clients.Shed(over)
+	over -= n.workers.CloseOldestIdle(over)
+	n.clients.CloseOldestIdle(over)
 }
--- a/cmd/foldlb/serve.go
+++ b/cmd/foldlb/serve.go
@@ -90,7 +90,7 @@
 	if held != nil {
 		return s.replaceRunning(ctx, held, door, reload)
 	}
-	ln, err := clientconn.Listen(ctx, s.cfg.Listen, clientconn.ListenWait, s.log)
+	ln, err := clientconn.Listen(ctx, s.cfg.Listen, clientconn.ListenTimeout, s.log)
 	if err != nil {
 		return err
 	}
@@ -144,7 +144,7 @@
 	}
 	gate := hold.NewGate()
 	if s.operator.Control.Socket == "" && os.Getenv(envInherited) == "" {
-		gate.Forget() // there will be no upgrade
+		gate.DisableHandover() // there will be no upgrade
 	}
 	n := build(s.cfg, reducer, gate, clock, log)
 	n.open(door)
@@ -156,7 +156,7 @@
 		return err
 	}
 	if os.Getenv(envInherited) != "" {
-		n.clients.Shares(overlapMost) // whoever served before may still do
+		n.clients.ShareListener(overlapMost) // whoever served before may still do
 	}
 	s.acceptSuccessors(n)
 	defer end()
@@ -191,7 +191,7 @@
 	if err = gate.Hold(time.Second, nil); err != nil { // nothing may act before the word to go
 		return nil, err
 	}
-	if taken, err = upgrade.Take(pipe, s.under, version, gate); err != nil {
+	if taken, err = upgrade.Receive(pipe, s.under, version, gate); err != nil {
 		return nil, err
 	}
 	if err = s.goOn(taken.Reducer.Config()); err != nil { // what came into force while this process followed
@@ -226,7 +226,7 @@
 // serve goes on where the other process stood.
 func (t *takeover) serve(ctx context.Context, reload <-chan os.Signal) error {
 	defer t.end()
-	read, place, words := t.taken.Times()
+	read, place, words := t.taken.Durations()
 	t.node.log.WithFields(logrus.Fields{"read": read.String(), "place": place.String(), "words": words.String()}).Info("taken over")
 	return t.node.serve(ctx, t.ln, reload, t.taken.Parcel.Reload)
 }
--- a/internal/audit/recorder.go
+++ b/internal/audit/recorder.go
@@ -19,13 +19,13 @@
 	Answered             // served
 	Refused              // answered busy
 	Failed               // answered as failed
-	Kinds                // how many kinds there are
+	NumKinds             // how many kinds there are
 )
 
-var kindNames = [Kinds]string{"sent", "given up", "answered", "refused", "failed"}
+var kindNames = [NumKinds]string{"sent", "given up", "answered", "refused", "failed"}
 
 func (k Kind) String() string {
-	if k < Kinds {
+	if k < NumKinds {
 		return kindNames[k]
 	}
 	return "unknown"
@@ -41,13 +41,13 @@
 
 // Span is a time in which a dispatcher acted on the same versions. Times are seconds on its own clock.
 type Span struct {
-	No       uint64        `cbor:"1,keyasint"`
-	Versions Versions      `cbor:"2,keyasint"`
-	From     float64       `cbor:"3,keyasint"` // when the versions came into force, or the last span ended
-	First    float64       `cbor:"4,keyasint"` // act; 0 where there was none
-	Last     float64       `cbor:"5,keyasint"`
-	Until    float64       `cbor:"6,keyasint"`
-	Counts   [Kinds]uint64 `cbor:"7,keyasint"`
+	No       uint64           `cbor:"1,keyasint"`
+	Versions Versions         `cbor:"2,keyasint"`
+	From     float64          `cbor:"3,keyasint"` // when the versions came into force, or the last span ended
+	First    float64          `cbor:"4,keyasint"` // act; 0 where there was none
+	Last     float64          `cbor:"5,keyasint"`
+	Until    float64          `cbor:"6,keyasint"`
+	Counts   [NumKinds]uint64 `cbor:"7,keyasint"`
 
 	// Of the branches among the acts, which alone fall under floors and lists: an answer to a request that was taken before may come
 	// after. 0 where there was none, and in records of builds that did not tell them apart.
@@ -56,7 +56,7 @@
 }
 
 // Sends is when the span's first and last branch were sent; where that is not told, when its first and last act were. No branch: false.
-func (s Span) Sends() (first, last float64, any bool) {
+func (s Span) SendTimes() (first, last float64, any bool) {
 	switch {
 	case s.Counts[Sent] == 0:
 		return 0, 0, false
@@ -94,10 +94,10 @@
 	now  Span
 	ring []ringAct
 	next int
-	held []Versions    // that the ring's acts name; the last is in force
-	base int           // of held's first, counted from the beginning
-	done []Span        // ended, and not taken yet
-	sum  [Kinds]uint64 // of all that has ended
+	held []Versions       // that the ring's acts name; the last is in force
+	base int              // of held's first, counted from the beginning
+	done []Span           // ended, and not taken yet
+	sum  [NumKinds]uint64 // of all that has ended
 }
 
 type ringAct struct {
@@ -138,7 +138,7 @@
 }
 
 // Hold says which versions are held from now on, and tells whether they are others. What was counted before belongs to those before.
-func (b *Recorder) Hold(now float64, v Versions) bool {
+func (b *Recorder) SetVersions(now float64, v Versions) bool {
 	if v == b.now.Versions {
 		return false
 	}
@@ -153,7 +153,7 @@
 }
 
 // Pass ends a span that has lasted long enough, and tells whether one is due.
-func (b *Recorder) Pass(now float64) {
+func (b *Recorder) EndDueSpan(now float64) {
 	if now-b.now.From >= spanMost {
 		b.end(now)
 	}
@@ -183,7 +183,7 @@
 func (b *Recorder) Now() Span { return b.now }
 
 // Of returns the acts on a request that are remembered, in order.
-func (b *Recorder) Of(request string) (all []Act) {
+func (b *Recorder) ActsOf(request string) (all []Act) {
 	for i := range b.ring {
 		a := b.ring[(b.next+i)%len(b.ring)]
 		if a.request == request && a.versions >= b.base {
@@ -194,13 +194,13 @@
 }
 
 // Sums are the counts of all spans that have ended.
-func (b *Recorder) Sums() [Kinds]uint64 { return b.sum }
+func (b *Recorder) Sums() [NumKinds]uint64 { return b.sum }
 
 // State is what passes to a successor: single acts stay behind.
 type State struct {
-	Now  Span          `cbor:"1,keyasint"`
-	Done []Span        `cbor:"2,keyasint,omitempty"`
-	Sums [Kinds]uint64 `cbor:"3,keyasint"`
+	Now  Span             `cbor:"1,keyasint"`
+	Done []Span           `cbor:"2,keyasint,omitempty"`
+	Sums [NumKinds]uint64 `cbor:"3,keyasint"`
 }
 
 // Export returns the account without single acts.
--- a/internal/audit/trail/format.go
+++ b/internal/audit/trail/format.go
@@ -53,8 +53,8 @@
 
 // End is what a process says of itself as it ends in order.
 type End struct {
-	Counts [audit.Kinds]uint64 `cbor:"1,keyasint"` // over all its spans
-	Spans  uint64              `cbor:"2,keyasint"`
+	Counts [audit.NumKinds]uint64 `cbor:"1,keyasint"` // over all its spans
+	Spans  uint64                 `cbor:"2,keyasint"`
 }
 
 // The faults of a folder.
--- a/internal/audit/trail/trail_test.go
+++ b/internal/audit/trail/trail_test.go
@@ -26,13 +26,13 @@
 }
 
 // written writes spans and ends in order.
-func written(t *testing.T, o Options, spans ...audit.Span) Last {
+func written(t *testing.T, o Options, spans ...audit.Span) Predecessor {
 	t.Helper()
 	w, last, err := Open(o, func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	var sums [audit.Kinds]uint64
+	var sums [audit.NumKinds]uint64
 	for _, s := range spans {
 		w.Put(s.Until, Record{Span: &s})
 		for k, n := range s.Counts {
@@ -44,7 +44,7 @@
 	return last
 }
 
-func verified(t *testing.T, folders ...string) Verdict {
+func verified(t *testing.T, folders ...string) Result {
 	t.Helper()
 	v, err := Verify(folders, true)
 	if err != nil {
@@ -53,9 +53,9 @@
 	return v
 }
 
-func broken(v Verdict) string {
+func broken(v Result) string {
 	var all []string
-	for _, b := range v.Breaks {
+	for _, b := range v.Violations {
 		all = append(all, b.Where+": "+b.What)
 	}
 	return strings.Join(all, "; ")
@@ -376,8 +376,8 @@
 			}
 			for b.Loop() {
 				v, err := Verify(folders, false)
-				if err != nil || len(v.Breaks) > 0 {
-					b.Fatal(v.Breaks, err)
+				if err != nil || len(v.Violations) > 0 {
+					b.Fatal(v.Violations, err)
 				}
 				b.ReportMetric(float64(v.Bytes)/float64(members), "bytes/member")
 			}
--- a/internal/audit/trail/verify.go
+++ b/internal/audit/trail/verify.go
@@ -16,7 +16,7 @@
 )
 
 // Break is a promise that a record shows broken, or a record that can't be believed.
-type Break struct {
+type Violation struct {
 	Member string  `json:"member"`
 	Where  string  `json:"where"` // file, and record or byte
 	What   string  `json:"what"`
@@ -44,16 +44,16 @@
 }
 
 // Verdict is what verifying has found.
-type Verdict struct {
-	Members int     `json:"members"`
-	Records uint64  `json:"records"`
-	Bytes   int64   `json:"bytes"`
-	Acts    uint64  `json:"acts"`
-	Missing uint64  `json:"missing"` // records that gaps tell of
-	Cuts    int     `json:"cuts"`    // torn ends that were cut off
-	Breaks  []Break `json:"breaks"`
-	Uses    []Use   `json:"-"`
-	Spans   []Entry `json:"-"`
+type Result struct {
+	Members    int         `json:"members"`
+	Records    uint64      `json:"records"`
+	Bytes      int64       `json:"bytes"`
+	Acts       uint64      `json:"acts"`
+	Missing    uint64      `json:"missing"` // records that gaps tell of
+	Cuts       int         `json:"cuts"`    // torn ends that were cut off
+	Violations []Violation `json:"breaks"`
+	Uses       []Use       `json:"-"`
+	Spans      []Entry     `json:"-"`
 }
 
 const mostBreaks = 200
@@ -63,12 +63,12 @@
 	spans  uint64
 	last   audit.Span
 	any    bool
-	counts [audit.Kinds]uint64
+	counts [audit.NumKinds]uint64
 	gap    bool
 }
 
 type verifier struct {
-	Verdict
+	Result
 	keep   bool
 	lives  map[uint64]*life
 	owners map[origin]content
@@ -97,11 +97,11 @@
 
 // Verify reads the records of folders, one member's each, and checks what they promise. keep has all spans returned. It shares the format
 // of records with the writer, and no code.
-func Verify(folders []string, keep bool) (Verdict, error) {
+func Verify(folders []string, keep bool) (Result, error) {
 	v := &verifier{keep: keep, owners: map[origin]content{}, uses: map[useKey]*Use{}}
 	for _, folder := range folders {
 		if err := v.folder(folder); err != nil {
-			return v.Verdict, err
+			return v.Result, err
 		}
 	}
 	for _, u := range v.uses {
@@ -118,12 +118,12 @@
 		return a.Member < b.Member
 	})
 	sort.SliceStable(v.Spans, func(i, j int) bool { return v.Spans[i].Wall < v.Spans[j].Wall })
-	return v.Verdict, nil
+	return v.Result, nil
 }
 
 func (v *verifier) broken(where string, r Record, format string, args ...any) {
-	if len(v.Breaks) < mostBreaks {
-		v.Breaks = append(v.Breaks, Break{Member: v.member, Where: where, What: fmt.Sprintf(format, args...), Wall: r.Wall, Clock: r.Clock})
+	if len(v.Violations) < mostBreaks {
+		v.Violations = append(v.Violations, Violation{Member: v.member, Where: where, What: fmt.Sprintf(format, args...), Wall: r.Wall, Clock: r.Clock})
 	}
 }
 
--- a/internal/audit/trail/writer.go
+++ b/internal/audit/trail/writer.go
@@ -65,7 +65,7 @@
 }
 
 // Last is what the newest records of a folder tell of the process before.
-type Last struct {
+type Predecessor struct {
 	Process  uint64
 	Versions audit.Versions // of its last span
 	Any      bool           // there was one
@@ -76,14 +76,14 @@
 // Open goes on with a folder's record, or begins one, and tells what the process before acted on last. A torn last record is cut off
 // and named. A record of another member or of a newer format is an error, and nothing is written. Where the chain is broken a new
 // file begins, which says so.
-func Open(o Options, warn func(error)) (*Writer, Last, error) {
+func Open(o Options, warn func(error)) (*Writer, Predecessor, error) {
 	w := &Writer{o: o, queue: make(chan Record, mostQueued), done: make(chan struct{}), warn: warn}
 	if err := os.MkdirAll(o.Folder, 0o700); err != nil {
-		return nil, Last{}, fmt.Errorf("audit: %w", err)
+		return nil, Predecessor{}, fmt.Errorf("audit: %w", err)
 	}
 	var err error
 	if w.lock, err = lock(o.Folder); err != nil {
-		return nil, Last{}, err
+		return nil, Predecessor{}, err
 	}
 	last, err := w.open()
 	if err != nil {
@@ -115,20 +115,20 @@
 }
 
 // open reads how the last file ends, and begins the next.
-func (w *Writer) open() (Last, error) {
+func (w *Writer) open() (Predecessor, error) {
 	o := w.o
 	names, err := filesOf(o.Folder)
 	if err != nil {
-		return Last{}, err
+		return Predecessor{}, err
 	}
-	var last Last
+	var last Predecessor
 	if len(names) > 0 {
 		name := names[len(names)-1]
 		if _, err := fmt.Sscanf(filepath.Base(name), "%d", &w.seq); err != nil {
-			return Last{}, fmt.Errorf("audit: %s: no number", name)
+			return Predecessor{}, fmt.Errorf("audit: %s: no number", name)
 		}
 		if last, err = w.resume(name); err != nil {
-			return Last{}, err
+			return Predecessor{}, err
 		}
 	}
 	if last.Any {
@@ -148,7 +148,7 @@
 }
 
 // resume reads the newest file to its end.
-func (w *Writer) resume(name string) (last Last, err error) {
+func (w *Writer) resume(name string) (last Predecessor, err error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return last, fmt.Errorf("audit: %w", err)
--- a/internal/clientconn/away_test.go
+++ b/internal/clientconn/away_test.go
@@ -79,7 +79,7 @@
 // TestCounts: how jobs ended, by class, against a count kept here; call-backs, health checks and bad requests are none.
 func TestCounts(t *testing.T) {
 	f := serve(t, 16)
-	f.s.Count([]string{"c", "d"})
+	f.s.CountClasses([]string{"c", "d"})
 	c := f.dial()
 	want := map[string]Tally{"d": {}}
 	tally := Tally{}
--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -72,7 +72,7 @@
 func (c *conn) claim() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shut || c.closed || !(c.phase == waiting && c.Silent() || c.phase == reading && !c.proven) {
+	if c.shut || c.closed || !(c.phase == waiting && c.OpenWithoutData() || c.phase == reading && !c.proven) {
 		return false
 	}
 	c.shut = true
@@ -105,7 +105,7 @@
 			return
 		}
 		n += m
-		c.Mark(0)
+		c.MarkConsumed(0)
 	}
 }
 
@@ -170,7 +170,7 @@
 		return yieldsNow, c.since
 	case c.closed || c.phase >= serving || c.proven && c.phase == reading:
 		return stays, c.since
-	case c.phase == waiting && !c.Silent():
+	case c.phase == waiting && !c.OpenWithoutData():
 		return stays, c.since
 	case c.proven:
 		return keptIdle, c.since
@@ -186,7 +186,7 @@
 func (c *conn) idleFor(now time.Time, of side) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if of != unknown && c.side != of || c.closed || c.shut || c.phase != waiting || !c.Silent() {
+	if of != unknown && c.side != of || c.closed || c.shut || c.phase != waiting || !c.OpenWithoutData() {
 		return 0
 	}
 	return now.Sub(c.since)
@@ -196,5 +196,5 @@
 func (c *conn) saysNothing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.proven && c.phase == waiting && c.Silent()
+	return !c.proven && c.phase == waiting && c.OpenWithoutData()
 }
--- a/internal/clientconn/drain.go
+++ b/internal/clientconn/drain.go
@@ -69,7 +69,7 @@
 }
 
 // Shed closes up to n connections that wait for a next request, those that have waited longest first.
-func (s *Server) Shed(n int) {
+func (s *Server) CloseOldestIdle(n int) {
 	type waiter struct {
 		c     *conn
 		since time.Time
--- a/internal/clientconn/end_test.go
+++ b/internal/clientconn/end_test.go
@@ -80,7 +80,7 @@
 	}
 	before := received(t, conn)
 	c.send(ask, "hi") // its reader gets this, after the claim and before the end is said
-	for limit := time.Now().Add(patience / 2); received(t, conn) == before || !conn.Silent(); runtime.Gosched() {
+	for limit := time.Now().Add(patience / 2); received(t, conn) == before || !conn.OpenWithoutData(); runtime.Gosched() {
 		if time.Now().After(limit) {
 			t.Fatal("the reader does not get the request")
 		}
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	c.send(ask, "ho")
-	for limit := time.Now().Add(patience); conn.Silent(); runtime.Gosched() {
+	for limit := time.Now().Add(patience); conn.OpenWithoutData(); runtime.Gosched() {
 		if time.Now().After(limit) {
 			t.Fatal("nothing comes")
 		}
--- a/internal/clientconn/listen.go
+++ b/internal/clientconn/listen.go
@@ -11,9 +11,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-// ListenWait is for how long a new process waits for its address, where another one still holds it: one that was killed an instant ago, or is
+// ListenTimeout is for how long a new process waits for its address, where another one still holds it: one that was killed an instant ago, or is
 // about to end. Well under the 10 s within which a restarted dispatcher has to be ready.
-const ListenWait = 6 * time.Second
+const ListenTimeout = 6 * time.Second
 
 const listenPause = 20 * time.Millisecond // between tries; the kernel tells nobody when an address becomes free
 
--- a/internal/clientconn/serve.go
+++ b/internal/clientconn/serve.go
@@ -60,7 +60,7 @@
 
 // next reads one request and answers it, and tells whether the connection goes on.
 func (s *Server) next(c *conn) bool {
-	if c.First() != nil {
+	if c.WaitForData() != nil {
 		// Danger: an answer to a request that did not come in time could cross that request and be taken for its
 		// own. A close crosses without harm.
 		return false
--- a/internal/clientconn/server.go
+++ b/internal/clientconn/server.go
@@ -158,7 +158,7 @@
 }
 
 // SetMost changes how many connections may be open.
-func (s *Server) SetMost(conns int) {
+func (s *Server) SetMaxConns(conns int) {
 	s.mu.Lock()
 	s.most = conns
 	s.mu.Unlock()
@@ -205,7 +205,7 @@
 
 // Shares says that for so long another process may take callers and call-backs at the same address. A call-back that this
 // one knows nothing of is left unanswered meanwhile, and comes again. Danger: acknowledged here it would be lost there.
-func (s *Server) Shares(most time.Duration) { s.shares.Store(time.Now().Add(most).UnixNano()) }
+func (s *Server) ShareListener(most time.Duration) { s.shares.Store(time.Now().Add(most).UnixNano()) }
 
 func (s *Server) callBack(c *conn, req *fasthttp.Request) (answer, bool) {
 	if !req.Header.IsPost() {
@@ -296,12 +296,12 @@
 }
 
 // Present tells whether an exchange waits for its answer and its caller has not closed the connection, as far as the kernel knows. It reads nothing.
-func (s *Server) Present(id core.ExchangeID) bool {
+func (s *Server) CallerPresent(id core.ExchangeID) bool {
 	s.mu.Lock()
 	l := s.exchanges[id]
 	waits := l != nil && !l.answered
 	s.mu.Unlock()
-	return waits && !l.conn.Ended()
+	return waits && !l.conn.PeerClosed()
 }
 
 // Answer hands a final answer to its exchange. It does not block.
--- a/internal/clientconn/server_test.go
+++ b/internal/clientconn/server_test.go
@@ -140,7 +140,7 @@
 			c := f.dial()
 			c.send(ask, "hi")
 			exchange := f.event().(core.CallArrived).Call.Exchange
-			if !f.s.Present(exchange) {
+			if !f.s.CallerPresent(exchange) {
 				t.Fatalf("%d bytes: gone before it left", more)
 			}
 			if _, err := io.WriteString(c, strings.Repeat("x", more)); err != nil {
@@ -156,7 +156,7 @@
 			if e := f.event(); e != (core.CallerLeft{Exchange: exchange}) {
 				t.Errorf("%d bytes, reset %v: event %+v, want that the caller left", more, reset, e)
 			}
-			if f.s.Present(exchange) {
+			if f.s.CallerPresent(exchange) {
 				t.Errorf("%d bytes, reset %v: present after it left", more, reset)
 			}
 		}
@@ -175,7 +175,7 @@
 		}
 		io.WriteString(c, more)
 		c.Close()
-		for limit := time.Now().Add(patience); f.s.Present(exchange); runtime.Gosched() {
+		for limit := time.Now().Add(patience); f.s.CallerPresent(exchange); runtime.Gosched() {
 			if time.Now().After(limit) {
 				t.Fatalf("behind %q: still present", more)
 			}
--- a/internal/clientconn/tally.go
+++ b/internal/clientconn/tally.go
@@ -12,7 +12,7 @@
 type tally struct{ served, refused, failed atomic.Uint64 }
 
 // Count has the jobs of these classes counted, from the first one on. It is called before anything is served.
-func (s *Server) Count(classes []string) {
+func (s *Server) CountClasses(classes []string) {
 	s.tallies = make(map[string]*tally, len(classes))
 	for _, c := range classes {
 		s.tallies[c] = &tally{}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -19,7 +19,7 @@
 	Streams          int                `json:"streams"`
 	Voters           []string           `json:"voters"`
 	VotersWanted     int                `json:"votersWanted"`     // for the fault tolerance of the settings
-	VotersExchanging bool               `json:"votersExchanging"` // until this ends, a further loss counts for the voters before as well
+	VotersChanging   bool               `json:"votersExchanging"` // until this ends, a further loss counts for the voters before as well
 	ControlAddresses []string           `json:"controlAddresses"`
 	Stores           []StoreStatus      `json:"stores"`
 	Dispatchers      []DispatcherStatus `json:"dispatchers"`
@@ -31,7 +31,7 @@
 
 // Waiting returns how many partitions have an owner that does not yet know what other stores hold of them, and the stores that hold no
 // lease. Where those are more than may be lost, the partitions wait until some come back or are abandoned.
-func (s *Status) Waiting() (partitions int, silent []string) {
+func (s *Status) PendingTakeovers() (partitions int, silent []string) {
 	for _, store := range s.Stores {
 		switch {
 		case store.Lease:
@@ -104,7 +104,7 @@
 		Retirements:      make(map[string]string),
 		FaultTolerance:   s.copies() - 1,
 		VotersWanted:     s.wantedVoters(),
-		VotersExchanging: known.MembershipChanging,
+		VotersChanging:   known.MembershipChanging,
 	}
 	for _, member := range known.Members {
 		status.Voters = append(status.Voters, member.Address)
--- a/internal/core/audit.go
+++ b/internal/core/audit.go
@@ -51,7 +51,7 @@
 
 // AuditSummed closes the audit with the number of acts of each kind and the number of spans.
 type AuditSummed struct {
-	Sums  [audit.Kinds]uint64
+	Sums  [audit.NumKinds]uint64
 	Spans uint64
 }
 
@@ -70,11 +70,11 @@
 	}
 	switch ev := ev.(type) {
 	case AuditLooked:
-		r.recorder.Pass(r.now)
+		r.recorder.EndDueSpan(r.now)
 	case AuditConfigured:
 		r.applyConfig(ev)
 	case AuditAsked:
-		r.emit(AuditTold{Order: ev.Order, Acts: r.recorder.Of(string(ev.Request)), Now: r.recorder.Now()})
+		r.emit(AuditTold{Order: ev.Order, Acts: r.recorder.ActsOf(string(ev.Request)), Now: r.recorder.Now()})
 	case AuditEnded:
 		r.recorder.End(r.now)
 	}
@@ -126,7 +126,7 @@
 	if altered.Is("records the version before") && previous != current {
 		held.Routes = previous
 	}
-	if r.recorder.Hold(r.now, held) {
+	if r.recorder.SetVersions(r.now, held) {
 		r.emitHeldVersions()
 	}
 }
--- a/internal/core/configfetch.go
+++ b/internal/core/configfetch.go
@@ -93,7 +93,7 @@
 		return ""
 	}
 	if r.fleet != nil {
-		if other, conflict := r.fleet.Other(membership.OfConfig, ev.Config); conflict {
+		if other, conflict := r.fleet.ConflictingMember(membership.KindConfig, ev.Config); conflict {
 			return fmt.Sprintf("configuration %d has two contents: one was told here, another is at %s", ev.Config.No, other)
 		}
 	}
@@ -146,7 +146,7 @@
 	newer := map[int64]*candidate{}
 	best := int64(-1)
 	for _, m := range r.fleet.Records() {
-		if m.Config.Source != held.Source || m.Config.No <= held.No || m.Over() {
+		if m.Config.Source != held.Source || m.Config.No <= held.No || m.Departed() {
 			continue
 		}
 		c := newer[m.Config.No]
--- a/internal/core/configfetch_test.go
+++ b/internal/core/configfetch_test.go
@@ -26,7 +26,7 @@
 		reached = append(reached, uint64(100+i))
 	}
 	r.Step(1, FleetTold{Records: records})
-	r.Step(1, FleetLooked{Sight: membership.Sight{Reached: reached}})
+	r.Step(1, FleetLooked{Sight: membership.Reachability{Reached: reached}})
 	return r
 }
 
@@ -68,7 +68,7 @@
 			r := outdatedMember(t, c.others...)
 			asked := map[uint64]int{}
 			for i := range 8 {
-				for _, f := range fetches(r.Step(5+float64(i)*configFetchIntervalS/2, FleetLooked{Sight: membership.Sight{Reached: []uint64{100, 101, 102}}})) {
+				for _, f := range fetches(r.Step(5+float64(i)*configFetchIntervalS/2, FleetLooked{Sight: membership.Reachability{Reached: []uint64{100, 101, 102}}})) {
 					if f.Config.No != c.want {
 						t.Errorf("requests version %[2]d from %[1]s, want %[3]d", f.Member, f.Config.No, c.want)
 					}
--- a/internal/core/conflict.go
+++ b/internal/core/conflict.go
@@ -63,7 +63,7 @@
 	if r.contestedVersion > 0 && !set.Full {
 		return other, true
 	}
-	return r.fleet.Other(membership.OfRoutes, membership.Version{No: set.Version, Digest: r.digestAfter(set), Source: r.sourceName()})
+	return r.fleet.ConflictingMember(membership.KindRoutes, membership.Version{No: set.Version, Digest: r.digestAfter(set), Source: r.sourceName()})
 }
 
 // applyRemovals applies the removals of a contested list and nothing else. It returns false, with nothing applied, if
@@ -133,12 +133,12 @@
 }
 
 // logClashes logs each version with conflicting contents once, with a member that holds each of the two.
-func (r *Reducer) logClashes(all []membership.Clash) {
+func (r *Reducer) logClashes(all []membership.VersionConflict) {
 	if len(all) == 0 {
 		clear(r.loggedClashes)
 	}
 	for _, c := range all {
-		if number := (membership.Clash{Kind: c.Kind, No: c.No, Source: c.Source}); !r.loggedClashes[number] && len(r.loggedClashes) < maxLoggedClashes {
+		if number := (membership.VersionConflict{Kind: c.Kind, No: c.No, Source: c.Source}); !r.loggedClashes[number] && len(r.loggedClashes) < maxLoggedClashes {
 			r.loggedClashes[number] = true
 			r.emit(Log{Text: fmt.Sprintf("the %v %d of %s has two contents: one at %s, another at %s; nobody begins to act on it", c.Kind, c.No, c.Source, c.A, c.B)})
 		}
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -18,7 +18,7 @@
 type FleetTold struct{ Records []membership.Record }
 
 // FleetLooked delivers the transport's list of reachable members, twice a second.
-type FleetLooked struct{ Sight membership.Sight }
+type FleetLooked struct{ Sight membership.Reachability }
 
 // FleetRefused reports that a member's host refuses connections, so that its process has ended.
 type FleetRefused struct{ Process uint64 }
@@ -80,7 +80,7 @@
 	case FleetTold:
 		r.fleet.Merge(r.now, ev.Records)
 	case FleetLooked:
-		r.fleet.Look(r.now, ev.Sight)
+		r.fleet.UpdateReachability(r.now, ev.Sight)
 		r.updateOwnRecord()
 		r.expireHints()
 		r.refetchContested()
@@ -91,11 +91,11 @@
 	case FleetFloored, FleetContacted, FloorOrdered:
 		r.applyFloorEvent(ev)
 	case FleetRefused:
-		r.fleet.Refused(r.now, ev.Process)
+		r.fleet.ConnectionRefused(r.now, ev.Process)
 	case FleetEntered:
-		r.fleet.Enter(r.now, ev.State)
+		r.fleet.AdvanceState(r.now, ev.State)
 	case FleetEnded:
-		r.fleet, r.actingMembers, r.ownVersions, r.routeSourceName = nil, 0, membership.Says{}, ""
+		r.fleet, r.actingMembers, r.ownVersions, r.routeSourceName = nil, 0, membership.SelfInfo{}, ""
 		r.leaseS, r.mayActUntil = 0, 0 // without a fleet there is no contact to lose
 		r.emit(Fenced{Until: r.Fence()})
 		clear(r.hints)
@@ -123,7 +123,7 @@
 		r.emit(r.Config())
 		self.Config = r.heldVersions.Config
 	}
-	r.ownVersions = membership.Says{Generation: self.Generation, Program: self.Program, Config: self.Config, Zone: self.Zone}
+	r.ownVersions = membership.SelfInfo{Generation: self.Generation, Program: self.Program, Config: self.Config, Zone: self.Zone}
 	r.updateOwnRecord()
 	r.fleetUpdated(true)
 }
@@ -134,7 +134,7 @@
 		return // a successor that still follows its predecessor has not joined yet
 	}
 	r.ownVersions.Routes = r.heldRouteSet()
-	r.fleet.Say(r.now, r.ownVersions, r.draining)
+	r.fleet.UpdateSelf(r.now, r.ownVersions, r.draining)
 }
 
 // fleetUpdated passes changes on to other members and to the decision module. After FleetLooked, and after other changes to
@@ -147,8 +147,8 @@
 	}
 	r.updateFence()
 	r.fetchNewerConfig()
-	viewChanged := r.fleet.Moved()
-	records, fresh := r.fleet.News(), r.fleet.Fresh()
+	viewChanged := r.fleet.ChangedSincePicture()
+	records, fresh := r.fleet.RecordUpdates(), r.fleet.NewChanges()
 	if len(records) > 0 {
 		r.emit(FleetNews{Records: records})
 	}
@@ -157,7 +157,7 @@
 	}
 	p := r.fleet.Picture()
 	r.logClashes(p.Clashes)
-	p.FloorsTold = r.fleet.FloorsTold(r.settings.Dispatchers)
+	p.FloorsHeldByMajority = r.fleet.FloorsHeldByMajority(r.settings.Dispatchers)
 	if r.fenced() {
 		p.Fenced = r.fenceReason
 	}
@@ -167,12 +167,12 @@
 // FleetState is the fleet's part of a reducer's state. Times are seconds on the dispatcher's clock.
 type FleetState struct {
 	View   membership.ViewState
-	Says   membership.Says // versions reported in the own record
-	Acting int             // members that may be acting; 0 for the number in the settings
-	Routes string          `cbor:",omitempty"` // name of the source of route sets within the fleet
-	Hints  []HintState     `cbor:",omitempty"`
-	Lease  float64         `cbor:",omitempty"` // seconds; 0 for no lease
-	Until  float64         `cbor:",omitempty"` // nothing new may be sent from then on
+	Says   membership.SelfInfo // versions reported in the own record
+	Acting int                 // members that may be acting; 0 for the number in the settings
+	Routes string              `cbor:",omitempty"` // name of the source of route sets within the fleet
+	Hints  []HintState         `cbor:",omitempty"`
+	Lease  float64             `cbor:",omitempty"` // seconds; 0 for no lease
+	Until  float64             `cbor:",omitempty"` // nothing new may be sent from then on
 
 	Contested int64   `cbor:",omitempty"` // version with conflicting contents whose removals alone are applied; 0 for none
 	AskAt     float64 `cbor:",omitempty"` // earliest time of the next request for the full list
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -40,13 +40,13 @@
 		t.Errorf("%d acting before any contact, want the settings' number", r.actingMembers)
 	}
 	r.Step(1.1, FleetTold{Records: []membership.Record{peerRecord(membership.Serving, membership.Fine)}})
-	p, _ = pictureAndRecords(r.Step(1.5, FleetLooked{Sight: membership.Sight{Reached: []uint64{2}}}))
+	p, _ = pictureAndRecords(r.Step(1.5, FleetLooked{Sight: membership.Reachability{Reached: []uint64{2}}}))
 	if p.Acting != 2 || r.actingMembers != 2 || p.Members[0].State != membership.Serving {
 		t.Errorf("in contact: %+v, %d acting", p.Members, r.actingMembers)
 	}
 	r.Step(2, RouteSetTold{Source: r.source, RouteSet: RouteSet{Version: 7, Workers: workers("b")}})
 	r.Step(2.1, DrainOrdered{})
-	if p, _ = pictureAndRecords(r.Step(2.5, FleetLooked{Sight: membership.Sight{Reached: []uint64{2}}})); p.Members[0].Routes.No != 7 || p.Members[0].State != membership.SentAway {
+	if p, _ = pictureAndRecords(r.Step(2.5, FleetLooked{Sight: membership.Reachability{Reached: []uint64{2}}})); p.Members[0].Routes.No != 7 || p.Members[0].State != membership.SentAway {
 		t.Errorf("own record: %+v", p.Members[0])
 	}
 	st, err := r.Export()
--- a/internal/core/floors.go
+++ b/internal/core/floors.go
@@ -47,18 +47,18 @@
 func (r *Reducer) applyFloorEvent(ev Event) {
 	switch ev := ev.(type) {
 	case FleetFloored:
-		r.fleet.TakeFloors(r.now, ev.Floors)
+		r.fleet.MergeFloors(r.now, ev.Floors)
 	case FleetContacted:
 		r.fleet.Contact(r.now, ev.Contact)
 	case FloorOrdered:
-		f, hit, fault := r.fleet.TellFloor(r.now, ev.Floor, ev.Force)
+		f, hit, fault := r.fleet.AnnounceFloor(r.now, ev.Floor, ev.Force)
 		r.emit(FloorTold{Order: ev.Order, Floor: f, Hit: hit, Fault: fault})
 	}
 }
 
 // updateFence recomputes until when this dispatcher may act, and passes on floors that have changed.
 func (r *Reducer) updateFence() {
-	floors := r.fleet.FloorNews()
+	floors := r.fleet.FloorUpdates()
 	if len(floors) > 0 {
 		r.emit(FloorsNews{Floors: floors})
 	}
@@ -68,7 +68,7 @@
 		r.emit(Fenced{Until: r.Fence()})
 	}
 	for _, f := range floors {
-		if f.Kind == membership.OfRoutes && !f.Withdrawn && f.No > r.routeSetVersion && r.watching {
+		if f.Kind == membership.KindRoutes && !f.Withdrawn && f.No > r.routeSetVersion && r.watching {
 			r.emit(FetchRouteSet{Source: r.source}) // below the floor: update the route set without waiting for the source
 		}
 	}
--- a/internal/core/hints_test.go
+++ b/internal/core/hints_test.go
@@ -163,7 +163,7 @@
 func TestOutdatedMemberRequestsHints(t *testing.T) {
 	r := fleetMember(t, "a", "b")
 	asked := func(at float64) (n int) {
-		for _, e := range r.Step(at, FleetLooked{Sight: membership.Sight{Reached: []uint64{2}}}) {
+		for _, e := range r.Step(at, FleetLooked{Sight: membership.Reachability{Reached: []uint64{2}}}) {
 			if a, is := e.(AskHints); is {
 				if n++; a.Process != 2 {
 					t.Errorf("sent to process %d", a.Process)
--- a/internal/core/reducer.go
+++ b/internal/core/reducer.go
@@ -48,26 +48,26 @@
 	stopping          bool                 // the process is ending, and every request taken has been answered
 	recheckPending    bool                 // the source was asked for its full list because its last one was implausible
 	tally             Tally
-	fleet             *membership.View // nil without a fleet
-	ownVersions       membership.Says  // what this process reports of itself to the fleet
-	recorder          *audit.Recorder  // nil without an audit
-	auditProcess      uint64           // the process's number in its audit records
-	leaseS            float64          // seconds that the dispatcher may act without contact to its fleet; 0 for no limit
-	mayActUntil       float64          // nothing new may be sent from then on
-	fenceReason       string           // for operators
-	heldVersions      audit.Versions   // as the recorder has them
-	sharedConfig      []byte           // the configuration's shared part as text; empty if unknown
-	sharedConfigFrom  string           // the member it came from; empty for the local file
-	fetchesConfigs    bool             // newer configurations are requested from members that have them in force
-	nextConfigFetchAt float64          // earliest time of the next FetchConfig
-	peerRequests      uint64           // sent so far, to spread them over the peers
-	newestHeldVersion int64            // newest version of the source's route set that was in use
-	routeSetDigest    uint64           // valid if digestValid is set
+	fleet             *membership.View    // nil without a fleet
+	ownVersions       membership.SelfInfo // what this process reports of itself to the fleet
+	recorder          *audit.Recorder     // nil without an audit
+	auditProcess      uint64              // the process's number in its audit records
+	leaseS            float64             // seconds that the dispatcher may act without contact to its fleet; 0 for no limit
+	mayActUntil       float64             // nothing new may be sent from then on
+	fenceReason       string              // for operators
+	heldVersions      audit.Versions      // as the recorder has them
+	sharedConfig      []byte              // the configuration's shared part as text; empty if unknown
+	sharedConfigFrom  string              // the member it came from; empty for the local file
+	fetchesConfigs    bool                // newer configurations are requested from members that have them in force
+	nextConfigFetchAt float64             // earliest time of the next FetchConfig
+	peerRequests      uint64              // sent so far, to spread them over the peers
+	newestHeldVersion int64               // newest version of the source's route set that was in use
+	routeSetDigest    uint64              // valid if digestValid is set
 	digestValid       bool
-	contestedVersion  int64                     // newest version with conflicting contents whose removals alone are applied; 0 for none
-	nextFullFetchAt   float64                   // earliest time of the next request for the full list while one is contested
-	loggedClashes     map[membership.Clash]bool // conflicts that have been logged, without their members
-	actingMembers     int                       // members that may be acting, as last passed to the decision module; 0 for the number in the settings
+	contestedVersion  int64                               // newest version with conflicting contents whose removals alone are applied; 0 for none
+	nextFullFetchAt   float64                             // earliest time of the next request for the full list while one is contested
+	loggedClashes     map[membership.VersionConflict]bool // conflicts that have been logged, without their members
+	actingMembers     int                                 // members that may be acting, as last passed to the decision module; 0 for the number in the settings
 	timers            timerHeap
 	timerSeq          uint64
 	lastID            BranchID
@@ -99,7 +99,7 @@
 func newReducer(now float64, s choice.Settings) *Reducer {
 	r := &Reducer{now: now, settings: s, classes: map[string]int{}, tenants: map[string]int{}, requests: map[RequestID]*request{},
 		endedIDs: map[RequestID]bool{}, exchanges: map[ExchangeID]*request{}, branches: map[BranchID]*branch{}, workers: map[WorkerID]Worker{},
-		banned: map[WorkerID]bool{}, restoredAt: map[WorkerID]float64{}, hints: map[WorkerID]hint{}, loggedClashes: map[membership.Clash]bool{}}
+		banned: map[WorkerID]bool{}, restoredAt: map[WorkerID]float64{}, hints: map[WorkerID]hint{}, loggedClashes: map[membership.VersionConflict]bool{}}
 	for i, c := range s.Classes {
 		r.classes[c.Name] = i
 	}
--- a/internal/delivery/conn.go
+++ b/internal/delivery/conn.go
@@ -55,7 +55,7 @@
 
 // isUsable reports whether an idle connection is open and has no unread data. A request written to a connection that the worker
 // has closed would have an unknown outcome.
-func (c *conn) isUsable() bool { return tcp.Silent(c.Conn) }
+func (c *conn) isUsable() bool { return tcp.OpenWithoutData(c.Conn) }
 
 // hasUnsuccessful reports whether a request with this id has ended on this connection without success. A faulty worker may
 // respond to it a second time, later, and that response would be mistaken for the response to the new attempt.
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -94,7 +94,7 @@
 	if told := n.hints.Load(); told != nil {
 		hints = *told
 	}
-	text, err := packAll(p.Told(), floors, hints)
+	text, err := packAll(p.SyncRecords(), floors, hints)
 	if err != nil {
 		return nil
 	}
@@ -131,7 +131,7 @@
 	due := digest != p.Digest && time.Since(n.synced[process]) > syncPause
 	if due {
 		n.synced[process] = time.Now()
-		if len(n.synced) > 2*membership.MostMembers {
+		if len(n.synced) > 2*membership.MaxMembers {
 			clear(n.synced)
 		}
 	}
--- a/internal/gossip/full_test.go
+++ b/internal/gossip/full_test.go
@@ -90,7 +90,7 @@
 	for i, s := range sockets {
 		name := string(rune('a' + i))
 		cfg := config(name, "127.0.0.1:1", s.Addr().String(), "127.0.0.1:2", sockets[(i+1)%n].Addr().String())
-		view, err := membership.New(seconds(), membership.Record{Key: membership.Key{Name: name, Addr: s.Addr().String()}, Incarnation: 1, Process: NewProcess(), Generation: 1})
+		view, err := membership.New(seconds(), membership.Record{Key: membership.Key{Name: name, Addr: s.Addr().String()}, Incarnation: 1, Process: NewProcessID(), Generation: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -92,8 +92,8 @@
 	unlogged int
 }
 
-// NewProcess draws a process's number.
-func NewProcess() uint64 { return rand.Uint64()>>(64-drawnBits) | 1 }
+// NewProcessID draws a process's number.
+func NewProcessID() uint64 { return rand.Uint64()>>(64-drawnBits) | 1 }
 
 // New makes a member. Nothing runs yet. process is a new one's, or its predecessor's, as the sockets are.
 func New(cfg Config, s *Sockets, process uint64, taken bool, clock func() float64, post func(core.Event), log logrus.FieldLogger) *Node {
@@ -246,7 +246,7 @@
 		return
 	}
 	// Danger: gossip goes on only for as long as this process does, so some are told directly.
-	text, err := pack(p.Told())
+	text, err := pack(p.SyncRecords())
 	told := 0
 	for _, m := range list.Members() {
 		if process, ok := processOf(m.Name); err == nil && ok && process != n.process && told < leaveTo {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -57,11 +57,11 @@
 	case core.FleetTold:
 		b.view.Merge(seconds(), ev.Records)
 	case core.FleetLooked:
-		b.view.Look(seconds(), ev.Sight)
+		b.view.UpdateReachability(seconds(), ev.Sight)
 	case core.FleetRefused:
-		b.view.Refused(seconds(), ev.Process)
+		b.view.ConnectionRefused(seconds(), ev.Process)
 	case core.FleetFloored:
-		b.view.TakeFloors(seconds(), ev.Floors)
+		b.view.MergeFloors(seconds(), ev.Floors)
 	case core.FleetContacted:
 		b.view.Contact(seconds(), ev.Contact)
 	case core.FleetHinted:
@@ -69,21 +69,21 @@
 			b.onHints(ev.Hints)
 		}
 	case core.FleetEntered:
-		b.view.Enter(seconds(), ev.State)
+		b.view.AdvanceState(seconds(), ev.State)
 	}
 	_, looked := ev.(core.FleetLooked)
 	b.tell(looked)
 }
 
 func (b *body) tell(looked bool) {
-	if floors := b.view.FloorNews(); len(floors) > 0 {
+	if floors := b.view.FloorUpdates(); len(floors) > 0 {
 		b.Perform(core.FloorsNews{Floors: floors})
 	}
-	if news := b.view.News(); len(news) > 0 {
+	if news := b.view.RecordUpdates(); len(news) > 0 {
 		b.Perform(core.FleetNews{Records: news})
 	}
-	if moved := b.view.Moved(); looked || moved {
-		b.Perform(core.FleetPictured{Picture: b.view.Picture(), Fresh: b.view.Fresh(), Hints: b.hints})
+	if moved := b.view.ChangedSincePicture(); looked || moved {
+		b.Perform(core.FleetPictured{Picture: b.view.Picture(), Fresh: b.view.NewChanges(), Hints: b.hints})
 	}
 }
 
@@ -100,7 +100,7 @@
 		if s, err = Listen(cfg.Listen); err != nil {
 			t.Fatal(err)
 		}
-		process = NewProcess()
+		process = NewProcessID()
 	}
 	return begin(t, cfg, s, process, taken, view)
 }
@@ -108,7 +108,7 @@
 // memberAt starts one on sockets of its own.
 func memberAt(t *testing.T, cfg Config, s *Sockets) *body {
 	t.Helper()
-	return begin(t, cfg, s, NewProcess(), false, nil)
+	return begin(t, cfg, s, NewProcessID(), false, nil)
 }
 
 func begin(t *testing.T, cfg Config, s *Sockets, process uint64, taken bool, view *membership.View) *body {
@@ -292,7 +292,7 @@
 	for _, fd := range files.FDs {
 		received.FDs = append(received.FDs, dup(t, fd))
 	}
-	taken, err := Take(st, received)
+	taken, err := ImportSockets(st, received)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -357,11 +357,11 @@
 		if _, err := membership.Import(v.Export()); err != nil {
 			t.Fatalf("what was taken in can't be written down: %v", err)
 		}
-		told, err := pack(v.Told())
+		told, err := pack(v.SyncRecords())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if again, err := unpack(told); err != nil || len(again.Records) != len(v.Told()) {
+		if again, err := unpack(told); err != nil || len(again.Records) != len(v.SyncRecords()) {
 			t.Fatalf("what is told can't be read: %v", err)
 		}
 	})
--- a/internal/gossip/handover.go
+++ b/internal/gossip/handover.go
@@ -36,12 +36,12 @@
 }
 
 // Take makes sockets of those that another process handed over.
-func Take(st State, files *hold.Received) (*Sockets, error) {
+func ImportSockets(st State, files *hold.Received) (*Sockets, error) {
 	ln, err := files.Listener(st.Stream)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	pc, err := files.Packets(st.Packet)
+	pc, err := files.PacketConn(st.Packet)
 	if err != nil {
 		ln.Close()
 		return nil, fmt.Errorf("fleet: %w", err)
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -20,8 +20,8 @@
 	hintsEach    = 8       // hints of a datagram
 )
 
-// ErrNews says that news can't be read. Errors of unpack wrap it.
-var ErrNews = errors.New("gossip: message of no known version")
+// ErrMessage says that news can't be read. Errors of unpack wrap it.
+var ErrMessage = errors.New("gossip: message of no known version")
 
 type message struct {
 	Version uint                `cbor:"1,keyasint"`
@@ -36,7 +36,7 @@
 }
 
 var reader = func() cbor.DecMode {
-	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: membership.MostMembers, MaxMapPairs: 64,
+	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: membership.MaxMembers, MaxMapPairs: 64,
 		MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -88,22 +88,22 @@
 // unpack reads news. Records that can't be are the view's to drop and count.
 func unpack(text []byte) (message, error) {
 	if len(text) > mostNews {
-		return message{}, fmt.Errorf("%w: %d bytes, %d at most", ErrNews, len(text), mostNews)
+		return message{}, fmt.Errorf("%w: %d bytes, %d at most", ErrMessage, len(text), mostNews)
 	}
 	var p message
 	if err := reader.Unmarshal(text, &p); err != nil {
-		return message{}, fmt.Errorf("%w: %w", ErrNews, err)
+		return message{}, fmt.Errorf("%w: %w", ErrMessage, err)
 	}
 	for i, h := range p.Hints {
-		if h.Worker == "" || len(h.Worker) > mostWorkerID || len(h.Source) > membership.MostSource {
-			return message{}, fmt.Errorf("%w: hint %d is of no worker or source that can be", ErrNews, i)
+		if h.Worker == "" || len(h.Worker) > mostWorkerID || len(h.Source) > membership.MaxSourceBytes {
+			return message{}, fmt.Errorf("%w: hint %d is of no worker or source that can be", ErrMessage, i)
 		}
 	}
-	if g := p.Given; g != nil && (len(g.Text) == 0 || len(g.Text) > core.MaxSharedBytes || len(g.Member) > membership.MostName || len(g.Config.Source) > membership.MostSource) {
-		return message{}, fmt.Errorf("%w: a configuration of %d bytes, 1 to %d", ErrNews, len(g.Text), core.MaxSharedBytes)
+	if g := p.Given; g != nil && (len(g.Text) == 0 || len(g.Text) > core.MaxSharedBytes || len(g.Member) > membership.MaxNameBytes || len(g.Config.Source) > membership.MaxSourceBytes) {
+		return message{}, fmt.Errorf("%w: a configuration of %d bytes, 1 to %d", ErrMessage, len(g.Text), core.MaxSharedBytes)
 	}
 	if p.Version != protocolVersion {
-		return message{}, fmt.Errorf("%w: version %d, this program reads %d", ErrNews, p.Version, protocolVersion)
+		return message{}, fmt.Errorf("%w: version %d, this program reads %d", ErrMessage, p.Version, protocolVersion)
 	}
 	return p, nil
 }
--- a/internal/gossip/reachability.go
+++ b/internal/gossip/reachability.go
@@ -30,8 +30,8 @@
 	}
 }
 
-func (n *Node) sight() membership.Sight {
-	var s membership.Sight
+func (n *Node) sight() membership.Reachability {
+	var s membership.Reachability
 	// One that is cut off from everybody would doubt the others one by one, and itself first: the library slows such a member down. But
 	// where nothing at all is heard, nobody is reached.
 	alone := n.t.silence() > silentFor*n.cfg.Load().Probe
@@ -43,10 +43,10 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for p := range n.doubted {
-		s.Doubted = append(s.Doubted, p)
+		s.Suspected = append(s.Suspected, p)
 	}
 	for p, d := range n.heard {
-		s.Heard = append(s.Heard, membership.Heard{Process: p, Digest: d})
+		s.PeerDigest = append(s.PeerDigest, membership.PeerDigest{Process: p, Digest: d})
 	}
 	clear(n.doubted)
 	clear(n.heard)
--- a/internal/gossip/seek.go
+++ b/internal/gossip/seek.go
@@ -51,7 +51,7 @@
 		if p := n.picture.Load(); p != nil {
 			var reached []string
 			for _, m := range p.Members {
-				if m.Reached && !m.Self && !m.Over() {
+				if m.Reached && !m.Self && !m.Departed() {
 					reached = append(reached, m.Addr)
 				}
 			}
@@ -97,7 +97,7 @@
 	}
 	if p != nil {
 		for _, m := range p.Members {
-			if m.Over() || m.Reached {
+			if m.Departed() || m.Reached {
 				known[m.Addr] = true
 			} else if !m.Self {
 				if at, err := netip.ParseAddrPort(m.Addr); err == nil && n.allowed(at.Addr()) {
--- a/internal/hold/conn.go
+++ b/internal/hold/conn.go
@@ -143,7 +143,7 @@
 	}
 	for {
 		if len(c.into) == 0 {
-			if tcp.HungUp(int(fd)) {
+			if tcp.PeerClosed(int(fd)) {
 				c.fault = io.EOF
 				return true
 			}
@@ -256,7 +256,7 @@
 }
 
 // Untouched tells whether a Write is parked of which the kernel has not taken a byte. The gate must be held.
-func (c *Conn) Untouched() bool {
+func (c *Conn) WriteNotStarted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rest != nil && !c.begun
@@ -266,7 +266,7 @@
 const firstBytes = 512
 
 // First waits until something is ahead: the beginning of what the other side says next.
-func (c *Conn) First() error {
+func (c *Conn) WaitForData() error {
 	c.mu.Lock()
 	some, buf := len(c.ahead) > 0, c.ahead
 	c.mu.Unlock()
@@ -340,7 +340,7 @@
 }
 
 // Mark says that what was read is done with, but for its last n bytes.
-func (c *Conn) Mark(n int) {
+func (c *Conn) MarkConsumed(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n == 0 && cap(c.taken) > 1024 {
@@ -352,22 +352,22 @@
 
 // Unread says that what was read is done with, but for rest, its end, which is to be read again.
 func (c *Conn) Unread(rest []byte) {
-	c.Mark(0)
+	c.MarkConsumed(0)
 	c.mu.Lock()
 	c.ahead = slices.Concat(rest, c.ahead)
 	c.mu.Unlock()
 }
 
 // Silent tells whether nothing has come on the connection that is not read yet.
-func (c *Conn) Silent() bool {
+func (c *Conn) OpenWithoutData() bool {
 	c.mu.Lock()
 	ahead := len(c.ahead) > 0
 	c.mu.Unlock()
-	return !ahead && tcp.Silent(c.Conn)
+	return !ahead && tcp.OpenWithoutData(c.Conn)
 }
 
 // Ended tells whether the other side has closed its end or reset the connection, whatever it sent before and nobody has read.
-func (c *Conn) Ended() bool { return tcp.Ended(c.Conn) }
+func (c *Conn) PeerClosed() bool { return tcp.Closed(c.Conn) }
 
 // SetDeadline sets both deadlines.
 func (c *Conn) SetDeadline(t time.Time) error {
--- a/internal/hold/files.go
+++ b/internal/hold/files.go
@@ -10,15 +10,15 @@
 // Files lists the descriptors of held connections in the order in which they are passed on. They stay their
 // connections' own, and are good for as long as those are held.
 type Files struct {
-	FDs   []int
-	Ahead map[*Conn]int // those whose descriptors were passed on ahead, while they were at work
+	FDs       []int
+	SentAhead map[*Conn]int // those whose descriptors were passed on ahead, while they were at work
 }
 
 // Add lists the descriptor of a connection or listener and returns its place: below 0 for one that was passed on
 // ahead.
 func (f *Files) Add(x interface{ FD(func(fd int)) error }) (int, error) {
 	if c, ok := x.(interface{ held() *Conn }); ok {
-		if n, ahead := f.Ahead[c.held()]; ahead {
+		if n, ahead := f.SentAhead[c.held()]; ahead {
 			return -1 - n, nil
 		}
 	}
@@ -84,7 +84,7 @@
 }
 
 // Early makes connections of descriptors that came ahead, in their order: it is what takes longest.
-func (r *Received) Early(fds []int) error {
+func (r *Received) ReceiveAhead(fds []int) error {
 	early := Received{FDs: fds, gate: r.gate}
 	for i := range fds {
 		c, err := early.wrap(i)
@@ -108,7 +108,7 @@
 }
 
 // Packets takes the socket for datagrams at a place.
-func (r *Received) Packets(place int) (net.PacketConn, error) {
+func (r *Received) PacketConn(place int) (net.PacketConn, error) {
 	f, err := r.take(place)
 	if err != nil {
 		return nil, err
--- a/internal/hold/hold.go
+++ b/internal/hold/hold.go
@@ -58,7 +58,7 @@
 // Forget says that nothing behind the gate will ever be handed over, so that connections need not keep what was read
 // of a request in case another process must read it again. It is called before anything is behind the gate. Danger:
 // without it large requests that come slowly would be held twice, which a small machine's memory can't bear.
-func (g *Gate) Forget() { g.forgets = true }
+func (g *Gate) DisableHandover() { g.forgets = true }
 
 // Go runs f on a goroutine of its own that counts as active, once the gate is open.
 func (g *Gate) Go(f func()) {
--- a/internal/hold/hold_test.go
+++ b/internal/hold/hold_test.go
@@ -183,7 +183,7 @@
 			read += n
 			if rapid.Bool().Draw(t, "mark") {
 				left := rapid.IntRange(0, read-marked).Draw(t, "left")
-				near.Mark(left)
+				near.MarkConsumed(left)
 				marked = read - left
 			}
 			if left := rapid.IntRange(0, read-marked).Draw(t, "unread"); left > 0 && rapid.Bool().Draw(t, "does") {
@@ -211,7 +211,7 @@
 // TestForget: where nothing is ever handed over, nothing is kept, and what is unread comes again all the same.
 func TestForget(t *testing.T) {
 	g := NewGate()
-	g.Forget()
+	g.DisableHandover()
 	near, far := pair(t, g)
 	defer far.Close()
 	io.WriteString(far, "one two")
--- a/internal/lab/account.go
+++ b/internal/lab/account.go
@@ -79,7 +79,7 @@
 		}
 	}
 	q.out.Audit = a
-	breaks, twofold := q.unexpected(v.Breaks)
+	breaks, twofold := q.unexpected(v.Violations)
 	for _, b := range breaks {
 		q.blame("record of %s: %s: %s", b.Member, b.Where, b.What)
 	}
@@ -116,7 +116,7 @@
 	for _, e := range spans {
 		for _, f := range q.floors {
 			// Danger: a span's last act may be an answer to what was sent before the floor, by a member that stood still meanwhile.
-			if _, last, sent := e.Span.Sends(); sent && e.Span.Versions.Config.No < f.no && last > f.bound {
+			if _, last, sent := e.Span.SendTimes(); sent && e.Span.Versions.Config.No < f.no && last > f.bound {
 				below++
 				q.blame("%s sent on configuration %d until %.1f s after the floor %d bound everybody", e.Member, e.Span.Versions.Config.No, last-f.bound, f.no)
 			}
@@ -142,7 +142,7 @@
 		if e.Member == p.name && first < 0 {
 			first = e.Span.Versions.Begun
 		}
-		if _, _, sent := e.Span.Sends(); e.Member == p.name && sent {
+		if _, _, sent := e.Span.SendTimes(); e.Member == p.name && sent {
 			spans = append(spans, e.Span)
 		}
 	}
@@ -157,7 +157,7 @@
 		}
 		told, within, listed := false, false, false
 		for i, s := range spans {
-			from, last, _ := s.Sends()
+			from, last, _ := s.SendTimes()
 			if x.at < from || x.at > last+sendSlack {
 				continue
 			}
@@ -181,7 +181,7 @@
 		if inside[i] > s.Counts[audit.Sent] {
 			fault("%s tells of %d branches in span %d, within which %d reached workers", p.name, s.Counts[audit.Sent], s.No, inside[i])
 		}
-		from, _, _ := s.Sends()
+		from, _, _ := s.SendTimes()
 		if at, stated := q.stated[s.Versions.Config.No]; stated && s.Versions.Config.No > 1 && from < at {
 			fault("%s tells of a branch on configuration %d, %.2f s before that was stated anywhere", p.name, s.Versions.Config.No, at-from)
 		}
@@ -232,7 +232,7 @@
 
 // unexpected are the breaks that the script did not make: two contents that the discoveries told under one number are a fault outside, which
 // must be found. faults counts those that were not. q.mu is held.
-func (q *squad) unexpected(all []trail.Break) (out []trail.Break, faults int) {
+func (q *squad) unexpected(all []trail.Violation) (out []trail.Violation, faults int) {
 	found := map[int64]bool{}
 	for _, b := range all {
 		made := false
--- a/internal/lab/account_test.go
+++ b/internal/lab/account_test.go
@@ -13,7 +13,7 @@
 // spanOf tells of ten branches in three seconds on a configuration and a route set.
 func spanOf(no uint64, at float64, config, routes int64) trail.Entry {
 	return trail.Entry{Member: "n1", Span: audit.Span{No: no, From: at, First: at, Last: at + 5, Until: at + 5, FirstSent: at, LastSent: at + 3,
-		Versions: audit.Versions{Config: membership.Version{No: config}, Routes: membership.Version{No: routes}}, Counts: [audit.Kinds]uint64{audit.Sent: 10, audit.Answered: 10}}}
+		Versions: audit.Versions{Config: membership.Version{No: config}, Routes: membership.Version{No: routes}}, Counts: [audit.NumKinds]uint64{audit.Sent: 10, audit.Answered: 10}}}
 }
 
 // TestRecordsAreHeldAgainstWhatReachedWorkers: each claim of a record can be wrong, and is found.
@@ -84,7 +84,7 @@
 
 // TestTwoContentsMustBeNamed by all members, found in the records, and not begun with afterwards.
 func TestTwoContentsMustBeNamed(t *testing.T) {
-	broken := func(spoil func(q *squad) (breaks []trail.Break, spans []trail.Entry)) string {
+	broken := func(spoil func(q *squad) (breaks []trail.Violation, spans []trail.Entry)) string {
 		q := squadOf(2)
 		q.twofold = map[int64]float64{2: 0}
 		for _, p := range q.peers {
@@ -104,21 +104,21 @@
 		}
 		return strings.Join(q.out.Broken, "; ")
 	}
-	made := []trail.Break{{What: "route set 2 of lab has one content here and another at n2"}}
+	made := []trail.Violation{{What: "route set 2 of lab has one content here and another at n2"}}
 	now := unixOf(time.Now())
 	for name, tc := range map[string]struct {
-		spoil func(q *squad) ([]trail.Break, []trail.Entry)
+		spoil func(q *squad) ([]trail.Violation, []trail.Entry)
 		want  string
 	}{
-		"all well": {func(*squad) ([]trail.Break, []trail.Entry) {
+		"all well": {func(*squad) ([]trail.Violation, []trail.Entry) {
 			return made, []trail.Entry{spanOf(1, now-9, 1, 2), spanOf(2, now+9, 1, 2)}
 		}, ""},
-		"not named":    {func(q *squad) ([]trail.Break, []trail.Entry) { q.peers[1].view.Clashes = nil; return made, nil }, "named by all"},
-		"not recorded": {func(*squad) ([]trail.Break, []trail.Entry) { return nil, nil }, "do not show it"},
-		"another broken": {func(*squad) ([]trail.Break, []trail.Entry) {
-			return append(made, trail.Break{What: "route set 3 of lab"}), nil
+		"not named":    {func(q *squad) ([]trail.Violation, []trail.Entry) { q.peers[1].view.Clashes = nil; return made, nil }, "named by all"},
+		"not recorded": {func(*squad) ([]trail.Violation, []trail.Entry) { return nil, nil }, "do not show it"},
+		"another broken": {func(*squad) ([]trail.Violation, []trail.Entry) {
+			return append(made, trail.Violation{What: "route set 3 of lab"}), nil
 		}, "unexpected: route set 3"},
-		"begun late": {func(*squad) ([]trail.Break, []trail.Entry) { return made, []trail.Entry{spanOf(1, now+9, 1, 2)} }, "n1 began to act on route set 2"},
+		"begun late": {func(*squad) ([]trail.Violation, []trail.Entry) { return made, []trail.Entry{spanOf(1, now+9, 1, 2)} }, "n1 began to act on route set 2"},
 	} {
 		if got := broken(tc.spoil); tc.want == "" && got != "" || !strings.Contains(got, tc.want) {
 			t.Errorf("%s: %q, want %q", name, got, tc.want)
--- a/internal/lab/bad.go
+++ b/internal/lab/bad.go
@@ -46,8 +46,8 @@
 	p, err := upgrade.FromEnv(os.Getenv)
 	if os.Getenv("NODE_INHERITED_FD") != "" { // beside a running process
 		var path string
-		if path, err = upgrade.MeetPath(os.Getenv("TMPDIR")); err == nil {
-			p, err = upgrade.Meet(context.Background(), path, time.Now().Add(time.Minute))
+		if path, err = upgrade.RendezvousPath(os.Getenv("TMPDIR")); err == nil {
+			p, err = upgrade.DialRendezvous(context.Background(), path, time.Now().Add(time.Minute))
 		}
 	}
 	if err != nil || p == nil {
@@ -60,7 +60,7 @@
 	case "other-schema":
 		hello.Schema++
 	case "garbage":
-		p.Raw([]byte("HTTP/1.1 200 OK\r\n\r\nnot a word of it"))
+		p.WriteRaw([]byte("HTTP/1.1 200 OK\r\n\r\nnot a word of it"))
 		time.Sleep(time.Hour)
 	case "acts-unasked":
 		p.Send(hello)
@@ -71,7 +71,7 @@
 		return err
 	}
 	for {
-		m, err := p.Receive(snapshot.MostBytes)
+		m, err := p.Receive(snapshot.MaxBytes)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/caller.go
+++ b/internal/lab/caller.go
@@ -140,7 +140,7 @@
 
 // usable looks whether a kept connection is open and silent.
 func (c *callers) usable(l *link) *link {
-	if l == nil || l.r.Buffered() == 0 && tcp.Silent(l.Conn) {
+	if l == nil || l.r.Buffered() == 0 && tcp.OpenWithoutData(l.Conn) {
 		return l
 	}
 	c.mu.Lock()
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -183,18 +183,18 @@
 
 // UpgradeResult is how one upgrade went.
 type UpgradeResult struct {
-	Binary string        `json:"binary"`
-	Want   string        `json:"want"`
-	Result string        `json:"result"`
-	Detail string        `json:"detail,omitempty"`
-	At     float64       `json:"at_s"`
-	Took   float64       `json:"took_s"`
-	HeldMS float64       `json:"held_ms"`
-	Parts  upgrade.Times `json:"held_parts_ms"`
-	Files  int           `json:"descriptors"`
-	Bytes  int           `json:"bytes"`
-	Open   int           `json:"open_requests"` // about
-	PeakKB int           `json:"peak_kb"`       // of both processes together
+	Binary string            `json:"binary"`
+	Want   string            `json:"want"`
+	Result string            `json:"result"`
+	Detail string            `json:"detail,omitempty"`
+	At     float64           `json:"at_s"`
+	Took   float64           `json:"took_s"`
+	HeldMS float64           `json:"held_ms"`
+	Parts  upgrade.HoldTimes `json:"held_parts_ms"`
+	Files  int               `json:"descriptors"`
+	Bytes  int               `json:"bytes"`
+	Open   int               `json:"open_requests"` // about
+	PeakKB int               `json:"peak_kb"`       // of both processes together
 }
 
 // Ends of an upgrade that a scenario may expect beside replaced and fell back.
@@ -236,13 +236,13 @@
 	close(done)
 	u.PeakKB = <-peak
 	var last struct {
-		Result      string        `json:"result"`
-		Detail      string        `json:"detail"`
-		PID         int           `json:"pid"`
-		Descriptors int           `json:"descriptors"`
-		Bytes       int           `json:"bytes"`
-		HeldMS      float64       `json:"held_ms"`
-		Held        upgrade.Times `json:"held_parts"`
+		Result      string            `json:"result"`
+		Detail      string            `json:"detail"`
+		PID         int               `json:"pid"`
+		Descriptors int               `json:"descriptors"`
+		Bytes       int               `json:"bytes"`
+		HeldMS      float64           `json:"held_ms"`
+		Held        upgrade.HoldTimes `json:"held_parts"`
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if e := json.Unmarshal([]byte(lines[len(lines)-1]), &last); e != nil {
--- a/internal/membership/floor.go
+++ b/internal/membership/floor.go
@@ -16,9 +16,9 @@
 
 // The kinds of versions that a floor may bound. Programs have no order of their own, so one is named.
 const (
-	OfConfig Kind = iota
-	OfRoutes
-	OfProgram
+	KindConfig Kind = iota
+	KindRoutes
+	KindProgram
 	kinds
 )
 
@@ -32,7 +32,7 @@
 	Kind      Kind    `cbor:"1,keyasint"`
 	No        int64   `cbor:"2,keyasint"`
 	Source    string  `cbor:"3,keyasint"` // of the number; of a program, what it is called
-	Turn      uint64  `cbor:"4,keyasint"` // counts floors of this kind
+	Round     uint64  `cbor:"4,keyasint"` // counts floors of this kind
 	By        string  `cbor:"5,keyasint"` // the member that told it first
 	Why       string  `cbor:"6,keyasint,omitempty"`
 	Within    float64 `cbor:"7,keyasint"` // seconds from its telling until it is in force
@@ -40,8 +40,8 @@
 	Withdrawn bool    `cbor:"9,keyasint,omitempty"`
 }
 
-// MostWithin bounds a floor's time, in seconds.
-const MostWithin = 3600
+// MaxWithinS bounds a floor's time, in seconds.
+const MaxWithinS = 3600
 
 // ErrFloor says that a floor can't be. Errors of Floor.Check wrap it.
 var ErrFloor = errors.New("membership: floor refused")
@@ -51,11 +51,11 @@
 	switch {
 	case f.Kind >= kinds:
 		return fmt.Errorf("%w: kind %d", ErrFloor, f.Kind)
-	case len(f.Source) > MostSource || len(f.By) > MostName || len(f.Why) > MostWhy:
+	case len(f.Source) > MaxSourceBytes || len(f.By) > MaxNameBytes || len(f.Why) > MaxWhyBytes:
 		return fmt.Errorf("%w: words too long", ErrFloor)
-	case f.Turn == 0 || f.Turn > mostCounter || f.No < 0:
-		return fmt.Errorf("%w: turn %d, number %d", ErrFloor, f.Turn, f.No)
-	case !(f.Within >= 0 && f.Within <= MostWithin) || !(f.Age >= 0) || math.IsInf(f.Age, 0):
+	case f.Round == 0 || f.Round > mostCounter || f.No < 0:
+		return fmt.Errorf("%w: turn %d, number %d", ErrFloor, f.Round, f.No)
+	case !(f.Within >= 0 && f.Within <= MaxWithinS) || !(f.Age >= 0) || math.IsInf(f.Age, 0):
 		return fmt.Errorf("%w: within %v s, %v s old", ErrFloor, f.Within, f.Age)
 	}
 	return nil
@@ -63,13 +63,13 @@
 
 // Same tells whether two floors are one.
 func (f Floor) Same(o Floor) bool {
-	return f.Kind == o.Kind && f.Turn == o.Turn && f.By == o.By && f.No == o.No && f.Source == o.Source
+	return f.Kind == o.Kind && f.Round == o.Round && f.By == o.By && f.No == o.No && f.Source == o.Source
 }
 
 // below tells whether a version is below the floor. Versions of another source can't be compared, and are below: what is not known to be
 // new enough may not be acted on.
 func (f Floor) below(r Record) bool {
-	if f.Kind == OfProgram {
+	if f.Kind == KindProgram {
 		return r.Program.Source != f.Source
 	}
 	v := r.version(f.Kind)
@@ -95,7 +95,7 @@
 const mostFront = 8
 
 func (s *floors) all() []floor {
-	if s.withdrawn.Turn == 0 {
+	if s.withdrawn.Round == 0 {
 		return s.front
 	}
 	return append([]floor{s.withdrawn}, s.front...)
@@ -103,12 +103,12 @@
 
 // take takes a floor in, and tells whether it is news.
 func (s *floors) take(f floor) bool {
-	if f.Turn <= s.withdrawn.Turn {
+	if f.Round <= s.withdrawn.Round {
 		return false
 	}
 	if f.Withdrawn {
 		s.withdrawn = f
-		s.front = slices.DeleteFunc(s.front, func(x floor) bool { return x.Turn <= f.Turn })
+		s.front = slices.DeleteFunc(s.front, func(x floor) bool { return x.Round <= f.Round })
 		return true
 	}
 	if slices.ContainsFunc(s.front, func(x floor) bool { return x.Same(f.Floor) }) {
@@ -116,7 +116,7 @@
 	}
 	s.front = append(s.front, f)
 	slices.SortFunc(s.front, func(a, b floor) int {
-		return cmp.Or(cmp.Compare(b.No, a.No), cmp.Compare(a.Source, b.Source), cmp.Compare(b.Turn, a.Turn), cmp.Compare(a.By, b.By))
+		return cmp.Or(cmp.Compare(b.No, a.No), cmp.Compare(a.Source, b.Source), cmp.Compare(b.Round, a.Round), cmp.Compare(a.By, b.By))
 	})
 	if len(s.front) > mostFront {
 		lowest := s.front[mostFront]
@@ -126,8 +126,8 @@
 	return true
 }
 
-// TakeFloors takes in floors that others tell.
-func (v *View) TakeFloors(now float64, told []Floor) {
+// MergeFloors takes in floors that others tell.
+func (v *View) MergeFloors(now float64, told []Floor) {
 	v.begin(now)
 	for _, f := range told {
 		if f.Check() != nil {
@@ -156,17 +156,17 @@
 	v.note(v.self, what, fmt.Sprintf("by %s: %s", f.By, f.Why))
 }
 
-// TellFloor tells a floor first. It returns it as it is held, and the members that it would shut out now; where those are over half of the live members of any
+// AnnounceFloor tells a floor first. It returns it as it is held, and the members that it would shut out now; where those are over half of the live members of any
 // zone, or of all, nothing is told unless it is forced.
-func (v *View) TellFloor(now float64, f Floor, force bool) (told Floor, hit []string, fault string) {
+func (v *View) AnnounceFloor(now float64, f Floor, force bool) (told Floor, hit []string, fault string) {
 	v.begin(now)
-	f.Turn, f.By, f.Age = 1, v.self.Name, 0
+	f.Round, f.By, f.Age = 1, v.self.Name, 0
 	if s := v.floors[f.Kind]; s != nil {
 		if len(s.front) >= mostFront && !f.Withdrawn {
 			return f, nil, fmt.Sprintf("%d floors are held; withdraw them first", len(s.front))
 		}
 		for _, x := range s.all() {
-			f.Turn = max(f.Turn, x.Turn+1)
+			f.Round = max(f.Round, x.Round+1)
 			if !x.Withdrawn && !f.Withdrawn && x.Source == f.Source && x.No >= f.No {
 				return f, nil, fmt.Sprintf("a floor as high is in force: %d, by %s; withdraw it first", x.No, x.By)
 			}
@@ -228,8 +228,8 @@
 	return all
 }
 
-// FloorNews returns the floors where they changed since it was last called.
-func (v *View) FloorNews() []Floor {
+// FloorUpdates returns the floors where they changed since it was last called.
+func (v *View) FloorUpdates() []Floor {
 	if !v.floorNews {
 		return nil
 	}
@@ -247,7 +247,7 @@
 		}
 		for _, f := range s.all() {
 			b := binary.AppendVarint([]byte{byte(k)}, f.No)
-			b = binary.AppendUvarint(b, f.Turn)
+			b = binary.AppendUvarint(b, f.Round)
 			if f.Withdrawn {
 				b = append(b, 1)
 			}
@@ -290,7 +290,7 @@
 	if !v.established {
 		n, others := max(planned, v.Acting()), 0
 		for _, e := range v.table {
-			if e.Key != v.self && !e.Over() && e.answered {
+			if e.Key != v.self && !e.Departed() && e.answered {
 				others++
 			}
 		}
@@ -305,7 +305,7 @@
 // Fence tells until when this process may act, and why no longer; a time that is past says that it may not. planned is how many members the
 // settings name, and lease for how many seconds a member may act without touch with the fleet; 0 for any time.
 //
-// Why a lease holds. A floor is told when over half of the members hold it (FloorsTold). A member may act at t only if over half of the members, itself
+// Why a lease holds. A floor is told when over half of the members hold it (FloorsHeldByMajority). A member may act at t only if over half of the members, itself
 // counted, answered questions that it sent at t − lease or later, and held just the floors that it holds itself when they answered. Two such
 // halves share a member. Where t is later than telling + lease, that one was asked, and answered, after it held the floor; so the asker holds
 // the floor too, and minds it. Danger: this rests on both counting the same members or more (the greater of the settings' number and of those
@@ -330,7 +330,7 @@
 func (v *View) half(planned int) float64 {
 	times := []float64{v.now}
 	for _, e := range v.table {
-		if e.Key != v.self && !e.Over() && e.contact > 0 {
+		if e.Key != v.self && !e.Departed() && e.contact > 0 {
 			times = append(times, e.contact)
 		}
 	}
@@ -342,15 +342,15 @@
 	return times[need-1]
 }
 
-// FloorsTold tells whether over half of the members were seen to hold the floors held here since the newest of them came.
-func (v *View) FloorsTold(planned int) bool {
+// FloorsHeldByMajority tells whether over half of the members were seen to hold the floors held here since the newest of them came.
+func (v *View) FloorsHeldByMajority(planned int) bool {
 	newest := math.Inf(-1)
 	for _, f := range v.heldFloors() {
 		newest = max(newest, f.took)
 	}
 	hold := 1
 	for _, e := range v.table {
-		if e.Key != v.self && !e.Over() && e.contact > newest { // danger: at the same moment it may have been before
+		if e.Key != v.self && !e.Departed() && e.contact > newest { // danger: at the same moment it may have been before
 			hold++
 		}
 	}
--- a/internal/membership/floor_test.go
+++ b/internal/membership/floor_test.go
@@ -46,7 +46,7 @@
 	}
 	for i := range n { // all have met, and are in touch
 		for j := range n {
-			l.views[i].Merge(l.now, l.views[j].Told())
+			l.views[i].Merge(l.now, l.views[j].SyncRecords())
 		}
 	}
 	for range 2 {
@@ -136,17 +136,17 @@
 
 // exchange has two members tell each other everything.
 func (l *leased) exchange(i, j int) {
-	l.views[i].TakeFloors(l.now, l.views[j].Floors(l.now))
-	l.views[j].TakeFloors(l.now, l.views[i].Floors(l.now))
-	l.views[i].Merge(l.now, l.views[j].Told())
-	l.views[j].Merge(l.now, l.views[i].Told())
+	l.views[i].MergeFloors(l.now, l.views[j].Floors(l.now))
+	l.views[j].MergeFloors(l.now, l.views[i].Floors(l.now))
+	l.views[i].Merge(l.now, l.views[j].SyncRecords())
+	l.views[j].Merge(l.now, l.views[i].SyncRecords())
 }
 
 // tells has a member that is up to it tell the next floor.
 func (l *leased) tells(t failer, i int) {
 	no := int64(len(l.telling) + 2)
 	l.act(i, no)
-	if _, _, fault := l.views[i].TellFloor(l.now, Floor{Kind: OfConfig, No: no, Source: "f", Within: testWithin, Why: "test"}, true); fault != "" {
+	if _, _, fault := l.views[i].AnnounceFloor(l.now, Floor{Kind: KindConfig, No: no, Source: "f", Within: testWithin, Why: "test"}, true); fault != "" {
 		t.Fatal(fault) // numbers rise, so none as high is known
 	}
 	l.telling[no] = l.now
@@ -171,7 +171,7 @@
 // holdsFloor tells whether a configuration's floor is held, or a higher one.
 func (v *View) holdsFloor(no int64) bool {
 	for _, f := range v.Floors(v.now) {
-		if f.Kind == OfConfig && f.No >= no {
+		if f.Kind == KindConfig && f.No >= no {
 			return true
 		}
 	}
@@ -180,7 +180,7 @@
 
 func (l *leased) act(i int, config int64) {
 	l.config[i] = max(l.config[i], config)
-	l.views[i].Say(l.now, Says{Generation: 1, Config: Version{No: l.config[i], Source: "f"}}, false)
+	l.views[i].UpdateSelf(l.now, SelfInfo{Generation: 1, Config: Version{No: l.config[i], Source: "f"}}, false)
 }
 
 // check holds the promise: who may act now, acts on nothing below a floor that was told a lease ago.
@@ -191,7 +191,7 @@
 		}
 		for no, at := range l.telling {
 			_, known := l.told[no]
-			if !known && v.holdsFloor(no) && v.FloorsTold(l.n) {
+			if !known && v.holdsFloor(no) && v.FloorsHeldByMajority(l.n) {
 				l.told[no] = math.Max(l.now, at+testWithin)
 			}
 		}
@@ -255,33 +255,33 @@
 	far := peer
 	far.Key, far.Process = Key{Name: "d", Addr: "10.0.0.4:1"}, 4
 	a.Merge(1, []Record{peer, far})
-	_, hit, fault := a.TellFloor(2, Floor{Kind: OfConfig, No: 3, Source: "f", Within: 10, Why: "w"}, false)
+	_, hit, fault := a.AnnounceFloor(2, Floor{Kind: KindConfig, No: 3, Source: "f", Within: 10, Why: "w"}, false)
 	if fault == "" || len(hit) != 2 || len(a.floors) != 0 {
 		t.Errorf("two of three shut out, unforced: %v, %q", hit, fault)
 	}
-	if _, _, fault = a.TellFloor(2, Floor{Kind: OfConfig, No: 3, Source: "f", Within: 10, Why: "w"}, true); fault != "" {
+	if _, _, fault = a.AnnounceFloor(2, Floor{Kind: KindConfig, No: 3, Source: "f", Within: 10, Why: "w"}, true); fault != "" {
 		t.Errorf("forced: %q", fault)
 	}
-	if _, _, fault = b.TellFloor(2, Floor{Kind: OfConfig, No: 9, Source: "f", Within: 10, Why: "w"}, true); fault != "" {
+	if _, _, fault = b.AnnounceFloor(2, Floor{Kind: KindConfig, No: 9, Source: "f", Within: 10, Why: "w"}, true); fault != "" {
 		t.Errorf("forced: %q", fault)
 	}
 	now := 3.0
 	x, y := a.Floors(now), b.Floors(now)
-	a.TakeFloors(3, y)
-	b.TakeFloors(3, x)
+	a.MergeFloors(3, y)
+	b.MergeFloors(3, x)
 	if a.FloorDigest() != b.FloorDigest() || a.Floors(now)[0].By != "b" {
 		t.Errorf("floors that cross: %v and %v", a.Floors(now), b.Floors(now))
 	}
 	if until, why := a.Fence(1, 0); until != 13 && until != 12 || why == "" {
 		t.Errorf("below the floor: until %v, %q", until, why)
 	}
-	if _, _, fault = a.TellFloor(4, Floor{Kind: OfConfig, Withdrawn: true}, false); fault != "" {
+	if _, _, fault = a.AnnounceFloor(4, Floor{Kind: KindConfig, Withdrawn: true}, false); fault != "" {
 		t.Error(fault)
 	}
 	if until, _ := a.Fence(1, 0); !math.IsInf(until, 1) {
 		t.Errorf("withdrawn: until %v", until)
 	}
-	for name, f := range map[string]Floor{"kind": {Kind: 9, Turn: 1}, "turn": {}, "within": {Turn: 1, Within: math.NaN()}, "age": {Turn: 1, Age: -1}, "long": {Turn: 1, Within: MostWithin + 1}} {
+	for name, f := range map[string]Floor{"kind": {Kind: 9, Round: 1}, "turn": {}, "within": {Round: 1, Within: math.NaN()}, "age": {Round: 1, Age: -1}, "long": {Round: 1, Within: MaxWithinS + 1}} {
 		if f.Check() == nil {
 			t.Errorf("%s is taken", name)
 		}
--- a/internal/membership/floor_walk_test.go
+++ b/internal/membership/floor_walk_test.go
@@ -98,7 +98,7 @@
 		held := v.heldFloors()
 		number(uint64(len(held)))
 		for _, f := range held {
-			number(uint64(f.No), f.Turn, uint64(f.By[1]))
+			number(uint64(f.No), f.Round, uint64(f.By[1]))
 			at(f.at)
 			at(f.took)
 		}
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -96,13 +96,13 @@
 
 // Bounds of a record's parts, in bytes, and of a view, in members.
 const (
-	MostName    = 64
-	MostAddr    = 64
-	MostZone    = 64
-	MostSource  = 128
-	MostWhy     = 128
-	MostMembers = 1024
-	mostCounter = 1 << 62 // danger: a counter near its end could never be raised above
+	MaxNameBytes   = 64
+	MaxAddrBytes   = 64
+	MaxZoneBytes   = 64
+	MaxSourceBytes = 128
+	MaxWhyBytes    = 128
+	MaxMembers     = 1024
+	mostCounter    = 1 << 62 // danger: a counter near its end could never be raised above
 )
 
 // ErrRecord says that a record can't be. Errors of Check wrap it and name what is wrong.
@@ -112,16 +112,16 @@
 func (r Record) Check() error {
 	_, addr := netip.ParseAddrPort(r.Addr)
 	switch {
-	case r.Name == "" || len(r.Name) > MostName:
-		return fmt.Errorf("%w: a name of %d bytes, 1 to %d", ErrRecord, len(r.Name), MostName)
-	case addr != nil || len(r.Addr) > MostAddr:
+	case r.Name == "" || len(r.Name) > MaxNameBytes:
+		return fmt.Errorf("%w: a name of %d bytes, 1 to %d", ErrRecord, len(r.Name), MaxNameBytes)
+	case addr != nil || len(r.Addr) > MaxAddrBytes:
 		return fmt.Errorf("%w: %.64q is no address with a port", ErrRecord, r.Addr)
-	case len(r.Zone) > MostZone:
-		return fmt.Errorf("%w: a zone of %d bytes, %d at most", ErrRecord, len(r.Zone), MostZone)
-	case len(r.Program.Source) > MostSource || len(r.Config.Source) > MostSource || len(r.Routes.Source) > MostSource:
-		return fmt.Errorf("%w: a source of over %d bytes", ErrRecord, MostSource)
-	case len(r.Why) > MostWhy:
-		return fmt.Errorf("%w: a reason of %d bytes, %d at most", ErrRecord, len(r.Why), MostWhy)
+	case len(r.Zone) > MaxZoneBytes:
+		return fmt.Errorf("%w: a zone of %d bytes, %d at most", ErrRecord, len(r.Zone), MaxZoneBytes)
+	case len(r.Program.Source) > MaxSourceBytes || len(r.Config.Source) > MaxSourceBytes || len(r.Routes.Source) > MaxSourceBytes:
+		return fmt.Errorf("%w: a source of over %d bytes", ErrRecord, MaxSourceBytes)
+	case len(r.Why) > MaxWhyBytes:
+		return fmt.Errorf("%w: a reason of %d bytes, %d at most", ErrRecord, len(r.Why), MaxWhyBytes)
 	case r.State > Left:
 		return fmt.Errorf("%w: state %d", ErrRecord, r.State)
 	case r.Verdict > Gone:
@@ -158,10 +158,10 @@
 }
 
 // Over tells that nothing is to be expected of the member any more: it left, or is gone.
-func (r Record) Over() bool { return r.State == Left || r.Verdict == Gone }
+func (r Record) Departed() bool { return r.State == Left || r.Verdict == Gone }
 
 // Live tells that the member is held to run and to be reachable.
-func (r Record) Live() bool { return !r.Over() && r.Verdict != Failed }
+func (r Record) Live() bool { return !r.Departed() && r.Verdict != Failed }
 
 // digest sums a record up, all but the words.
 func (r Record) digest() uint64 {
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -20,28 +20,28 @@
 
 // Picture is a view as of one moment, for those outside the reducer. Nothing in it is written to.
 type Picture struct {
-	Now         float64
-	Self        Key
-	Process     uint64
-	Members     []Member // by key
-	Digest      uint64
-	Changed     float64 // when a member, state or verdict last changed
-	Acting      int
-	Reached     int
-	Zones       map[string]int // members that are live, by zone
-	Dropped     uint64
-	History     []Change
-	Floors      []Floor
-	FloorDigest uint64
-	Established bool
-	FloorsAt    float64 // when Floors' ages were true
-	FloorsTold  bool    // over half of the members were seen to hold them
-	Fenced      string  // why this member may not act; empty where it may
-	Clashes     []Clash // numbers that members hold with two contents, as of the last look
+	Now                  float64
+	Self                 Key
+	Process              uint64
+	Members              []Member // by key
+	Digest               uint64
+	ChangedAt            float64 // when a member, state or verdict last changed
+	Acting               int
+	Reached              int
+	Zones                map[string]int // members that are live, by zone
+	Dropped              uint64
+	History              []Change
+	Floors               []Floor
+	FloorDigest          uint64
+	Established          bool
+	FloorsAt             float64           // when Floors' ages were true
+	FloorsHeldByMajority bool              // over half of the members were seen to hold them
+	Fenced               string            // why this member may not act; empty where it may
+	Clashes              []VersionConflict // numbers that members hold with two contents, as of the last look
 }
 
 // Told is what is told to a member that asks for everything.
-func (p *Picture) Told() []Record {
+func (p *Picture) SyncRecords() []Record {
 	all := make([]Record, 0, len(p.Members))
 	for _, m := range p.Members {
 		if m.told(p.Now, m.Since) {
@@ -53,7 +53,7 @@
 
 // Picture makes a picture of the view.
 func (v *View) Picture() Picture {
-	p := Picture{Now: v.now, Self: v.self, Process: v.Self().Process, Digest: v.digest, Changed: v.changed, Acting: v.Acting(),
+	p := Picture{Now: v.now, Self: v.self, Process: v.Self().Process, Digest: v.digest, ChangedAt: v.changed, Acting: v.Acting(),
 		Reached: v.Reached(), Zones: map[string]int{}, Dropped: v.dropped, History: v.last(),
 		Clashes: v.clashes,
 		Floors:  v.Floors(v.now), FloorDigest: v.FloorDigest(), Established: v.established, FloorsAt: v.now}
@@ -62,7 +62,7 @@
 	for _, k := range v.keys() {
 		e := v.table[k]
 		p.Members = append(p.Members, Member{Record: e.Record, Since: e.since, Reached: e.reached, Self: k == v.self, ConfigAt: e.configAt, RoutesAt: e.routesAt,
-			Suspected: e.doubted && e.reached, Disagrees: k != v.self && !e.Over() && e.reached && e.heardAt > 0 && e.heard != v.digest})
+			Suspected: e.doubted && e.reached, Disagrees: k != v.self && !e.Departed() && e.reached && e.heardAt > 0 && e.heard != v.digest})
 		if e.Live() {
 			live[k.Name]++
 			p.Zones[e.Zone]++
@@ -76,50 +76,50 @@
 
 // EntryState is a member in a view's state.
 type EntryState struct {
-	Record  Record  `cbor:"1,keyasint"`
-	Since   float64 `cbor:"2,keyasint"`
-	Unseen  float64 `cbor:"3,keyasint,omitempty"`
-	Reached bool    `cbor:"4,keyasint,omitempty"`
-	Heard   uint64  `cbor:"5,keyasint,omitempty"`
-	HeardAt float64 `cbor:"6,keyasint,omitempty"`
+	Record           Record  `cbor:"1,keyasint"`
+	Since            float64 `cbor:"2,keyasint"`
+	UnreachableSince float64 `cbor:"3,keyasint,omitempty"`
+	Reached          bool    `cbor:"4,keyasint,omitempty"`
+	PeerDigest       uint64  `cbor:"5,keyasint,omitempty"`
+	PeerDigestAt     float64 `cbor:"6,keyasint,omitempty"`
 
-	ConfigAt float64 `cbor:"7,keyasint,omitempty"`
-	RoutesAt float64 `cbor:"8,keyasint,omitempty"`
-	Contact  float64 `cbor:"9,keyasint,omitempty"`
-	Answered bool    `cbor:"10,keyasint,omitempty"`
+	ConfigAt  float64 `cbor:"7,keyasint,omitempty"`
+	RoutesAt  float64 `cbor:"8,keyasint,omitempty"`
+	ContactAt float64 `cbor:"9,keyasint,omitempty"`
+	Answered  bool    `cbor:"10,keyasint,omitempty"`
 }
 
 // ViewState is all that a view remembers, for a successor.
 type ViewState struct {
-	Self        Key          `cbor:"1,keyasint"`
-	Entries     []EntryState `cbor:"2,keyasint"` // by key
-	Now         float64      `cbor:"3,keyasint"`
-	Looked      float64      `cbor:"4,keyasint"`
-	Begun       float64      `cbor:"5,keyasint"`
-	Awake       float64      `cbor:"6,keyasint"`
-	Changed     float64      `cbor:"7,keyasint"`
-	History     []Change     `cbor:"8,keyasint"`
-	Dropped     uint64       `cbor:"9,keyasint"`
-	News        []Key        `cbor:"10,keyasint"`
-	Floors      []FloorState `cbor:"11,keyasint,omitempty"`
-	Established bool         `cbor:"12,keyasint,omitempty"`
-	Clashes     []Clash      `cbor:"13,keyasint,omitempty"`
+	Self            Key               `cbor:"1,keyasint"`
+	Entries         []EntryState      `cbor:"2,keyasint"` // by key
+	Now             float64           `cbor:"3,keyasint"`
+	ReachabilityAt  float64           `cbor:"4,keyasint"`
+	StartedAt       float64           `cbor:"5,keyasint"`
+	NoVerdictsUntil float64           `cbor:"6,keyasint"`
+	ChangedAt       float64           `cbor:"7,keyasint"`
+	History         []Change          `cbor:"8,keyasint"`
+	Dropped         uint64            `cbor:"9,keyasint"`
+	PendingUpdates  []Key             `cbor:"10,keyasint"`
+	Floors          []FloorState      `cbor:"11,keyasint,omitempty"`
+	Established     bool              `cbor:"12,keyasint,omitempty"`
+	Clashes         []VersionConflict `cbor:"13,keyasint,omitempty"`
 }
 
 // Export returns all that the view remembers. What Fresh and News would return is kept by both.
 func (v *View) Export() ViewState {
-	s := ViewState{Self: v.self, Now: v.now, Looked: v.looked, Begun: v.begun, Awake: v.awake, Changed: v.changed,
+	s := ViewState{Self: v.self, Now: v.now, ReachabilityAt: v.looked, StartedAt: v.begun, NoVerdictsUntil: v.awake, ChangedAt: v.changed,
 		History: slices.Clone(v.last()), Dropped: v.dropped}
 	s.Established, s.Clashes = v.established, slices.Clone(v.clashes)
 	for _, f := range v.heldFloors() {
-		s.Floors = append(s.Floors, FloorState{Floor: f.Floor, At: f.at, Took: f.took})
+		s.Floors = append(s.Floors, FloorState{Floor: f.Floor, AnnouncedAt: f.at, ReceivedAt: f.took})
 	}
 	for _, k := range v.keys() {
 		e := v.table[k]
-		s.Entries = append(s.Entries, EntryState{Record: e.Record, Since: e.since, Unseen: e.unseen, Reached: e.reached, Heard: e.heard,
-			HeardAt: e.heardAt, ConfigAt: e.configAt, RoutesAt: e.routesAt, Contact: e.contact, Answered: e.answered})
+		s.Entries = append(s.Entries, EntryState{Record: e.Record, Since: e.since, UnreachableSince: e.unseen, Reached: e.reached, PeerDigest: e.heard,
+			PeerDigestAt: e.heardAt, ConfigAt: e.configAt, RoutesAt: e.routesAt, ContactAt: e.contact, Answered: e.answered})
 		if v.news[k] {
-			s.News = append(s.News, k)
+			s.PendingUpdates = append(s.PendingUpdates, k)
 		}
 	}
 	return s
@@ -127,18 +127,18 @@
 
 // FloorState is a floor in a view's state.
 type FloorState struct {
-	Floor Floor   `cbor:"1,keyasint"`
-	At    float64 `cbor:"2,keyasint"`
-	Took  float64 `cbor:"3,keyasint"`
+	Floor       Floor   `cbor:"1,keyasint"`
+	AnnouncedAt float64 `cbor:"2,keyasint"`
+	ReceivedAt  float64 `cbor:"3,keyasint"`
 }
 
 // Import makes a view that goes on where the exported one stood. Its errors wrap ErrRecord.
 func Import(s ViewState) (*View, error) {
-	if len(s.Entries) > MostMembers || len(s.History) > mostHistory {
-		return nil, fmt.Errorf("%w: %d members and %d changes, %d and %d at most", ErrRecord, len(s.Entries), len(s.History), MostMembers, mostHistory)
+	if len(s.Entries) > MaxMembers || len(s.History) > mostHistory {
+		return nil, fmt.Errorf("%w: %d members and %d changes, %d and %d at most", ErrRecord, len(s.Entries), len(s.History), MaxMembers, mostHistory)
 	}
 	v := empty(s.Self)
-	v.now, v.looked, v.begun, v.awake, v.changed, v.dropped = s.Now, s.Looked, s.Begun, s.Awake, s.Changed, s.Dropped
+	v.now, v.looked, v.begun, v.awake, v.changed, v.dropped = s.Now, s.ReachabilityAt, s.StartedAt, s.NoVerdictsUntil, s.ChangedAt, s.Dropped
 	v.history = slices.Clone(s.History)
 	for i, x := range s.Entries {
 		if err := x.Record.Check(); err != nil {
@@ -147,13 +147,13 @@
 		if v.table[x.Record.Key] != nil {
 			return nil, fmt.Errorf("%w: member %d (%v) is there twice", ErrRecord, i, x.Record.Key)
 		}
-		v.table[x.Record.Key] = &entry{Record: x.Record, since: x.Since, unseen: x.Unseen, reached: x.Reached, heard: x.Heard, heardAt: x.HeardAt,
-			configAt: x.ConfigAt, routesAt: x.RoutesAt, contact: x.Contact, answered: x.Answered}
+		v.table[x.Record.Key] = &entry{Record: x.Record, since: x.Since, unseen: x.UnreachableSince, reached: x.Reached, heard: x.PeerDigest, heardAt: x.PeerDigestAt,
+			configAt: x.ConfigAt, routesAt: x.RoutesAt, contact: x.ContactAt, answered: x.Answered}
 	}
 	if v.table[v.self] == nil {
 		return nil, fmt.Errorf("%w: this process is no member of its own view", ErrRecord)
 	}
-	for _, k := range s.News {
+	for _, k := range s.PendingUpdates {
 		v.news[k] = true
 	}
 	v.established, v.clashes = s.Established, s.Clashes[:min(len(s.Clashes), mostClashes)]
@@ -164,7 +164,7 @@
 		if v.floors[f.Floor.Kind] == nil {
 			v.floors[f.Floor.Kind] = &floors{}
 		}
-		v.floors[f.Floor.Kind].take(floor{Floor: f.Floor, at: f.At, took: f.Took})
+		v.floors[f.Floor.Kind].take(floor{Floor: f.Floor, at: f.AnnouncedAt, took: f.ReceivedAt})
 	}
 	v.digest = v.sum()
 	return v, nil
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -57,9 +57,9 @@
 	news        map[Key]bool
 	floors      map[Kind]*floors
 	floorNews   bool
-	clashes     []Clash // as of the last look
-	established bool    // this process has learned of the floors since its start
-	dropped     uint64  // records refused for want of a place, or of a form that can't be
+	clashes     []VersionConflict // as of the last look
+	established bool              // this process has learned of the floors since its start
+	dropped     uint64            // records refused for want of a place, or of a form that can't be
 }
 
 // New begins a view with this process's own record, which must pass Check.
@@ -106,7 +106,7 @@
 
 // Moved tells whether what a picture shows has changed since it was last asked. What each look brings (who is reached, whose digest
 // differs) is not counted: a picture is due after each look anyway. It must be asked before Fresh.
-func (v *View) Moved() bool {
+func (v *View) ChangedSincePicture() bool {
 	moved := v.digest != v.shown || len(v.fresh) > 0
 	v.shown = v.digest
 	return moved
@@ -161,7 +161,7 @@
 		v.changed = v.now
 	}
 	for k, e := range v.table {
-		if k != v.self && e.Over() && v.now-e.since > keepOver {
+		if k != v.self && e.Departed() && v.now-e.since > keepOver {
 			delete(v.table, k)
 			v.order = nil
 		}
@@ -201,7 +201,7 @@
 	switch {
 	case r.Key == v.self:
 		return v.takeOwn(r)
-	case e == nil && len(v.table) >= MostMembers && !v.makeRoom():
+	case e == nil && len(v.table) >= MaxMembers && !v.makeRoom():
 		v.dropped++
 		return false
 	case e == nil:
@@ -272,7 +272,7 @@
 func (v *View) makeRoom() bool {
 	var oldest *entry
 	for k, e := range v.table {
-		if k != v.self && e.Over() && (oldest == nil || e.since < oldest.since || e.since == oldest.since && e.Key.compare(oldest.Key) < 0) {
+		if k != v.self && e.Departed() && (oldest == nil || e.since < oldest.since || e.since == oldest.since && e.Key.compare(oldest.Key) < 0) {
 			oldest = e
 		}
 	}
@@ -285,16 +285,16 @@
 }
 
 // Heard is what a member said that it holds.
-type Heard struct {
+type PeerDigest struct {
 	Process uint64 `cbor:"1,keyasint"`
 	Digest  uint64 `cbor:"2,keyasint"`
 }
 
 // Sight is what the transport tells, by process.
-type Sight struct {
-	Reached []uint64 `cbor:"1,keyasint,omitempty"`
-	Doubted []uint64 `cbor:"2,keyasint,omitempty"` // reached, but not by a plain question
-	Heard   []Heard  `cbor:"3,keyasint,omitempty"`
+type Reachability struct {
+	Reached    []uint64     `cbor:"1,keyasint,omitempty"`
+	Suspected  []uint64     `cbor:"2,keyasint,omitempty"` // reached, but not by a plain question
+	PeerDigest []PeerDigest `cbor:"3,keyasint,omitempty"`
 }
 
 // Look takes in whom the transport reaches now. The transport has its own suspicions and second opinions: one
@@ -302,7 +302,7 @@
 //
 // Danger: a process that was stopped, or starved, finds every timer run out when it wakes, though it was itself that did not
 // answer. So after a gap it judges nobody for as long as others need to reach it.
-func (v *View) Look(now float64, s Sight) {
+func (v *View) UpdateReachability(now float64, s Reachability) {
 	v.begin(now)
 	if v.now-v.looked > lookMost {
 		v.awake = v.now + grace
@@ -315,9 +315,9 @@
 	}
 	v.looked = v.now
 	v.clashes = v.findClashes() // danger: for each record that comes, hundreds of members would have no time for anything else
-	in, doubted := set(s.Reached), set(s.Doubted)
-	digests := make(map[uint64]uint64, len(s.Heard))
-	for _, h := range s.Heard {
+	in, doubted := set(s.Reached), set(s.Suspected)
+	digests := make(map[uint64]uint64, len(s.PeerDigest))
+	for _, h := range s.PeerDigest {
 		digests[h.Process] = h.Digest
 	}
 	met := false
@@ -326,7 +326,7 @@
 		if k == v.self {
 			continue
 		}
-		if e.Over() {
+		if e.Departed() {
 			e.reached, e.doubted = false, false
 			continue
 		}
@@ -372,8 +372,8 @@
 }
 
 func (v *View) judge(e *entry, verdict Verdict, why string) {
-	if len(why) > MostWhy {
-		why = why[:MostWhy]
+	if len(why) > MaxWhyBytes {
+		why = why[:MaxWhyBytes]
 	}
 	e.Verdict, e.Why, e.since, v.changed = verdict, why, v.now, v.now
 	v.note(e.Key, verdict.String(), why)
@@ -382,10 +382,10 @@
 
 // Refused takes in that the machine at a process's address says that nobody listens there. A process listens for as long as it
 // lives, and hands its listener over; so this one has ended.
-func (v *View) Refused(now float64, process uint64) {
+func (v *View) ConnectionRefused(now float64, process uint64) {
 	v.begin(now)
 	for _, e := range v.table {
-		if e.Process == process && e.Key != v.self && !e.Over() {
+		if e.Process == process && e.Key != v.self && !e.Departed() {
 			v.judge(e, Gone, "its machine refuses connections, so it has ended; asked by "+v.self.Name)
 		}
 	}
@@ -406,12 +406,12 @@
 	for _, k := range v.keys() {
 		e := v.table[k]
 		switch {
-		case k.Name != name || e.Over() && fault != FaultUnknown:
+		case k.Name != name || e.Departed() && fault != FaultUnknown:
 		case k == v.self:
 			fault = FaultSelf
 		case e.reached:
 			return FaultAnswers
-		case e.Over():
+		case e.Departed():
 			fault = ""
 		default:
 			v.judge(e, Gone, "removed by staff at "+v.self.Name)
@@ -423,7 +423,7 @@
 }
 
 // Says is what a process says of itself beside its state.
-type Says struct {
+type SelfInfo struct {
 	Generation int
 	Program    Version
 	Config     Version
@@ -433,7 +433,7 @@
 
 // Say has this process say what it acts on, and whether its callers are sent away. A state that came later stays: one that is
 // stopping does not serve again.
-func (v *View) Say(now float64, s Says, sentAway bool) {
+func (v *View) UpdateSelf(now float64, s SelfInfo, sentAway bool) {
 	v.begin(now)
 	v.say(func(r *Record) {
 		r.Generation, r.Program, r.Config, r.Routes, r.Zone = s.Generation, s.Program, s.Config, s.Routes, s.Zone
@@ -447,7 +447,7 @@
 }
 
 // Enter has this process say that it is stopping, or has left.
-func (v *View) Enter(now float64, s State) {
+func (v *View) AdvanceState(now float64, s State) {
 	v.begin(now)
 	v.say(func(r *Record) { r.State = max(r.State, s) })
 	v.end()
@@ -460,7 +460,7 @@
 		return v.Reached()
 	}
 	for _, e := range v.table {
-		if !e.Over() {
+		if !e.Departed() {
 			n++
 		}
 	}
@@ -470,7 +470,7 @@
 // Reached is how many members were reached at the last look, this one among them: what a view without the bound would count.
 func (v *View) Reached() (n int) {
 	for _, e := range v.table {
-		if !e.Over() && e.reached {
+		if !e.Departed() && e.reached {
 			n++
 		}
 	}
@@ -479,7 +479,7 @@
 
 func (v *View) sum() (d uint64) {
 	for _, e := range v.table {
-		if !e.Over() {
+		if !e.Departed() {
 			d += e.Record.digest() // commutative, so that no order is needed
 		}
 	}
@@ -511,7 +511,7 @@
 }
 
 // News returns the records to be told to others since it was last called, by key.
-func (v *View) News() []Record {
+func (v *View) RecordUpdates() []Record {
 	var all []Record
 	for k := range v.news {
 		if e := v.table[k]; e != nil {
@@ -524,7 +524,7 @@
 }
 
 // Told returns what is told to a member that asks for everything.
-func (v *View) Told() []Record {
+func (v *View) SyncRecords() []Record {
 	var all []Record
 	for _, k := range v.keys() {
 		if e := v.table[k]; e.told(v.now, e.since) {
@@ -535,10 +535,10 @@
 }
 
 // told tells whether a record is told to others: one that is over only for some time.
-func (r Record) told(now, since float64) bool { return !r.Over() || now-since <= tellOver }
+func (r Record) told(now, since float64) bool { return !r.Departed() || now-since <= tellOver }
 
 // Fresh returns the changes since it was last called.
-func (v *View) Fresh() []Change {
+func (v *View) NewChanges() []Change {
 	all := v.fresh
 	v.fresh = nil
 	return all
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -39,10 +39,10 @@
 			other.Merge(2, []Record{r})
 		}
 		if one.Digest() != other.Digest() {
-			t.Fatalf("in one go %+v, one by one %+v", one.Told(), other.Told())
+			t.Fatalf("in one go %+v, one by one %+v", one.SyncRecords(), other.SyncRecords())
 		}
 		before := one.Digest()
-		one.Merge(3, other.Told())
+		one.Merge(3, other.SyncRecords())
 		if one.Digest() != before {
 			t.Fatalf("what was known already changed the view")
 		}
@@ -87,8 +87,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh.Merge(2, other.Told())
-	other.Merge(3, fresh.News())
+	fresh.Merge(2, other.SyncRecords())
+	other.Merge(3, fresh.RecordUpdates())
 	if got := other.table[key]; got.Process != 2 || !got.Live() || got.Incarnation != 3_600_001 {
 		t.Errorf("held: %+v", got.Record)
 	}
@@ -104,9 +104,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.Merge(2, b.Told())
-	b.Merge(2, a.Told())
-	a.Merge(3, b.Told())
+	a.Merge(2, b.SyncRecords())
+	b.Merge(2, a.SyncRecords())
+	a.Merge(3, b.SyncRecords())
 	if a.Self().Loser || !b.Self().Loser {
 		t.Errorf("losers: the first %v, the second %v", a.Self().Loser, b.Self().Loser)
 	}
@@ -121,10 +121,10 @@
 			t.Errorf("%v does not name the other address: %+v", v.self, p.History)
 		}
 	}
-	b.Look(10, Sight{})
-	b.Look(12, Sight{})
-	b.Look(14, Sight{})
-	b.Look(16, Sight{})
+	b.UpdateReachability(10, Reachability{})
+	b.UpdateReachability(12, Reachability{})
+	b.UpdateReachability(14, Reachability{})
+	b.UpdateReachability(16, Reachability{})
 	if b.table[a.self].Verdict != Fine {
 		t.Error("a loser judges others")
 	}
@@ -139,21 +139,21 @@
 	peer := Record{Key: Key{Name: "n2", Addr: "10.0.0.2:1"}, Incarnation: 1, Process: 5, Seq: 1, State: Serving, Generation: 1}
 	v.Merge(1, []Record{peer})
 	for now := 1.5; now < 4; now += 0.5 {
-		v.Look(now, Sight{Reached: []uint64{5}})
+		v.UpdateReachability(now, Reachability{Reached: []uint64{5}})
 	}
-	v.Look(64, Sight{}) // awake again, and its transport has written everybody off
-	v.Look(64.5, Sight{})
+	v.UpdateReachability(64, Reachability{}) // awake again, and its transport has written everybody off
+	v.UpdateReachability(64.5, Reachability{})
 	if v.table[peer.Key].Verdict != Fine {
 		t.Fatal("judged on waking")
 	}
 	for now := 65.0; now < 68; now += 0.5 {
-		v.Look(now, Sight{})
+		v.UpdateReachability(now, Reachability{})
 	}
 	if v.table[peer.Key].Verdict != Fine {
 		t.Fatal("judged before the other had time")
 	}
 	for now := 68.0; now < 72; now += 0.5 {
-		v.Look(now, Sight{})
+		v.UpdateReachability(now, Reachability{})
 	}
 	if got := v.table[peer.Key]; got.Verdict != Failed || v.Acting() != 2 || v.Reached() != 1 {
 		t.Errorf("in the end: %+v, %d acting, %d reached", got.Record, v.Acting(), v.Reached())
@@ -168,11 +168,11 @@
 	}
 	two, three := record("n2", "10.0.0.2:1", 2), record("n3", "10.0.0.3:1", 3)
 	v.Merge(1, []Record{two, three})
-	v.Look(2, Sight{Reached: []uint64{2, 3}})
+	v.UpdateReachability(2, Reachability{Reached: []uint64{2, 3}})
 	if v.Acting() != 3 {
 		t.Fatalf("%d may be acting", v.Acting())
 	}
-	v.Look(3, Sight{Reached: []uint64{2}})
+	v.UpdateReachability(3, Reachability{Reached: []uint64{2}})
 	if v.table[three.Key].Verdict != Failed || v.Acting() != 3 {
 		t.Errorf("out of reach: %+v, %d may be acting", v.table[three.Key].Record, v.Acting())
 	}
@@ -193,11 +193,11 @@
 	if v.Acting() != 1 {
 		t.Errorf("%d may be acting after a leave", v.Acting())
 	}
-	v.Look(5, Sight{})
-	v.Look(7, Sight{})
-	v.Look(4+keepOver+3, Sight{})
+	v.UpdateReachability(5, Reachability{})
+	v.UpdateReachability(7, Reachability{})
+	v.UpdateReachability(4+keepOver+3, Reachability{})
 	if len(v.table) != 1 {
-		t.Errorf("still remembered: %+v", v.Told())
+		t.Errorf("still remembered: %+v", v.SyncRecords())
 	}
 }
 
@@ -205,7 +205,7 @@
 func TestBounds(t *testing.T) {
 	v := watcher(t, "n1")
 	var all []Record
-	for i := range MostMembers + 10 {
+	for i := range MaxMembers + 10 {
 		r := Record{Key: Key{Name: "m" + string(rune('0'+i%10)) + strings.Repeat("x", i/10%60) + strings.Repeat("y", i/600), Addr: "10.0.0.2:1"}, Incarnation: 1, Process: uint64(1000 + i), Seq: 1, State: Serving, Generation: 1}
 		if i == 0 {
 			r.State = Left
@@ -213,7 +213,7 @@
 		all = append(all, r)
 	}
 	v.Merge(1, all)
-	if len(v.table) > MostMembers || v.dropped == 0 {
+	if len(v.table) > MaxMembers || v.dropped == 0 {
 		t.Errorf("%d members, %d dropped", len(v.table), v.dropped)
 	}
 	if v.table[all[0].Key] != nil {
@@ -226,8 +226,8 @@
 		"state":       {Key: Key{Name: "a", Addr: "10.0.0.1:1"}, Incarnation: 1, State: 9},
 		"verdict":     {Key: Key{Name: "a", Addr: "10.0.0.1:1"}, Incarnation: 1, Verdict: 9},
 		"seq's end":   {Key: Key{Name: "a", Addr: "10.0.0.1:1"}, Incarnation: 1, Seq: 1 << 63},
-		"long words":  {Key: Key{Name: "a", Addr: "10.0.0.1:1"}, Incarnation: 1, Why: strings.Repeat("w", MostWhy+1)},
-		"long source": {Key: Key{Name: "a", Addr: "10.0.0.1:1"}, Incarnation: 1, Routes: Version{Source: strings.Repeat("s", MostSource+1)}},
+		"long words":  {Key: Key{Name: "a", Addr: "10.0.0.1:1"}, Incarnation: 1, Why: strings.Repeat("w", MaxWhyBytes+1)},
+		"long source": {Key: Key{Name: "a", Addr: "10.0.0.1:1"}, Incarnation: 1, Routes: Version{Source: strings.Repeat("s", MaxSourceBytes+1)}},
 	} {
 		if err := r.Check(); !errors.Is(err, ErrRecord) {
 			t.Errorf("%s: %v", name, err)
--- a/internal/membership/walk_test.go
+++ b/internal/membership/walk_test.go
@@ -92,7 +92,7 @@
 
 // tell has one member tell another everything.
 func (w *world) tell(from, to int) {
-	v, told := w.views[to], w.views[from].Told()
+	v, told := w.views[to], w.views[from].SyncRecords()
 	switch w.fault {
 	case "stale news wins":
 		for _, r := range told {
@@ -109,7 +109,7 @@
 // look has a member's transport tell whom it reaches, long enough after it first tried.
 func (w *world) look(i int) {
 	v := w.views[i]
-	var s Sight
+	var s Reachability
 	for j, other := range w.views {
 		if j != i && other != nil && w.linked(i, j) {
 			s.Reached = append(s.Reached, w.process[j])
@@ -122,11 +122,11 @@
 			e.unseen = frozen - grace - 1
 		}
 	}
-	v.Look(frozen, s)
+	v.UpdateReachability(frozen, s)
 	if w.fault == "out of reach is gone" {
 		for k, e := range v.table {
 			if k != v.self && !e.reached {
-				v.Refused(frozen, e.Process)
+				v.ConnectionRefused(frozen, e.Process)
 			}
 		}
 	}
@@ -157,10 +157,10 @@
 		if w.left[2] > 0 {
 			add(func(t testing.TB, n *world) string {
 				n.left[2]--
-				n.views[i].Enter(frozen, Left)
+				n.views[i].AdvanceState(frozen, Left)
 				for j := range n.views {
 					if j != i && n.views[j] != nil && n.linked(i, j) {
-						n.views[j].Merge(frozen, n.views[i].Told())
+						n.views[j].Merge(frozen, n.views[i].SyncRecords())
 						break // one hears it, the others from that one
 					}
 				}
@@ -175,7 +175,7 @@
 				add(func(t testing.TB, n *world) string { n.exchange(i, j); return fmt.Sprint("exchange ", i, j) })
 			case j != i && w.views[j] == nil && w.linked(i, j):
 				add(func(t testing.TB, n *world) string {
-					n.views[i].Refused(frozen, n.process[j])
+					n.views[i].ConnectionRefused(frozen, n.process[j])
 					return fmt.Sprint("refused ", i, j)
 				})
 			}
@@ -204,7 +204,7 @@
 			}
 			w.told[i][k] = e.Record
 			for j, other := range w.views {
-				if other != nil && k == other.self && e.Process == w.process[j] && e.Over() {
+				if other != nil && k == other.self && e.Process == w.process[j] && e.Departed() {
 					return fmt.Errorf("%d holds %v for over, which runs: it no longer counts as one that may act", i, k)
 				}
 			}
@@ -238,7 +238,7 @@
 			e := v.table[Key{Name: string(rune('a' + j)), Addr: fmt.Sprintf("127.0.0.%d:1", j+1)}]
 			switch {
 			case other != nil && v.Digest() != other.Digest():
-				return fmt.Errorf("%d and %d don't come to one view: %+v and %+v", i, j, v.Told(), other.Told())
+				return fmt.Errorf("%d and %d don't come to one view: %+v and %+v", i, j, v.SyncRecords(), other.SyncRecords())
 			case other != nil && (e == nil || !e.Live() || e.Process != c.process[j]):
 				return fmt.Errorf("%d runs and is reached, and %d holds %+v of it", j, i, e)
 			case other == nil && e != nil && e.Live():
--- a/internal/ops/server.go
+++ b/internal/ops/server.go
@@ -183,7 +183,7 @@
 func (s *AdminServer) evictable() (out *clientConn, found bool) {
 	reading := false
 	for c := range s.conns {
-		idle := c.awaitingInput && tcp.Silent(c.TCPConn)
+		idle := c.awaitingInput && tcp.OpenWithoutData(c.TCPConn)
 		reading = reading || !c.requestRead && !idle
 		if !c.requestRead && !idle {
 			continue
--- a/internal/ops/server_test.go
+++ b/internal/ops/server_test.go
@@ -246,7 +246,7 @@
 		return c
 	}
 	first := accept(postRequest("/ops/drain/start", ""))
-	for tcp.Silent(first.TCPConn) {
+	for tcp.OpenWithoutData(first.TCPConn) {
 		runtime.Gosched()
 	}
 	srv.admit(first)
--- a/internal/routeset/faults_test.go
+++ b/internal/routeset/faults_test.go
@@ -82,7 +82,7 @@
 			if e, told := next().(core.RouteSetTold); !told || e.RouteSet.Version != 42 || len(e.RouteSet.Workers) != 1 {
 				t.Errorf("%+v", e)
 			}
-			if calls, failures := c.Asked(); calls < 2 || failures < 1 {
+			if calls, failures := c.CallCounts(); calls < 2 || failures < 1 {
 				t.Errorf("%d calls and %d failures are counted", calls, failures)
 			}
 		})
@@ -103,7 +103,7 @@
 	if e := <-events; e != (core.RouteSetRefused{Source: from}) {
 		t.Errorf("%+v", e)
 	}
-	if calls, failures := c.Asked(); calls != 0 || failures != 1 {
+	if calls, failures := c.CallCounts(); calls != 0 || failures != 1 {
 		t.Errorf("%d calls and %d failures are counted", calls, failures)
 	}
 }
--- a/internal/routeset/watch.go
+++ b/internal/routeset/watch.go
@@ -110,7 +110,7 @@
 }
 
 // Asked counts the calls written to discovery, and those of them and of the dials that failed.
-func (c *Client) Asked() (calls, failures uint64) { return c.asked.Load(), c.failed.Load() }
+func (c *Client) CallCounts() (calls, failures uint64) { return c.asked.Load(), c.failed.Load() }
 
 func (c *Client) refused(from core.Source, err error) {
 	c.failed.Add(1)
@@ -243,7 +243,7 @@
 	if err := resp.ReadLimitBody(c.r, mostList); err != nil {
 		return core.RouteSet{}, fmt.Errorf("discovery's answer: %w", err)
 	}
-	c.Mark(c.r.Buffered())
+	c.MarkConsumed(c.r.Buffered())
 	c.closes = resp.ConnectionClose()
 	if code := resp.StatusCode(); code != fasthttp.StatusOK {
 		return core.RouteSet{}, fmt.Errorf("discovery's answer: status %d", code)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -17,8 +17,8 @@
 // Schema is the version of the format written here. It changes whenever a reader of the last one would misread it.
 const Schema uint16 = 2
 
-// MostBytes bounds a snapshot: 4,096 open requests with full bodies of 64 KiB.
-const MostBytes = 272 << 20
+// MaxBytes bounds a snapshot: 4,096 open requests with full bodies of 64 KiB.
+const MaxBytes = 272 << 20
 
 const (
 	magic      = "FOLD"
@@ -78,8 +78,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if len(body)+headerSize > MostBytes {
-		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, len(body)+headerSize, MostBytes)
+	if len(body)+headerSize > MaxBytes {
+		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, len(body)+headerSize, MaxBytes)
 	}
 	return Seal(body), nil
 }
@@ -100,8 +100,8 @@
 	if len(text) < headerSize {
 		return nil, fmt.Errorf("%w: %d bytes, a header has %d", ErrTruncated, len(text), headerSize)
 	}
-	if len(text) > MostBytes {
-		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, len(text), MostBytes)
+	if len(text) > MaxBytes {
+		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, len(text), MaxBytes)
 	}
 	if string(text[:len(magic)]) != magic {
 		return nil, ErrMagic
--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -31,7 +31,7 @@
 
 // Silent reports whether a connection is open and nothing has come in on it that was not read yet. It reads
 // nothing and does not wait.
-func Silent(c net.Conn) bool {
+func OpenWithoutData(c net.Conn) bool {
 	silent := true
 	open := look(c, func(fd int) {
 		_, err := peek(fd)
@@ -42,7 +42,7 @@
 
 // Ended reports whether a connection was closed on either side or reset, whatever came before that and was not read yet. It
 // reads nothing and does not wait.
-func Ended(c net.Conn) bool {
+func Closed(c net.Conn) bool {
 	ended := false
 	open := look(c, func(fd int) {
 		n, err := peek(fd)
@@ -51,14 +51,14 @@
 		case err != nil || n == 0:
 			ended = true
 		default:
-			ended = HungUp(fd)
+			ended = PeerClosed(fd)
 		}
 	})
 	return !open || ended
 }
 
-// HungUp reports whether the other side of a descriptor has closed its end or reset the connection, though bytes may stand before that.
-func HungUp(fd int) bool {
+// PeerClosed reports whether the other side of a descriptor has closed its end or reset the connection, though bytes may stand before that.
+func PeerClosed(fd int) bool {
 	p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(p, 0)
 	return err == nil && n > 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
--- a/internal/upgrade/body.go
+++ b/internal/upgrade/body.go
@@ -36,8 +36,8 @@
 		}}
 }
 
-// OrNone is the part where whoever hands over may hand nothing over for it.
-func (p Part) OrNone() Part {
+// AsOptional is the part where whoever hands over may hand nothing over for it.
+func (p Part) AsOptional() Part {
 	p.Optional = true
 	return p
 }
@@ -63,7 +63,7 @@
 }
 
 // Body is all that a dispatcher hands over.
-type Body struct {
+type Runtime struct {
 	Loop     *core.Loop
 	Reducer  *core.Reducer
 	Gate     *hold.Gate
@@ -80,7 +80,7 @@
 }
 
 // Trial takes a snapshot between two steps, and has every later step told to follow.
-func (b *Body) Trial(follow func(Followed)) ([]byte, error) {
+func (b *Runtime) SnapshotAndFollow(follow func(Followed)) ([]byte, error) {
 	goOn, ok := b.Loop.Hold()
 	if !ok {
 		return nil, fmt.Errorf("upgrade: the loop has ended")
@@ -103,7 +103,7 @@
 }
 
 // State takes a snapshot. The body must be held.
-func (b *Body) State() ([]byte, error) {
+func (b *Runtime) Snapshot() ([]byte, error) {
 	st, err := b.Reducer.Export()
 	if err != nil {
 		return nil, err
@@ -112,7 +112,7 @@
 }
 
 // Unfollow ends the telling of steps.
-func (b *Body) Unfollow() {
+func (b *Runtime) StopFollowing() {
 	if goOn, ok := b.Loop.Hold(); ok {
 		b.Loop.Observe(nil)
 		goOn()
@@ -141,7 +141,7 @@
 }
 
 // Hold stops the loop and brings everything to rest.
-func (b *Body) Hold(most time.Duration) error {
+func (b *Runtime) Hold(most time.Duration) error {
 	goOn, ok := b.Loop.Hold()
 	if !ok {
 		return fmt.Errorf("upgrade: the loop has ended")
@@ -157,7 +157,7 @@
 }
 
 // LetGo lets everything go on.
-func (b *Body) LetGo() {
+func (b *Runtime) Release() {
 	if b.goOn != nil {
 		b.Reducer.ProcessStalled()
 		b.Gate.Release()
@@ -167,7 +167,7 @@
 }
 
 // Pack writes everything down. The body must be held.
-func (b *Body) Pack(files *hold.Files) (Parcel, error) {
+func (b *Runtime) Pack(files *hold.Files) (Parcel, error) {
 	p := Parcel{Generation: b.Generation + 1, Started: b.Started.UnixNano(), Clock: b.Clock.at, Monotonic: b.Clock.mono,
 		Control: -1, Parts: map[string]cbor.RawMessage{}}
 	var err error
--- a/internal/upgrade/body_test.go
+++ b/internal/upgrade/body_test.go
@@ -59,10 +59,10 @@
 	for len(out) < heldJobs {
 		out = append(out, <-sent)
 	}
-	body := &Body{Loop: loop, Reducer: reducer, Gate: hold.NewGate()}
+	body := &Runtime{Loop: loop, Reducer: reducer, Gate: hold.NewGate()}
 	must.NoError(t, body.Hold(time.Minute))
 	now.Store(heldFor)
-	body.LetGo()
+	body.Release()
 	for _, branch := range out {
 		loop.Post(core.JobReported{Request: branch.Request, From: branch.Worker, State: core.JobStarted})
 	}
--- a/internal/upgrade/finish.go
+++ b/internal/upgrade/finish.go
@@ -9,13 +9,13 @@
 )
 
 // ended cleans up after an upgrade that did not come about.
-func (g *Giver) ended(e Ended) {
+func (g *HandoverSender) ended(e Finished) {
 	if e.Refused {
-		if e.Meet != nil {
-			e.Meet.Refuse(e.Reason)
+		if e.Peer != nil {
+			e.Peer.Refuse(e.Reason)
 			g.apart()
 		}
-		if c, ok := e.By.(chan Progress); ok {
+		if c, ok := e.Requester.(chan Progress); ok {
 			c <- Progress{At: time.Now(), Step: g.machine.Phase().String(), Final: true, Result: Refusal, Detail: e.Reason}
 		}
 		return
@@ -25,7 +25,7 @@
 		g.collect = nil
 	}
 	if g.follow != nil {
-		g.Body.Unfollow()
+		g.Runtime.StopFollowing()
 		g.unfollow()
 	}
 	if g.pipe != nil {
@@ -44,20 +44,20 @@
 	g.putOff.Store(0)
 }
 
-func (g *Giver) apart() {
-	if g.Apart != nil {
-		g.Apart()
+func (g *HandoverSender) apart() {
+	if g.OnSeparateStart != nil {
+		g.OnSeparateStart()
 	}
 }
 
 // leave ends this process. Danger: nothing may be closed in an orderly way, since a shutdown of what both processes
 // hold would reach the other sides.
-func (g *Giver) leave() {
+func (g *HandoverSender) leave() {
 	pid := g.other.pid
 	p := g.parcel
 	p.Bytes = g.bytes
 	p.Step, p.Final, p.Result, p.PID, p.HeldMS = Leaving.String(), true, Replaced, pid, millis(time.Since(g.heldAt))
-	p.Held.Take = p.HeldMS - p.Held.Rest - p.Held.Pack - p.Held.Send
+	p.Held.Takeover = p.HeldMS - p.Held.Quiesce - p.Held.Pack - p.Held.Send
 	if g.Leave != nil {
 		g.Leave(pid) // first: whoever hears the final word may ask at once who serves
 	}
@@ -79,14 +79,14 @@
 const lastOrders = 5 * time.Millisecond
 
 // passOn gives an order to the new process. SIGTERM after a newcomer has taken over meant this process, which ends.
-func (g *Giver) passOn(o order) {
+func (g *HandoverSender) passOn(o order) {
 	if g.came == nil || o.signal != syscall.SIGTERM {
 		syscall.Kill(g.other.pid, o.signal.(syscall.Signal))
 	}
 }
 
 // flush passes on the last orders, and waits until those who watch have been told the end.
-func (g *Giver) flush() {
+func (g *HandoverSender) flush() {
 	begin := time.Now()
 	t := time.NewTicker(time.Millisecond)
 	defer t.Stop()
--- a/internal/upgrade/giver.go
+++ b/internal/upgrade/giver.go
@@ -14,13 +14,13 @@
 )
 
 // Giver hands a dispatcher over to new processes.
-type Giver struct {
-	Body    *Body
-	Command func() (*exec.Cmd, error) // the new process, to be started; its ExtraFiles and Env are added to
-	Log     logrus.FieldLogger
-	Leave   func(pid int) // called when the new process acts, before anybody is told
-	Shed    func()        // called before connections pass on to a newcomer, both of which count; nil for nothing
-	Apart   func()        // called when a newcomer starts by itself, beside this process; nil for nothing
+type HandoverSender struct {
+	Runtime         *Runtime
+	Command         func() (*exec.Cmd, error) // the new process, to be started; its ExtraFiles and Env are added to
+	Log             logrus.FieldLogger
+	Leave           func(pid int) // called when the new process acts, before anybody is told
+	ShedConns       func()        // called before connections pass on to a newcomer, both of which count; nil for nothing
+	OnSeparateStart func()        // called when a newcomer starts by itself, beside this process; nil for nothing
 
 	inputs chan Input
 	orders chan order
@@ -38,7 +38,7 @@
 	reloads  int64 // of the body, when the new process was started
 	pipe     *Pipe
 	other    other
-	came     *Newcomer // the new process, where it came by itself
+	came     *Replacement // the new process, where it came by itself
 	timer    *time.Timer
 	follow   chan Followed
 	steps    int  // told since the first snapshot; of the loop's goroutine until the hold
@@ -52,14 +52,14 @@
 	waiting  []order
 }
 
-// NewGiver makes a giver with its limits.
-func NewGiver(b *Body, l Limits, strict bool, command func() (*exec.Cmd, error), leave func(pid int), log logrus.FieldLogger) *Giver {
-	return &Giver{Body: b, Command: command, Log: log, Leave: leave, limits: l, strict: strict,
+// NewHandoverSender makes a giver with its limits.
+func NewHandoverSender(b *Runtime, l Limits, strict bool, command func() (*exec.Cmd, error), leave func(pid int), log logrus.FieldLogger) *HandoverSender {
+	return &HandoverSender{Runtime: b, Command: command, Log: log, Leave: leave, limits: l, strict: strict,
 		inputs: make(chan Input, 64), orders: make(chan order), watchers: map[chan Progress]struct{}{}, timer: time.NewTimer(time.Hour)}
 }
 
 // Configure sets the limits of the next upgrade.
-func (g *Giver) Configure(l Limits, strict bool) {
+func (g *HandoverSender) Configure(l Limits, strict bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limits, g.strict = l, strict
@@ -67,29 +67,29 @@
 
 // Meet has every newcomer at a meeting place taken for the beginning of a hand-over, within its own limits. It returns
 // when the place is closed.
-func (g *Giver) Meet(m *Meeting, l Limits) {
+func (g *HandoverSender) Accept(m *RendezvousListener, l Limits) {
 	g.mu.Lock()
 	g.meeting = l
 	g.mu.Unlock()
 	for {
-		n, err := m.Next()
+		n, err := m.Accept()
 		if err != nil {
 			return
 		}
-		g.inputs <- Begin{Meet: n}
+		g.inputs <- Begin{Accept: n}
 	}
 }
 
 // Run hands over whenever it is asked to. It does not return.
-func (g *Giver) Run() {
+func (g *HandoverSender) Run() {
 	for {
 		var in Input
 		select {
 		case in = <-g.inputs:
 		case <-g.timer.C:
-			in = TimeUp{}
+			in = TimerExpired{}
 		case o := <-g.orders:
-			if g.machine.Past() || o.signal == syscall.SIGTERM && g.machine.Phase() != Idle {
+			if g.machine.DefersOrders() || o.signal == syscall.SIGTERM && g.machine.Phase() != Idle {
 				g.waiting = append(g.waiting, o)
 				g.putOff.Add(1)
 			} else {
@@ -100,10 +100,10 @@
 		if b, begins := in.(Begin); begins && g.machine.Phase() == Idle {
 			g.mu.Lock()
 			g.machine.Limits, g.machine.Strict = g.limits, g.strict
-			if b.Meet != nil {
+			if b.Accept != nil {
 				g.machine.Limits, g.machine.Strict = g.meeting, false
 			}
-			g.came = b.Meet
+			g.came = b.Accept
 			g.mu.Unlock()
 		}
 		g.step(in)
@@ -111,7 +111,7 @@
 }
 
 // step feeds the machine and carries out its actions. What these find out at once goes back into it.
-func (g *Giver) step(in Input) {
+func (g *HandoverSender) step(in Input) {
 	for _, a := range g.machine.Step(in) {
 		if next := g.carryOut(a); next != nil {
 			g.step(next)
@@ -119,37 +119,37 @@
 	}
 }
 
-func (g *Giver) carryOut(a Action) Input {
+func (g *HandoverSender) carryOut(a Action) Input {
 	switch a := a.(type) {
 	case SetTimer:
-		if g.timer.Stop(); a.In > 0 {
-			g.timer.Reset(a.In)
+		if g.timer.Stop(); a.After > 0 {
+			g.timer.Reset(a.After)
 		}
 	case Step:
 		g.Log.WithField("phase", a.Phase.String()).Info("upgrade")
 		g.tell(Progress{Step: a.Phase.String()})
 	case Start:
 		if err := g.start(); err != nil {
-			return Gone{How: err.Error()}
+			return PeerExited{Cause: err.Error()}
 		}
 	case SendTrial:
 		if err := g.sendTrial(); err != nil {
 			g.Log.WithError(err).Warn("upgrade: the first snapshot was not sent")
-			return Heard{Refused{Reason: "it could not be sent its first snapshot: " + err.Error()}}
+			return MessageReceived{Refused{Reason: "it could not be sent its first snapshot: " + err.Error()}}
 		}
 	case Hold:
 		g.heldAt = time.Now()
-		err := g.Body.Hold(g.machine.Limits.Hold)
-		g.parcel = Progress{Held: Times{Rest: millis(time.Since(g.heldAt))}}
+		err := g.Runtime.Hold(g.machine.Limits.Hold)
+		g.parcel = Progress{Held: HoldTimes{Quiesce: millis(time.Since(g.heldAt))}}
 		return Held{err}
 	case SendAll:
 		return Sent{g.sendAll()}
-	case PassAhead:
+	case SendFilesAhead:
 		if err := g.passAhead(); err != nil {
-			return Heard{Refused{Reason: "descriptors could not be passed on ahead: " + err.Error()}}
+			return MessageReceived{Refused{Reason: "descriptors could not be passed on ahead: " + err.Error()}}
 		}
 	case SendState:
-		text, err := g.Body.State()
+		text, err := g.Runtime.Snapshot()
 		if err == nil {
 			err = g.pipe.Send(State{Reducer: text})
 		}
@@ -163,13 +163,13 @@
 		if g.other.kill != nil {
 			g.other.kill()
 		}
-	case LetGo:
-		g.Body.LetGo()
-	case Ended:
+	case ReleaseHold:
+		g.Runtime.Release()
+	case Finished:
 		g.ended(a)
-	case Leave:
+	case Exit:
 		g.leave()
-	case Abandon:
+	case ExitCrashed:
 		g.Log.Error("the new process took over and ended at once; what it did is not known, so this one ends too")
 		os.Exit(1)
 	}
--- a/internal/upgrade/launch.go
+++ b/internal/upgrade/launch.go
@@ -21,8 +21,8 @@
 }
 
 // start starts the new process, or takes the one that came, and listens to it.
-func (g *Giver) start() error {
-	g.reloads = g.Body.Reloads.Load()
+func (g *HandoverSender) start() error {
+	g.reloads = g.Runtime.Reloads.Load()
 	var err error
 	if g.came != nil {
 		g.pipe, g.other = g.came.pipe, g.metBy(g.came)
@@ -34,7 +34,7 @@
 }
 
 // launch starts the new process.
-func (g *Giver) launch() (*Pipe, other, error) {
+func (g *HandoverSender) launch() (*Pipe, other, error) {
 	cmd, err := g.Command()
 	if err != nil {
 		return nil, other{}, err
@@ -59,7 +59,7 @@
 
 // metBy is a new process that came by itself. It is not this one's to end: where nothing comes of the hand-over it
 // starts by itself. Danger: told to go it may act, and then only its end makes sure that it does not.
-func (g *Giver) metBy(n *Newcomer) other {
+func (g *HandoverSender) metBy(n *Replacement) other {
 	return other{pid: n.PID, wait: func() error { return nil }, kill: func() {
 		if g.machine.passed {
 			syscall.Kill(n.PID, syscall.SIGKILL)
@@ -70,21 +70,21 @@
 }
 
 // listen passes on what the new process says, and then its end.
-func (g *Giver) listen(pipe *Pipe, o other) {
+func (g *HandoverSender) listen(pipe *Pipe, o other) {
 	for {
 		m, err := pipe.Receive(0)
 		if err != nil {
 			if !ended(err) && !errors.Is(err, net.ErrClosed) {
-				g.inputs <- Heard{err}
+				g.inputs <- MessageReceived{err}
 			}
 			break
 		}
-		g.inputs <- Heard{m}
+		g.inputs <- MessageReceived{m}
 	}
 	err := o.wait() // a process that says no more must end; where it does not, a limit has it killed
 	how := "it ended, or gave up"
 	if err != nil {
 		how = err.Error()
 	}
-	g.inputs <- Gone{How: how}
+	g.inputs <- PeerExited{Cause: how}
 }
--- a/internal/upgrade/machine.go
+++ b/internal/upgrade/machine.go
@@ -53,65 +53,65 @@
 // The inputs.
 type (
 	Begin struct { // an upgrade is asked for, by somebody who is told where it is refused
-		By   any
-		Meet *Newcomer // the new process, where it came by itself; nil where it is to be started
+		Requester any
+		Accept    *Replacement // the new process, where it came by itself; nil where it is to be started
 	}
-	Heard   struct{ Message any } // the new process said something
-	Gone    struct{ How string }  // it has ended, and all that it said has been heard
-	TimeUp  struct{}              // the time set by the last SetTimer is over
-	Held    struct{ Err error }   // the old process has come to rest, or could not
-	Sent    struct{ Err error }   // everything has been sent, or could not be
-	Stopped struct{}              // SIGTERM: the old process is to end
+	MessageReceived struct{ Message any }  // the new process said something
+	PeerExited      struct{ Cause string } // it has ended, and all that it said has been heard
+	TimerExpired    struct{}               // the time set by the last SetTimer is over
+	Held            struct{ Err error }    // the old process has come to rest, or could not
+	Sent            struct{ Err error }    // everything has been sent, or could not be
+	StopRequested   struct{}               // SIGTERM: the old process is to end
 )
 
-func (Begin) input()   {}
-func (Heard) input()   {}
-func (Gone) input()    {}
-func (TimeUp) input()  {}
-func (Held) input()    {}
-func (Sent) input()    {}
-func (Stopped) input() {}
+func (Begin) input()           {}
+func (MessageReceived) input() {}
+func (PeerExited) input()      {}
+func (TimerExpired) input()    {}
+func (Held) input()            {}
+func (Sent) input()            {}
+func (StopRequested) input()   {}
 
 // Action is anything that the machine wants done.
 type Action interface{ action() }
 
 // The actions, to be carried out in order.
 type (
-	Start     struct{}                   // start the new process
-	SendTrial struct{}                   // send a snapshot, and from there on every step
-	PassAhead struct{}                   // pass on the descriptors there are
-	SendState struct{}                   // send the reducer's state, which the new process could not follow
-	Hold      struct{}                   // stop the loop and hold the gate; Held answers
-	SendAll   struct{}                   // send everything with its descriptors; Sent answers
-	SendGo    struct{}                   // tell the new process to go
-	Kill      struct{}                   // kill it; Gone answers
-	LetGo     struct{}                   // go on here as if nothing had been
-	Leave     struct{}                   // end the process at once, closing nothing in an orderly way
-	Abandon   struct{}                   // end the process as crashed
-	SetTimer  struct{ In time.Duration } // 0 for none; replaces the last one
-	Step      struct{ Phase Phase }      // for those who watch
-	Ended     struct {                   // for those who watch: the upgrade is over, and this process stays
-		Refused bool
-		By      any // who asked, where it is refused
-		Meet    *Newcomer
-		Reason  string
+	Start          struct{}                      // start the new process
+	SendTrial      struct{}                      // send a snapshot, and from there on every step
+	SendFilesAhead struct{}                      // pass on the descriptors there are
+	SendState      struct{}                      // send the reducer's state, which the new process could not follow
+	Hold           struct{}                      // stop the loop and hold the gate; Held answers
+	SendAll        struct{}                      // send everything with its descriptors; Sent answers
+	SendGo         struct{}                      // tell the new process to go
+	Kill           struct{}                      // kill it; Gone answers
+	ReleaseHold    struct{}                      // go on here as if nothing had been
+	Exit           struct{}                      // end the process at once, closing nothing in an orderly way
+	ExitCrashed    struct{}                      // end the process as crashed
+	SetTimer       struct{ After time.Duration } // 0 for none; replaces the last one
+	Step           struct{ Phase Phase }         // for those who watch
+	Finished       struct {                      // for those who watch: the upgrade is over, and this process stays
+		Refused   bool
+		Requester any // who asked, where it is refused
+		Peer      *Replacement
+		Reason    string
 	}
 )
 
-func (Start) action()     {}
-func (SendTrial) action() {}
-func (Hold) action()      {}
-func (PassAhead) action() {}
-func (SendState) action() {}
-func (SendAll) action()   {}
-func (SendGo) action()    {}
-func (Kill) action()      {}
-func (LetGo) action()     {}
-func (Leave) action()     {}
-func (Abandon) action()   {}
-func (SetTimer) action()  {}
-func (Step) action()      {}
-func (Ended) action()     {}
+func (Start) action()          {}
+func (SendTrial) action()      {}
+func (Hold) action()           {}
+func (SendFilesAhead) action() {}
+func (SendState) action()      {}
+func (SendAll) action()        {}
+func (SendGo) action()         {}
+func (Kill) action()           {}
+func (ReleaseHold) action()    {}
+func (Exit) action()           {}
+func (ExitCrashed) action()    {}
+func (SetTimer) action()       {}
+func (Step) action()           {}
+func (Finished) action()       {}
 
 // Machine decides the giver's steps. Its zero value but for Limits is idle.
 type Machine struct {
@@ -130,7 +130,7 @@
 func (m *Machine) Phase() Phase { return m.phase }
 
 // Past tells whether orders to this process are to be put off: it is at rest, and the new one may own everything.
-func (m *Machine) Past() bool { return m.held || m.phase == Leaving || m.phase == Stranded }
+func (m *Machine) DefersOrders() bool { return m.held || m.phase == Leaving || m.phase == Stranded }
 
 // Step takes an input and returns what is to be done.
 func (m *Machine) Step(in Input) []Action {
@@ -138,11 +138,11 @@
 	switch in := in.(type) {
 	case Begin:
 		m.begin(in)
-	case Heard:
+	case MessageReceived:
 		m.heard(in.Message)
-	case Gone:
-		m.gone(in.How)
-	case TimeUp:
+	case PeerExited:
+		m.gone(in.Cause)
+	case TimerExpired:
 		m.timeUp()
 	case Held:
 		m.whenHeld(in.Err)
@@ -150,7 +150,7 @@
 		if m.phase == Offering && in.Err != nil {
 			m.fail(fmt.Sprintf("could not send everything: %v", in.Err))
 		}
-	case Stopped:
+	case StopRequested:
 		m.stopped = true
 		switch m.phase {
 		case Starting, Rehearsing, Following, Passing:
@@ -173,7 +173,7 @@
 
 func (m *Machine) begin(in Begin) {
 	refuse := func(reason string) {
-		m.do(Ended{Refused: true, By: in.By, Meet: in.Meet, Reason: reason})
+		m.do(Finished{Refused: true, Requester: in.Requester, Peer: in.Accept, Reason: reason})
 	}
 	switch {
 	case m.stopped:
@@ -181,7 +181,7 @@
 	case m.phase != Idle:
 		refuse("an upgrade is under way: " + m.phase.String())
 	default:
-		m.reason, m.passed, m.came = "", false, in.Meet != nil
+		m.reason, m.passed, m.came = "", false, in.Accept != nil
 		m.enter(Starting, m.Limits.Start)
 		m.do(Start{})
 	}
@@ -240,12 +240,12 @@
 		switch {
 		case m.phase == Committing:
 			m.enter(Leaving, 0)
-			m.do(Leave{})
+			m.do(Exit{})
 		case m.phase == Killing && m.passed:
 			// Danger: it acted before it was killed. What it did is not known here, and repeating any of it could
 			// answer a request twice or run a job again.
 			m.enter(Stranded, 0)
-			m.do(Abandon{})
+			m.do(ExitCrashed{})
 		default:
 			m.fail("the new process acted without being told to")
 		}
@@ -264,17 +264,17 @@
 	}
 	if m.held {
 		m.held = false
-		m.do(LetGo{})
+		m.do(ReleaseHold{})
 	}
 	m.phase = Idle
-	m.do(SetTimer{0}, Step{Idle}, Ended{Reason: m.reason})
+	m.do(SetTimer{0}, Step{Idle}, Finished{Reason: m.reason})
 }
 
 func (m *Machine) timeUp() {
 	switch m.phase {
 	case Following:
 		m.enter(Passing, m.Limits.Start)
-		m.do(PassAhead{})
+		m.do(SendFilesAhead{})
 	case Starting, Rehearsing, Passing, Offering, Committing:
 		m.fail(fmt.Sprintf("the new process took too long while %v", m.phase))
 	}
--- a/internal/upgrade/machine_test.go
+++ b/internal/upgrade/machine_test.go
@@ -17,14 +17,14 @@
 var hello = Hello{Protocol: Protocol, Schema: ownSchema}
 
 // good is what happens in an upgrade where nothing goes wrong.
-var good = []Input{Begin{}, Heard{hello}, Heard{TrialTaken{}}, TimeUp{}, Heard{AheadTaken{}}, Held{}, Sent{}, Heard{Ready{}}, Heard{Acting{}}}
+var good = []Input{Begin{}, MessageReceived{hello}, MessageReceived{TrialTaken{}}, TimerExpired{}, MessageReceived{AheadTaken{}}, Held{}, Sent{}, MessageReceived{Ready{}}, MessageReceived{Acting{}}}
 
 func brief(actions []Action) string {
 	var out []string
 	for _, a := range actions {
 		switch a := a.(type) {
 		case SetTimer, Step:
-		case Ended:
+		case Finished:
 			out = append(out, fmt.Sprintf("Ended(%v)", a.Refused))
 		default:
 			out = append(out, strings.TrimPrefix(fmt.Sprintf("%T", a), "upgrade."))
@@ -40,7 +40,7 @@
 			t.Fatalf("%T: %q, want %q", good[i], got, want)
 		}
 	}
-	if m.Phase() != Leaving || !m.Past() {
+	if m.Phase() != Leaving || !m.DefersOrders() {
 		t.Errorf("ends in %v", m.Phase())
 	}
 }
@@ -53,11 +53,11 @@
 	}
 	for n := 1; n < len(good); n++ {
 		for name, b := range map[string]bad{
-			"ended":        {Gone{"signal: killed"}, "ended while"},
-			"refused":      {Heard{Refused{"no room"}}, "no room"},
-			"garbage":      {Heard{errors.New("x")}, "not understood"},
-			"hello again":  {Heard{Hello{}}, "hello again"},
-			"acts unasked": {Heard{Acting{}}, "without being told"},
+			"ended":        {PeerExited{"signal: killed"}, "ended while"},
+			"refused":      {MessageReceived{Refused{"no room"}}, "no room"},
+			"garbage":      {MessageReceived{errors.New("x")}, "not understood"},
+			"hello again":  {MessageReceived{Hello{}}, "hello again"},
+			"acts unasked": {MessageReceived{Acting{}}, "without being told"},
 		} {
 			m := machine()
 			for _, in := range good[:n] {
@@ -68,20 +68,20 @@
 				continue
 			}
 			actions := m.Step(b.in)
-			if _, gone := b.in.(Gone); !gone {
+			if _, gone := b.in.(PeerExited); !gone {
 				if got := brief(actions); got != "Kill" || m.Phase() != Killing {
 					t.Errorf("%s while %v: %q, then %v", name, at, got, m.Phase())
 				}
-				actions = m.Step(Gone{"killed"})
+				actions = m.Step(PeerExited{"killed"})
 			}
 			got, want := brief(actions), "Ended(false)"
 			if at >= Holding {
 				want = "LetGo " + want
 			}
-			if got != want || m.Phase() != Idle || m.Past() {
+			if got != want || m.Phase() != Idle || m.DefersOrders() {
 				t.Errorf("%s while %v: ends with %q in %v, want %q", name, at, got, m.Phase(), want)
 			}
-			if e, ok := actions[len(actions)-1].(Ended); !ok || !strings.Contains(e.Reason, b.want) {
+			if e, ok := actions[len(actions)-1].(Finished); !ok || !strings.Contains(e.Reason, b.want) {
 				t.Errorf("%s while %v: reason %+v, want %q", name, at, actions[len(actions)-1], b.want)
 			}
 		}
@@ -95,18 +95,18 @@
 		want   string
 	}{
 		"a second upgrade":        {false, []Input{Begin{}, Begin{}}, "Ended(true)"},
-		"after SIGTERM":           {false, []Input{Stopped{}, Begin{}}, "Ended(true)"},
-		"SIGTERM while starting":  {false, []Input{Begin{}, Stopped{}}, "Kill"},
-		"SIGTERM while held":      {false, append(append([]Input{}, good[:6]...), Stopped{}), ""},
-		"another protocol":        {false, []Input{Begin{}, Heard{Hello{Protocol: 9, Schema: ownSchema}}}, "Kill"},
-		"another schema":          {false, []Input{Begin{}, Heard{Hello{Protocol: Protocol, Schema: 99}}}, "Kill"},
-		"too long while starting": {false, []Input{Begin{}, TimeUp{}}, "Kill"},
+		"after SIGTERM":           {false, []Input{StopRequested{}, Begin{}}, "Ended(true)"},
+		"SIGTERM while starting":  {false, []Input{Begin{}, StopRequested{}}, "Kill"},
+		"SIGTERM while held":      {false, append(append([]Input{}, good[:6]...), StopRequested{}), ""},
+		"another protocol":        {false, []Input{Begin{}, MessageReceived{Hello{Protocol: 9, Schema: ownSchema}}}, "Kill"},
+		"another schema":          {false, []Input{Begin{}, MessageReceived{Hello{Protocol: Protocol, Schema: 99}}}, "Kill"},
+		"too long while starting": {false, []Input{Begin{}, TimerExpired{}}, "Kill"},
 		"no rest":                 {false, append(append([]Input{}, good[:5]...), Held{errors.New("busy")}), "Kill"},
 		"not sent":                {false, append(append([]Input{}, good[:6]...), Sent{errors.New("broken")}), "Kill"},
-		"other decisions":         {false, append(append([]Input{}, good[:3]...), Heard{Differs{}}), ""},
-		"other decisions, strict": {true, append(append([]Input{}, good[:3]...), Heard{Differs{}}), "Kill"},
-		"needs the state":         {false, append(append([]Input{}, good[:7]...), Heard{NeedState{}}), "SendState"},
-		"acted, and was killed":   {false, append(append([]Input{}, good[:8]...), TimeUp{}, Heard{Acting{}}), "Abandon"},
+		"other decisions":         {false, append(append([]Input{}, good[:3]...), MessageReceived{Differs{}}), ""},
+		"other decisions, strict": {true, append(append([]Input{}, good[:3]...), MessageReceived{Differs{}}), "Kill"},
+		"needs the state":         {false, append(append([]Input{}, good[:7]...), MessageReceived{NeedState{}}), "SendState"},
+		"acted, and was killed":   {false, append(append([]Input{}, good[:8]...), TimerExpired{}, MessageReceived{Acting{}}), "Abandon"},
 	} {
 		m := machine()
 		m.Strict = tc.strict
@@ -126,8 +126,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := machine()
 		held, alive, left, told := false, false, false, false
-		inputs := append([]Input{Begin{}, TimeUp{}, Stopped{}, Held{}, Held{errors.New("busy")}, Sent{errors.New("x")}, Gone{"x"},
-			Heard{Refused{}}, Heard{Differs{}}, Heard{NeedState{}}}, good...)
+		inputs := append([]Input{Begin{}, TimerExpired{}, StopRequested{}, Held{}, Held{errors.New("busy")}, Sent{errors.New("x")}, PeerExited{"x"},
+			MessageReceived{Refused{}}, MessageReceived{Differs{}}, MessageReceived{NeedState{}}}, good...)
 		at := 0
 		for range rapid.IntRange(1, 60).Draw(t, "inputs") {
 			var in Input
@@ -138,7 +138,7 @@
 				at++
 			}
 			switch in.(type) {
-			case Heard, Gone:
+			case MessageReceived, PeerExited:
 				if !alive {
 					continue // nobody is there to say it
 				}
@@ -150,11 +150,11 @@
 			if h, ok := in.(Held); ok && h.Err != nil {
 				held = false
 			}
-			if _, ok := in.(Gone); ok {
+			if _, ok := in.(PeerExited); ok {
 				alive = false
 			}
 			for _, a := range m.Step(in) {
-				if e, ok := a.(Ended); left && !(ok && e.Refused) {
+				if e, ok := a.(Finished); left && !(ok && e.Refused) {
 					t.Fatalf("%T after the process has ended", a)
 				}
 				switch a.(type) {
@@ -169,7 +169,7 @@
 						t.Fatal("held twice")
 					}
 					held = true
-				case LetGo:
+				case ReleaseHold:
 					if !held || alive {
 						t.Fatalf("let go: held %v, a new process lives %v", held, alive)
 					}
@@ -179,14 +179,14 @@
 						t.Fatal("told to go while this process serves")
 					}
 					told = true
-				case Leave:
+				case Exit:
 					if !held || !told {
 						t.Fatal("left without handing over")
 					}
 					left = true
-				case Abandon:
+				case ExitCrashed:
 					left = true
-				case Ended:
+				case Finished:
 					at = 0
 				}
 			}
--- a/internal/upgrade/meet.go
+++ b/internal/upgrade/meet.go
@@ -24,8 +24,8 @@
 // meetWait bounds the greeting of two processes that are both at work on nothing else.
 const meetWait = time.Second
 
-// MeetPath is where processes that share a folder meet. A folder whose path is too long for a socket is an error.
-func MeetPath(folder string) (string, error) {
+// RendezvousPath is where processes that share a folder meet. A folder whose path is too long for a socket is an error.
+func RendezvousPath(folder string) (string, error) {
 	path := filepath.Join(folder, meetName)
 	if len(path) > mostPath {
 		return "", fmt.Errorf("upgrade: %s has %d bytes, a socket's path %d at most", path, len(path), mostPath)
@@ -34,22 +34,22 @@
 }
 
 // Newcomer is a process that was started beside this one and wants to take over.
-type Newcomer struct {
+type Replacement struct {
 	PID  int
 	pipe *Pipe
 }
 
 // Refuse tells a newcomer that nothing comes of it, so that it starts by itself.
-func (n *Newcomer) Refuse(reason string) {
+func (n *Replacement) Refuse(reason string) {
 	n.pipe.cancel(reason)
 	n.pipe.Close()
 }
 
 // Meeting is the running process's side of the meeting place.
-type Meeting struct{ ln *net.UnixListener }
+type RendezvousListener struct{ ln *net.UnixListener }
 
 // Listen makes the meeting place, in place of whatever stands there: the last process to serve is the one to be met.
-func Listen(path string) (*Meeting, error) {
+func ListenRendezvous(path string) (*RendezvousListener, error) {
 	own := fmt.Sprintf("%s.%d", path, os.Getpid())
 	if len(own) > mostPath {
 		return nil, fmt.Errorf("upgrade: %s has %d bytes, a socket's path %d at most", own, len(own), mostPath)
@@ -69,11 +69,11 @@
 		os.Remove(own)
 		return nil, fmt.Errorf("upgrade: %w", err)
 	}
-	return &Meeting{ln}, nil
+	return &RendezvousListener{ln}, nil
 }
 
 // Next waits for the next newcomer. What comes and is none is passed over; net.ErrClosed says that the place is closed.
-func (m *Meeting) Next() (*Newcomer, error) {
+func (m *RendezvousListener) Accept() (*Replacement, error) {
 	for {
 		c, err := m.ln.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
@@ -91,10 +91,10 @@
 }
 
 // Close closes the meeting place. Its name is left for whoever comes next.
-func (m *Meeting) Close() error { return m.ln.Close() }
+func (m *RendezvousListener) Close() error { return m.ln.Close() }
 
 // greet takes a newcomer's end of the pipe, if it is of this process's own user.
-func greet(c *net.UnixConn) (*Newcomer, error) {
+func greet(c *net.UnixConn) (*Replacement, error) {
 	c.SetDeadline(time.Now().Add(meetWait))
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -134,12 +134,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Newcomer{PID: int(peer.Pid), pipe: pipe}, nil
+	return &Replacement{PID: int(peer.Pid), pipe: pipe}, nil
 }
 
 // Meet finds the running process and returns the newcomer's end of a pipe to it. An error says that there is none, or
 // that it does not take newcomers. All that is said on the pipe must be said before until.
-func Meet(ctx context.Context, path string, until time.Time) (*Pipe, error) {
+func DialRendezvous(ctx context.Context, path string, until time.Time) (*Pipe, error) {
 	d := net.Dialer{Deadline: until}
 	nc, err := d.DialContext(ctx, "unix", path)
 	if err != nil {
--- a/internal/upgrade/pipe.go
+++ b/internal/upgrade/pipe.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	if len(text) > snapshot.MostBytes {
+	if len(text) > snapshot.MaxBytes {
 		return fmt.Errorf("%w: a message of %d bytes", snapshot.ErrTooLarge, len(text))
 	}
 	head := binary.BigEndian.AppendUint32([]byte{kind}, uint32(len(text)))
@@ -200,7 +200,7 @@
 func (p *Pipe) Close() error { return errors.Join(p.words.Close(), p.files.Close()) }
 
 // Raw writes bytes that need not be a message: for those who test what a giver makes of them.
-func (p *Pipe) Raw(text []byte) error {
+func (p *Pipe) WriteRaw(text []byte) error {
 	_, err := p.words.Write(text)
 	return err
 }
--- a/internal/upgrade/pipe_test.go
+++ b/internal/upgrade/pipe_test.go
@@ -66,7 +66,7 @@
 		"\x01\x00":                     io.ErrUnexpectedEOF,
 	} {
 		ours, theirs := ends(t)
-		ours.Raw([]byte(text))
+		ours.WriteRaw([]byte(text))
 		ours.Close()
 		if _, err := theirs.Receive(0); !errors.Is(err, want) {
 			t.Errorf("%q: %v, want %v", text, err, want)
--- a/internal/upgrade/progress.go
+++ b/internal/upgrade/progress.go
@@ -7,29 +7,29 @@
 
 // Progress is what those who watch an upgrade are told.
 type Progress struct {
-	At     time.Time `json:"at"`
-	Step   string    `json:"step"`
-	Detail string    `json:"detail,omitempty"`
-	Final  bool      `json:"final,omitempty"`
-	Result string    `json:"result,omitempty"` // of the final one: replaced, fell back, refused
-	PID    int       `json:"pid,omitempty"`    // of the new process
-	Files  int       `json:"descriptors,omitempty"`
-	Late   int       `json:"descriptors_held,omitempty"` // of those, passed on while everything was held
-	Bytes  int       `json:"bytes,omitempty"`            // of the first snapshot
-	HeldMS float64   `json:"held_ms,omitempty"`          // from the beginning of the hold to this moment
-	Held   Times     `json:"held_parts,omitzero"`
+	At             time.Time `json:"at"`
+	Step           string    `json:"step"`
+	Detail         string    `json:"detail,omitempty"`
+	Final          bool      `json:"final,omitempty"`
+	Result         string    `json:"result,omitempty"` // of the final one: replaced, fell back, refused
+	PID            int       `json:"pid,omitempty"`    // of the new process
+	Files          int       `json:"descriptors,omitempty"`
+	FilesWhileHeld int       `json:"descriptors_held,omitempty"` // of those, passed on while everything was held
+	Bytes          int       `json:"bytes,omitempty"`            // of the first snapshot
+	HeldMS         float64   `json:"held_ms,omitempty"`          // from the beginning of the hold to this moment
+	Held           HoldTimes `json:"held_parts,omitzero"`
 }
 
 // Times are the parts of a hold, in milliseconds.
-type Times struct {
-	Rest float64 `json:"rest_ms"` // until everything was at rest
-	Pack float64 `json:"pack_ms"` // writing everything down
-	Send float64 `json:"send_ms"` // until the last descriptor was taken
-	Take float64 `json:"take_ms"` // until the new process acted
+type HoldTimes struct {
+	Quiesce  float64 `json:"rest_ms"` // until everything was at rest
+	Pack     float64 `json:"pack_ms"` // writing everything down
+	Send     float64 `json:"send_ms"` // until the last descriptor was taken
+	Takeover float64 `json:"take_ms"` // until the new process acted
 }
 
-func (t Times) String() string {
-	return fmt.Sprintf("%.1f+%.1f+%.1f+%.1f", t.Rest, t.Pack, t.Send, t.Take)
+func (t HoldTimes) String() string {
+	return fmt.Sprintf("%.1f+%.1f+%.1f+%.1f", t.Quiesce, t.Pack, t.Send, t.Takeover)
 }
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
@@ -43,7 +43,7 @@
 
 // Upgrade asks for an upgrade, and has its progress told until the final word. Where another one is under way, that
 // final word comes at once.
-func (g *Giver) Upgrade(tell func(Progress)) {
+func (g *HandoverSender) Upgrade(tell func(Progress)) {
 	c := make(chan Progress, 64)
 	g.mu.Lock()
 	g.watchers[c] = struct{}{}
@@ -53,7 +53,7 @@
 		delete(g.watchers, c)
 		g.mu.Unlock()
 	}()
-	g.inputs <- Begin{By: c}
+	g.inputs <- Begin{Requester: c}
 	for p := range c {
 		tell(p)
 		if p.Final {
@@ -63,13 +63,13 @@
 }
 
 // Last tells how the last upgrade that this process began has ended.
-func (g *Giver) Last() Progress {
+func (g *HandoverSender) LastResult() Progress {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.last
 }
 
-func (g *Giver) tell(p Progress) {
+func (g *HandoverSender) tell(p Progress) {
 	p.At = time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/upgrade/send.go
+++ b/internal/upgrade/send.go
@@ -16,11 +16,11 @@
 const followMost = 8192
 
 // sendTrial sends a snapshot and begins to tell the new process every step.
-func (g *Giver) sendTrial() error {
+func (g *HandoverSender) sendTrial() error {
 	g.follow, g.followed = make(chan Followed, followMost), make(chan struct{})
 	steps := g.follow
 	g.steps, g.behind, g.ahead = 0, false, nil
-	text, err := g.Body.Trial(func(f Followed) {
+	text, err := g.Runtime.SnapshotAndFollow(func(f Followed) {
 		if g.behind {
 			return
 		}
@@ -54,7 +54,7 @@
 }
 
 // unfollow ends the telling of steps, once the loop no longer adds any.
-func (g *Giver) unfollow() {
+func (g *HandoverSender) unfollow() {
 	if g.follow != nil {
 		close(g.follow)
 		<-g.followed
@@ -64,16 +64,16 @@
 
 // passAhead passes on the descriptors of the connections there are, while they go on working: it is what takes
 // longest, and nobody has to wait for it.
-func (g *Giver) passAhead() error {
+func (g *HandoverSender) passAhead() error {
 	limit := time.Now().Add(g.machine.Limits.Start)
 	if err := errors.Join(g.pipe.words.SetWriteDeadline(limit), g.pipe.files.SetDeadline(limit)); err != nil {
 		return err
 	}
 	g.collect = pauseCollector()
-	if g.came != nil && g.Shed != nil {
-		g.Shed()
+	if g.came != nil && g.ShedConns != nil {
+		g.ShedConns()
 	}
-	conns, sent := g.Body.Gate.Conns(), 0
+	conns, sent := g.Runtime.Gate.Conns(), 0
 	g.ahead = make(map[*hold.Conn]int, len(conns))
 	for len(conns) > 0 {
 		some := conns[:min(len(conns), aheadAtOnce)]
@@ -107,24 +107,24 @@
 }
 
 // sendAll sends everything. The body is held.
-func (g *Giver) sendAll() error {
+func (g *HandoverSender) sendAll() error {
 	limit := time.Now().Add(g.machine.Limits.Offer)
 	if err := errors.Join(g.pipe.words.SetWriteDeadline(limit), g.pipe.files.SetDeadline(limit)); err != nil {
 		return err
 	}
 	g.unfollow()
-	files := hold.Files{Ahead: g.ahead}
-	parcel, err := g.Body.Pack(&files)
+	files := hold.Files{SentAhead: g.ahead}
+	parcel, err := g.Runtime.Pack(&files)
 	if err != nil {
 		return err
 	}
 	if parcel.Steps = g.steps; g.behind {
 		parcel.Steps = -1
 	}
-	parcel.Reload = g.Body.Reloads.Load() != g.reloads
+	parcel.Reload = g.Runtime.Reloads.Load() != g.reloads
 	packed := time.Now()
-	g.parcel.Held.Pack = millis(packed.Sub(g.heldAt)) - g.parcel.Held.Rest
-	g.parcel.Files, g.parcel.Late = len(files.FDs)+len(g.ahead), len(files.FDs)
+	g.parcel.Held.Pack = millis(packed.Sub(g.heldAt)) - g.parcel.Held.Quiesce
+	g.parcel.Files, g.parcel.FilesWhileHeld = len(files.FDs)+len(g.ahead), len(files.FDs)
 	if err := g.pipe.Send(parcel); err != nil {
 		return err
 	}
--- a/internal/upgrade/taker.go
+++ b/internal/upgrade/taker.go
@@ -58,23 +58,23 @@
 
 // Times tells how long the parts of taking up took: reading what was written down, putting everything in its place,
 // and the last words.
-func (t *Taken) Times() (read, place, words time.Duration) {
+func (t *Taken) Durations() (read, place, words time.Duration) {
 	return t.opened.Sub(t.begun), t.imported.Sub(t.opened), time.Since(t.imported)
 }
 
 // Settings tells under which settings a process goes on with a state.
-type Settings func(core.State) (choice.Settings, error)
+type SettingsFunc func(core.State) (choice.Settings, error)
 
 // Take rehearses with the old process and receives everything from it. settings are the new process's own, unless the state says that newer
 // ones are in force; what passes on gets behind the gate.
-func Take(p *Pipe, settings Settings, version string, gate *hold.Gate) (*Taken, error) {
+func Receive(p *Pipe, settings SettingsFunc, version string, gate *hold.Gate) (*Taken, error) {
 	if err := p.Send(Hello{Protocol: Protocol, Schema: ownSchema, Version: version, PID: os.Getpid()}); err != nil {
 		return nil, err
 	}
 	t := &Taken{pipe: p, Files: gate.Receive()}
 	var twin *core.Reducer
 	for {
-		m, err := p.Receive(snapshot.MostBytes)
+		m, err := p.Receive(snapshot.MaxBytes)
 		if err != nil {
 			return nil, fmt.Errorf("the old process said no more: %w", err)
 		}
@@ -106,7 +106,7 @@
 	}
 }
 
-func restore(text []byte, settings Settings) (*core.Reducer, error) {
+func restore(text []byte, settings SettingsFunc) (*core.Reducer, error) {
 	st, err := snapshot.Decode(text)
 	if err != nil {
 		return nil, err
@@ -151,12 +151,12 @@
 	if err != nil {
 		return err
 	}
-	return t.Files.Early(fds)
+	return t.Files.ReceiveAhead(fds)
 }
 
 // open takes the rest of the descriptors and what was written down. A twin that has followed every step, and always
 // did the same, stands where the old process's reducer stands; any other is dropped for that one's state.
-func (t *Taken) open(p Parcel, twin *core.Reducer, settings Settings) error {
+func (t *Taken) open(p Parcel, twin *core.Reducer, settings SettingsFunc) error {
 	t.begun = time.Now()
 	fds, err := t.pipe.ReceiveFiles(p.Files)
 	if err != nil {
@@ -179,11 +179,11 @@
 	return nil
 }
 
-func (t *Taken) askState(settings Settings) (*core.Reducer, error) {
+func (t *Taken) askState(settings SettingsFunc) (*core.Reducer, error) {
 	if err := t.pipe.Send(NeedState{}); err != nil {
 		return nil, err
 	}
-	m, err := t.pipe.Receive(snapshot.MostBytes)
+	m, err := t.pipe.Receive(snapshot.MaxBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/workerconn/conn.go
+++ b/internal/workerconn/conn.go
@@ -120,7 +120,7 @@
 	if c.r.Buffered() > 0 { // danger: a second answer would be taken for the next request's
 		return false
 	}
-	c.Mark(0)
+	c.MarkConsumed(0)
 	readers.Put(c.r)
 	c.r = nil
 	return true
@@ -129,5 +129,5 @@
 // fresh reports whether an idle connection is still open and silent. A request written to one that the
 // worker has closed would end as a reset, after which most classes must not be tried again.
 func (c *conn) fresh() bool {
-	return c.r == nil && c.Silent()
+	return c.r == nil && c.OpenWithoutData()
 }
--- a/internal/workerconn/handover_test.go
+++ b/internal/workerconn/handover_test.go
@@ -85,7 +85,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	s := sides{gate: hold.NewGate(), events: make(chan core.Event, 16)}
-	s.sender = NewSender(Options{DialTimeout: time.Second, IdleClose: 5 * time.Second, MostConns: 8}, s.gate, func() float64 { return 0 },
+	s.sender = NewSender(Options{DialTimeout: time.Second, IdleClose: 5 * time.Second, MaxConns: 8}, s.gate, func() float64 { return 0 },
 		func(e core.Event) { s.events <- e }, log)
 	return s
 }
--- a/internal/workerconn/sender.go
+++ b/internal/workerconn/sender.go
@@ -39,9 +39,9 @@
 type Options struct {
 	DialTimeout time.Duration
 	IdleClose   time.Duration // after which a worker closes an idle connection
-	MostConns   int           // over all workers
+	MaxConns    int           // over all workers
 	// Present tells whether an exchange's caller still waits, as far as this machine knows; nil for always.
-	Present func(core.ExchangeID) bool
+	CallerPresent func(core.ExchangeID) bool
 }
 
 // exchange is a branch whose worker has not answered yet. Its states, all under Sender.mu: waiting (for a place or a dial),
@@ -87,10 +87,10 @@
 // NewSender makes a sender that reports through post, with all its connections behind the gate.
 func NewSender(o Options, gate *hold.Gate, clock func() float64, post func(core.Event), log logrus.FieldLogger) *Sender {
 	idleFor := time.Duration(float64(o.IdleClose) * idlePart)
-	if o.Present == nil {
-		o.Present = func(core.ExchangeID) bool { return true }
+	if o.CallerPresent == nil {
+		o.CallerPresent = func(core.ExchangeID) bool { return true }
 	}
-	return &Sender{asks: o.Present, gate: gate, pool: newPool(gate, o.DialTimeout, idleFor, o.MostConns), clock: clock, post: post, log: log,
+	return &Sender{asks: o.CallerPresent, gate: gate, pool: newPool(gate, o.DialTimeout, idleFor, o.MaxConns), clock: clock, post: post, log: log,
 		slots: make(chan struct{}, mostGiveUps), exchanges: map[core.BranchID]*exchange{},
 		givingUp: map[job]*giving{}}
 }
@@ -387,18 +387,18 @@
 	s.mu.Unlock()
 }
 
-// SetMost changes how many connections workers may hold.
-func (s *Sender) SetMost(conns int) { s.pool.setMost(conns) }
+// SetMaxConns changes how many connections workers may hold.
+func (s *Sender) SetMaxConns(conns int) { s.pool.setMost(conns) }
 
 // Shed closes up to n idle connections, those idle for longest first, and tells how many.
-func (s *Sender) Shed(n int) int { return s.pool.shed(n) }
+func (s *Sender) CloseOldestIdle(n int) int { return s.pool.shed(n) }
 
 // CloseIdle closes the idle connections to an address.
 func (s *Sender) CloseIdle(addr string) { s.pool.closeIdle(addr) }
 
 // Drop ends the branches that wait for a connection to an address: the worker takes nothing new, and a dial
 // must not outlive the word of that.
-func (s *Sender) Drop(addr string) {
+func (s *Sender) CancelUnsent(addr string) {
 	s.mu.Lock()
 	for _, x := range s.exchanges {
 		if x.addr == addr && !x.written {
--- a/internal/workerconn/sender_test.go
+++ b/internal/workerconn/sender_test.go
@@ -99,8 +99,8 @@
 	if o.DialTimeout == 0 {
 		o.DialTimeout = patience
 	}
-	if o.MostConns == 0 {
-		o.MostConns = 8
+	if o.MaxConns == 0 {
+		o.MaxConns = 8
 	}
 	others := make(chan core.Event, 64)
 	s := NewSender(o, hold.NewGate(), func() float64 { return 0 }, func(e core.Event) {
@@ -314,7 +314,7 @@
 		{"the branch is given up", func(s *Sender, _ *atomic.Int64, _ *atomic.Bool, p *peer) {
 			s.GiveUp(core.GiveUpBranch{Branch: 1, Request: "r", Addr: p.addr()})
 		}},
-		{"its worker drains", func(s *Sender, _ *atomic.Int64, _ *atomic.Bool, p *peer) { s.Drop(p.addr()) }},
+		{"its worker drains", func(s *Sender, _ *atomic.Int64, _ *atomic.Bool, p *peer) { s.CancelUnsent(p.addr()) }},
 		{"its caller goes, and nobody has told", func(_ *Sender, _ *atomic.Int64, gone *atomic.Bool, _ *peer) { gone.Store(true) }},
 		{"its time is over", func(_ *Sender, now *atomic.Int64, _ *atomic.Bool, _ *peer) { now.Store(30) }},
 		{"the time for a repeat is over", func(_ *Sender, now *atomic.Int64, _ *atomic.Bool, _ *peer) { now.Store(8) }},
@@ -323,7 +323,7 @@
 			p := listen(t)
 			var now atomic.Int64 // seconds
 			var gone atomic.Bool
-			s, events := sender(Options{IdleClose: time.Minute, Present: func(exchange core.ExchangeID) bool { return exchange == 5 && !gone.Load() }})
+			s, events := sender(Options{IdleClose: time.Minute, CallerPresent: func(exchange core.ExchangeID) bool { return exchange == 5 && !gone.Load() }})
 			s.clock = func() float64 { return float64(now.Load()) }
 			up, on := heldDials(s)
 			b := branch(1, p.addr())
@@ -452,7 +452,7 @@
 		return nil, ctx.Err()
 	}
 	s.Send(branch(2, p.addr()))
-	s.Drop(p.addr())
+	s.CancelUnsent(p.addr())
 	wantFault(t, events, 2, core.NotSent)
 	p.ln.(*net.TCPListener).SetDeadline(time.Now())
 	if c, err := p.ln.Accept(); err == nil {
@@ -532,7 +532,7 @@
 
 func TestBudget(t *testing.T) {
 	p, q := listen(t), listen(t)
-	s, events := sender(Options{IdleClose: time.Minute, MostConns: 1})
+	s, events := sender(Options{IdleClose: time.Minute, MaxConns: 1})
 	s.Send(branch(1, p.addr()))
 	l := p.accept()
 	l.request()
--- a/internal/workerconn/state.go
+++ b/internal/workerconn/state.go
@@ -17,7 +17,7 @@
 	Unsent   []core.SendBranch // no byte of them was written; they are sent anew
 	Dropped  []core.BranchID   // called off before a byte was written, and not reported yet
 	Sent     []SentState
-	GivingUp []GivingState
+	GivingUp []CancellationState
 	Idle     []IdleState
 	Bands    []BandState
 }
@@ -38,8 +38,8 @@
 	Link   LinkState
 }
 
-// GivingState is a giving up. Where it has no connection yet it is begun anew.
-type GivingState struct {
+// CancellationState is a giving up. Where it has no connection yet it is begun anew.
+type CancellationState struct {
 	What core.GiveUpBranch
 	Link *LinkState `cbor:",omitempty"`
 }
@@ -69,7 +69,7 @@
 	var st State
 	for _, id := range slices.Sorted(maps.Keys(s.exchanges)) {
 		switch x := s.exchanges[id]; {
-		case x.conn != nil && !x.conn.Untouched():
+		case x.conn != nil && !x.conn.WriteNotStarted():
 			l, err := linkOf(x.conn, files)
 			if err != nil {
 				return st, fmt.Errorf("workerconn: branch %d: %w", id, err)
@@ -84,7 +84,7 @@
 		}
 	}
 	for _, g := range s.givingUp {
-		one := GivingState{What: g.what}
+		one := CancellationState{What: g.what}
 		if g.conn != nil {
 			if l, err := linkOf(g.conn, files); err == nil {
 				one.Link = &l
@@ -92,7 +92,7 @@
 		}
 		st.GivingUp = append(st.GivingUp, one)
 	}
-	slices.SortFunc(st.GivingUp, func(a, b GivingState) int { return cmp.Compare(a.What.Branch, b.What.Branch) })
+	slices.SortFunc(st.GivingUp, func(a, b CancellationState) int { return cmp.Compare(a.What.Branch, b.What.Branch) })
 	s.pool.export(&st, files)
 	return st, nil
 }
