--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -198,7 +198,7 @@
 	defer cancel()
 	s.start(running)
 	stalls := holdup.Watch(running, s.log)
-	metricsServer := metrics.ServeRole(s.settings(), s.log, func() []metrics.Figure { return append(s.Figures(), stalls.Figures()...) })
+	metricsServer := metrics.ServeRole(s.settings(), s.log, func() []metrics.Metric { return append(s.Figures(), stalls.Figures()...) })
 	defer func() { _ = metricsServer.Close() }()
 	server := &http.Server{
 		Handler:           s.Handler(),
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -14,19 +14,19 @@
 	"foldlb.example/foldlb/internal/settings"
 )
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns a loopback address with an unused port.
 func freeAddress(t *testing.T) string {
 	address, err := loopback.Unused()
 	must.NoError(t, err)
 	return address.String()
 }
 
-func TestFiguresAreServedAsTheyAreWhenAskedFor(t *testing.T) {
+func TestMetricsAreCollectedForEachRequest(t *testing.T) {
 	value := uint64(6)
 	address := freeAddress(t)
-	server, err := Serve(address, func() []Figure {
+	server, err := Serve(address, func() []Metric {
 		value++
-		return []Figure{{Name: "messages_queued", Help: "not ended", Value: value}, {Name: "lookups_total", Help: "asked", Value: 1}}
+		return []Metric{{Name: "messages_queued", Help: "not ended", Value: value}, {Name: "lookups_total", Help: "asked", Value: 1}}
 	})
 	must.NoError(t, err)
 	defer func() { must.NoError(t, server.Close()) }()
@@ -40,28 +40,28 @@
 	}
 }
 
-func TestAddressInUseIsNamed(t *testing.T) {
+func TestErrorNamesAddressInUse(t *testing.T) {
 	address := freeAddress(t)
-	first, err := Serve(address, func() []Figure { return nil })
+	first, err := Serve(address, func() []Metric { return nil })
 	must.NoError(t, err)
 	defer func() { must.NoError(t, first.Close()) }()
-	_, err = Serve(address, func() []Figure { return nil })
+	_, err = Serve(address, func() []Metric { return nil })
 	must.ErrorContains(t, err, address)
 }
 
-func TestClosingNoServerIsNoError(t *testing.T) {
+func TestCloseOfNilServer(t *testing.T) {
 	var server *Server
 	must.NoError(t, server.Close())
 }
 
-// A port that the deployment needs for something else is left alone, and a process works on without figures.
-func TestRoleLeavesPortsOfTheDeploymentAlone(t *testing.T) {
+// ServeRole must not listen on a port that the settings use for something else; the process then runs without metrics.
+func TestServeRoleDoesNotUsePortsOfTheSettings(t *testing.T) {
 	address := freeAddress(t)
 	_, text, err := net.SplitHostPort(address)
 	must.NoError(t, err)
 	port, err := strconv.Atoi(text)
 	must.NoError(t, err)
-	none := func() []Figure { return nil }
+	none := func() []Metric { return nil }
 	for name, role := range map[string]*settings.Settings{
 		"front":     {Listen: settings.Listen{Front: "10.0.0.1:" + text}},
 		"ready":     {Listen: settings.Listen{Ready: "10.0.0.1:" + text}},
